--- a/carawaylatch/fleet/fleetdriver.cpp
+++ b/carawaylatch/fleet/fleetdriver.cpp
@@ -1,6 +1,6 @@
 // Thin driver: lease first, then reports, then orders, with the lease asked again
 // right before each order. A pause between that question and the order's arrival
-// is what fencing numbers are for, and longestInFlight where engines ignore them.
+// is what fencing numbers are for, and maxOrderDelay where engines ignore them.
 #include "carawaylatch/fleet/fleetdriver.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     , m_settings(settings)
     , m_lease(m_identity.router, m_identity.incarnation, settings.lease)
     , m_controller(m_identity.domain, settings.weights)
-    , m_slots(store, settings.slotLapse)
+    , m_slots(store, settings.slotTimeout)
 {
 }
 
@@ -31,51 +31,51 @@
     return m_counters;
 }
 
-ChangeStep FleetDriver::changeStep(const base::UpstreamId &engine) const
+EngineChangeState FleetDriver::changeState(const base::UpstreamId &engine) const
 {
-    return m_controller.step(engine);
+    return m_controller.changeState(engine);
 }
 
 void FleetDriver::step(std::span<const config::Pool> pools)
 {
-    driveLease();
+    updateLease();
     const auto fence = m_lease.fence(m_clock.now());
     if (!fence) {
         if (m_counters.isHolder) {
             base::logEvent(base::LogEvent::FleetLeaseLost, {{"domain", m_identity.domain.value()}});
         }
         m_counters.isHolder = false;
-        m_counters.heldBack = 0;
+        m_counters.blockedEngines = 0;
         m_controller.reset();
         m_observed.clear();
-        m_loading.clear();
+        m_slotHolders.clear();
         return;
     }
     if (!m_counters.isHolder) {
         base::logEvent(base::LogEvent::FleetLeaseGained, {{"domain", m_identity.domain.value()}, {"fence", std::to_string(fence->value)}});
-        adoptSlots(pools);
+        recoverSlots(pools);
     }
     m_counters.isHolder = true;
     m_counters.fence = *fence;
-    readEngines(pools);
+    pollEngines(pools);
     const base::TimePoint now = m_clock.now();
-    const Tenure tenure{*fence, now - m_lease.heldFor(now)};
-    for (const PlannedOrder &planned : m_controller.plan(now, tenure, pools, m_observed)) {
-        giveOrder(planned);
+    const LeaseTerm term{*fence, now - m_lease.heldDuration(now)};
+    for (const PlannedOrder &planned : m_controller.plan(now, term, pools, m_observed)) {
+        sendOrder(planned);
     }
-    noteHeldBack(m_controller.heldBack());
+    recordBlockedEngines(m_controller.blockedEngines());
     releaseSlots();
 }
 
-void FleetDriver::noteHeldBack(std::size_t heldBack)
+void FleetDriver::recordBlockedEngines(std::size_t blockedEngines)
 {
-    if (heldBack > 0 && m_counters.heldBack == 0) {
-        base::logEvent(base::LogEvent::WeightsChangeHeldBack, {{"domain", m_identity.domain.value()}, {"engines", std::to_string(heldBack)}});
+    if (blockedEngines > 0 && m_counters.blockedEngines == 0) {
+        base::logEvent(base::LogEvent::WeightsChangeHeldBack, {{"domain", m_identity.domain.value()}, {"engines", std::to_string(blockedEngines)}});
     }
-    m_counters.heldBack = heldBack;
+    m_counters.blockedEngines = blockedEngines;
 }
 
-void FleetDriver::driveLease()
+void FleetDriver::updateLease()
 {
     constexpr int MaxCalls = 3; // read, write, read back
     for (int i = 0; i < MaxCalls; ++i) {
@@ -94,7 +94,7 @@
 }
 
 // Asks up to maxReportsPerStep engines of the domain, in turn.
-void FleetDriver::readEngines(std::span<const config::Pool> pools)
+void FleetDriver::pollEngines(std::span<const config::Pool> pools)
 {
     std::vector<const config::PoolMember *> members;
     for (const config::Pool &pool : pools) {
@@ -111,7 +111,7 @@
     });
     const std::size_t count = std::min(members.size(), m_settings.maxReportsPerStep);
     for (std::size_t i = 0; i < count; ++i) {
-        const config::PoolMember &member = *members[m_nextReport++ % members.size()];
+        const config::PoolMember &member = *members[m_nextMember++ % members.size()];
         ObservedEngine observed{member.id, std::nullopt, m_clock.now()};
         if (auto report = m_engineControl.report(member.id, member.endpoint)) {
             observed.report = std::move(report).value();
@@ -127,22 +127,22 @@
     }
 }
 
-void FleetDriver::giveOrder(const PlannedOrder &planned)
+void FleetDriver::sendOrder(const PlannedOrder &planned)
 {
     if (planned.slots > 0) {
-        const auto slot = m_slots.take(m_clock.now(), planned.slots, planned.upstream);
+        const auto slot = m_slots.acquire(m_clock.now(), planned.slots, planned.upstream);
         if (slot || slot.error().kind == ErrorKind::Unclear) {
-            m_loading[planned.upstream] = planned.slots;
+            m_slotHolders[planned.upstream] = planned.slots;
         }
         if (!slot) {
-            ++m_counters.waitedForSlot;
+            ++m_counters.slotWaits;
             return;
         }
     }
-    if (!m_lease.mayAct(m_clock.now())) {
+    if (!m_lease.isHeld(m_clock.now())) {
         return;
     }
-    m_controller.onOrdered(m_clock.now(), planned.upstream);
+    m_controller.recordOrder(m_clock.now(), planned.upstream);
     const auto result = m_engineControl.order(planned.upstream, planned.endpoint, planned.order);
     if (result || (result.error().kind != ErrorKind::StaleState && result.error().kind != ErrorKind::Unavailable)) {
         ++m_counters.orders;
@@ -153,12 +153,12 @@
         return;
     }
     base::logEvent(base::LogEvent::EngineOrderFailed, {{"engine", planned.upstream.value()}, {"problem", result.error().message}});
-    ++(result.error().kind == ErrorKind::StaleState ? m_counters.refusedAsOld : m_counters.failedOrders);
-    m_controller.onNotOrdered(planned.upstream);
+    ++(result.error().kind == ErrorKind::StaleState ? m_counters.staleFenceRejections : m_counters.failedOrders);
+    m_controller.clearOrder(planned.upstream);
 }
 
 // Takes over the slots of a former holder, so that they are given back after the load.
-void FleetDriver::adoptSlots(std::span<const config::Pool> pools)
+void FleetDriver::recoverSlots(std::span<const config::Pool> pools)
 {
     std::uint32_t slots = 0;
     for (const config::Pool &pool : pools) {
@@ -170,7 +170,7 @@
                 return member.id == engine && member.domain == m_identity.domain;
             });
             if (isOurs) {
-                m_loading[engine] = slots;
+                m_slotHolders[engine] = slots;
             }
         }
     }
@@ -179,9 +179,9 @@
 // Gives slots back of engines that neither load nor are about to.
 void FleetDriver::releaseSlots()
 {
-    std::erase_if(m_loading, [this](const auto &it) {
-        const ChangeStep step = m_controller.step(it.first);
-        const bool mayLoad = step == ChangeStep::Ordered || step == ChangeStep::Loading || step == ChangeStep::Unreached;
+    std::erase_if(m_slotHolders, [this](const auto &it) {
+        const EngineChangeState state = m_controller.changeState(it.first);
+        const bool mayLoad = state == EngineChangeState::Ordered || state == EngineChangeState::Loading || state == EngineChangeState::Unreachable;
         return !mayLoad && m_slots.release(it.second, it.first).has_value();
     });
 }
--- a/carawaylatch/fleet/fleetdriver.h
+++ b/carawaylatch/fleet/fleetdriver.h
@@ -27,7 +27,7 @@
 {
     LeaseSettings lease;
     WeightsSettings weights;
-    base::Duration slotLapse = base::minutes{5}; // longer than any load of weights
+    base::Duration slotTimeout = base::minutes{5}; // longer than any load of weights
     std::size_t maxReportsPerStep = 64; // engines asked in one step
 };
 
@@ -41,10 +41,10 @@
 struct FleetCounters
 {
     std::uint64_t orders = 0; // given, including those whose answer was lost
-    std::uint64_t refusedAsOld = 0; // an engine knew a greater fencing number
+    std::uint64_t staleFenceRejections = 0; // an engine knew a greater fencing number
     std::uint64_t failedOrders = 0; // not sent or refused for another reason
-    std::uint64_t waitedForSlot = 0;
-    std::size_t heldBack = 0; // engines that can't change because too many are unreached or leaving
+    std::uint64_t slotWaits = 0;
+    std::size_t blockedEngines = 0; // engines that can't change because too many are unreached or leaving
     bool isHolder = false;
     base::FenceToken fence;
 };
@@ -57,15 +57,15 @@
     void step(std::span<const config::Pool> pools);
     // For status pages; call from the thread that calls step().
     [[nodiscard]] const FleetCounters &counters() const;
-    [[nodiscard]] ChangeStep changeStep(const base::UpstreamId &engine) const;
+    [[nodiscard]] EngineChangeState changeState(const base::UpstreamId &engine) const;
 
 private:
-    void driveLease();
-    void readEngines(std::span<const config::Pool> pools);
-    void giveOrder(const PlannedOrder &planned);
-    void adoptSlots(std::span<const config::Pool> pools);
+    void updateLease();
+    void pollEngines(std::span<const config::Pool> pools);
+    void sendOrder(const PlannedOrder &planned);
+    void recoverSlots(std::span<const config::Pool> pools);
     void releaseSlots();
-    void noteHeldBack(std::size_t heldBack);
+    void recordBlockedEngines(std::size_t blockedEngines);
 
     FleetIdentity m_identity;
     std::string m_leaseName;
@@ -77,8 +77,8 @@
     WeightsController m_controller;
     LoadSlots m_slots;
     std::vector<ObservedEngine> m_observed; // by id; engines of the domain's pools
-    std::size_t m_nextReport = 0;
-    std::map<base::UpstreamId, std::uint32_t> m_loading; // engines that hold one of so many slots
+    std::size_t m_nextMember = 0;
+    std::map<base::UpstreamId, std::uint32_t> m_slotHolders; // engines that hold one of so many slots
     FleetCounters m_counters;
 };
 
--- a/carawaylatch/fleet/lease.cpp
+++ b/carawaylatch/fleet/lease.cpp
@@ -25,13 +25,13 @@
 namespace
 {
 
-base::Error malformed()
+base::Error malformedLeaseError()
 {
     return base::fail(ErrorKind::InvalidArgument, "lease object can't be decoded; remove it, and a router creates it anew");
 }
 
 // Parses the number after the last space and cuts it off the text.
-std::optional<std::uint64_t> takeLastNumber(std::string_view &text)
+std::optional<std::uint64_t> extractTrailingNumber(std::string_view &text)
 {
     const std::size_t space = text.rfind(' ');
     if (space == std::string_view::npos) {
@@ -61,10 +61,10 @@
 
 base::Result<LeaseHolder> decodeLease(std::string_view value)
 {
-    const auto writeId = takeLastNumber(value);
-    const auto incarnation = writeId ? takeLastNumber(value) : std::nullopt;
+    const auto writeId = extractTrailingNumber(value);
+    const auto incarnation = writeId ? extractTrailingNumber(value) : std::nullopt;
     if (!incarnation || value.empty()) {
-        return malformed();
+        return malformedLeaseError();
     }
     return LeaseHolder{base::RouterId(value), base::Incarnation{*incarnation}, *writeId};
 }
@@ -80,63 +80,63 @@
     return m_state;
 }
 
-bool Lease::mayAct(base::TimePoint now) const
+bool Lease::isHeld(base::TimePoint now) const
 {
-    return m_state.held.value != 0 && now < m_state.believeUntil;
+    return m_state.heldVersion.value != 0 && now < m_state.validUntil;
 }
 
 std::optional<base::FenceToken> Lease::fence(base::TimePoint now) const
 {
-    if (!mayAct(now)) {
+    if (!isHeld(now)) {
         return std::nullopt;
     }
-    return base::FenceToken{m_state.held.value};
+    return base::FenceToken{m_state.heldVersion.value};
 }
 
-bool Lease::isContinued() const
+bool Lease::hadNoOtherHolder() const
 {
-    return !m_state.wasOthers;
+    return !m_state.hadOtherHolder;
 }
 
-base::Duration Lease::heldFor(base::TimePoint now) const
+base::Duration Lease::heldDuration(base::TimePoint now) const
 {
-    return mayAct(now) ? now - m_state.heldSince : base::Duration{};
+    return isHeld(now) ? now - m_state.heldSince : base::Duration{};
 }
 
 LeaseAction Lease::poll(base::TimePoint now)
 {
-    if (m_state.isCallUnderWay) {
+    if (m_state.isCallPending) {
         return {};
     }
     if (now < m_state.nextCall) {
         return {};
     }
-    if (m_state.step == LeaseStep::Holding) {
-        return startWrite(now, LeaseStep::Renewing, m_state.held);
+    if (m_state.phase == LeasePhase::Holding) {
+        return beginWrite(now, LeasePhase::Renewing, m_state.heldVersion);
     }
-    if (m_state.step == LeaseStep::Observing && isFree(now)) {
-        return startWrite(now, LeaseStep::Acquiring, *m_state.seen);
+    if (m_state.phase == LeasePhase::Observing && isFree(now)) {
+        return beginWrite(now, LeasePhase::Acquiring, *m_state.observedVersion);
     }
-    return startRead(now);
+    return beginRead(now);
 }
 
 // True if no other router can believe in the version last seen.
 bool Lease::isFree(base::TimePoint now) const
 {
-    return m_state.seen && (m_state.seen->value == 0 || m_state.isSeenOurs || now - m_state.seenAt >= m_settings.length);
+    return m_state.observedVersion && (m_state.observedVersion->value == 0 || m_state.hasNoHolder || now - m_state.observedAt >= m_settings.duration);
 }
 
-LeaseAction Lease::startRead(base::TimePoint now)
+LeaseAction Lease::beginRead(base::TimePoint now)
 {
-    m_state.isCallUnderWay = true;
+    m_state.isCallPending = true;
     m_state.nextCall = now + m_settings.readInterval;
     return LeaseAction{LeaseActionKind::Read, {}, {}};
 }
 
-LeaseAction Lease::startWrite(base::TimePoint now, LeaseStep step, store::Version expected)
+LeaseAction Lease::beginWrite(base::TimePoint now, LeasePhase phase, store::Version expected)
 {
-    m_state.isCallUnderWay = true;
-    m_state.step = step;
+    m_state.isCallPending = true;
+    m_state.phase = phase;
     m_state.sentAt = now;
     m_state.expected = expected;
     m_state.writeId = ++m_self.writeId;
@@ -145,23 +145,23 @@
 
 void Lease::onWritten(base::TimePoint now, const base::Result<store::Version> &result)
 {
-    m_state.isCallUnderWay = false;
+    m_state.isCallPending = false;
     if (result) {
         confirm(now, result.value());
         return;
     }
     if (result.error().kind == ErrorKind::Unavailable) {
-        m_state.step = m_state.step == LeaseStep::Renewing ? LeaseStep::Holding : LeaseStep::Observing;
+        m_state.phase = m_state.phase == LeasePhase::Renewing ? LeasePhase::Holding : LeasePhase::Observing;
         m_state.nextCall = now + m_settings.readInterval;
         return;
     }
-    m_state.step = LeaseStep::Settling;
+    m_state.phase = LeasePhase::Verifying;
     m_state.nextCall = now;
 }
 
 void Lease::onRead(base::TimePoint now, const base::Result<store::Object> &result)
 {
-    m_state.isCallUnderWay = false;
+    m_state.isCallPending = false;
     if (!result) {
         if (result.error().kind == ErrorKind::NotFound) {
             observe(now, {}, false);
@@ -174,36 +174,36 @@
     const bool isOurs = isOurRouter && holder.value().incarnation == m_self.incarnation;
     if (isOurs && holder.value().writeId == m_self.writeId) {
         confirm(now, object.version);
-    } else if (isOurs && object.version == m_state.held) {
-        m_state.step = LeaseStep::Holding; // the renewal has not taken effect; write again
+    } else if (isOurs && object.version == m_state.heldVersion) {
+        m_state.phase = LeasePhase::Holding; // the renewal has not taken effect; write again
     } else {
-        m_state.wasOthers = m_state.wasOthers || !isOurRouter;
+        m_state.hadOtherHolder = m_state.hadOtherHolder || !isOurRouter;
         const bool isReleased = object.value == encodeReleasedLease();
-        observe(now, object.version, isOurs || isReleased || (isOurRouter && m_settings.isRouterSingle));
+        observe(now, object.version, isOurs || isReleased || (isOurRouter && m_settings.isRouterIdUnique));
     }
 }
 
 void Lease::confirm(base::TimePoint now, store::Version version)
 {
-    const bool isUnbroken = m_state.held.value != 0 && (m_state.expected == m_state.held || version == m_state.held);
+    const bool isUnbroken = m_state.heldVersion.value != 0 && (m_state.expected == m_state.heldVersion || version == m_state.heldVersion);
     if (!isUnbroken) {
         m_state.heldSince = now;
     }
-    m_state.step = LeaseStep::Holding;
-    m_state.held = version;
-    m_state.believeUntil = m_state.sentAt + 2 * m_settings.length / 3;
-    m_state.nextCall = m_state.sentAt + m_settings.length / 3;
-    m_state.seen.reset();
+    m_state.phase = LeasePhase::Holding;
+    m_state.heldVersion = version;
+    m_state.validUntil = m_state.sentAt + 2 * m_settings.duration / 3;
+    m_state.nextCall = m_state.sentAt + m_settings.duration / 3;
+    m_state.observedVersion.reset();
 }
 
-void Lease::observe(base::TimePoint now, store::Version version, bool isOurs)
+void Lease::observe(base::TimePoint now, store::Version version, bool hasNoHolder)
 {
-    m_state.step = LeaseStep::Observing;
-    m_state.held = {};
-    m_state.isSeenOurs = isOurs;
-    if (m_state.seen != version) {
-        m_state.seen = version;
-        m_state.seenAt = now;
+    m_state.phase = LeasePhase::Observing;
+    m_state.heldVersion = {};
+    m_state.hasNoHolder = hasNoHolder;
+    if (m_state.observedVersion != version) {
+        m_state.observedVersion = version;
+        m_state.observedAt = now;
     }
     if (isFree(now)) {
         m_state.nextCall = now;
--- a/carawaylatch/fleet/lease.h
+++ b/carawaylatch/fleet/lease.h
@@ -5,7 +5,7 @@
 // length without a change means that the holder has stopped believing, as that
 // one counts from before its last write was sent and stops at two thirds. The
 // margin bears clocks whose rates differ by up to a half, and any pause: a
-// paused holder asks mayAct(now) before each act. The fencing number is the
+// paused holder asks isHeld(now) before each act. The fencing number is the
 // object's version, which grows with every write.
 //
 // The machine does no I/O: poll() says what to do next, on...() report results.
@@ -29,11 +29,11 @@
 
 struct LeaseSettings
 {
-    base::Duration length = base::seconds{15}; // equal on all routers
+    base::Duration duration = base::seconds{15}; // equal on all routers
     base::Duration readInterval = base::seconds{1}; // of an observer, and between failed renewals
     // True if a router's id names at most one live process at any time. A lease of
     // an earlier life of this router is then free at once.
-    bool isRouterSingle = false;
+    bool isRouterIdUnique = false;
 };
 
 struct LeaseHolder
@@ -51,14 +51,14 @@
 // Returns the holder, or InvalidArgument for a value that no router wrote.
 [[nodiscard]] base::Result<LeaseHolder> decodeLease(std::string_view value);
 
-enum class LeaseStep {
+enum class LeasePhase {
     Observing, // another holds it, or nobody yet known
     Acquiring, // write under way
-    Settling, // reading back after an unclear or refused write
+    Verifying, // reading back after an unclear or refused write
     Holding,
     Renewing, // write under way; still holding by the former one; stays last
 };
-constexpr std::size_t LeaseStepCount = static_cast<std::size_t>(LeaseStep::Renewing) + 1;
+constexpr std::size_t LeasePhaseCount = static_cast<std::size_t>(LeasePhase::Renewing) + 1;
 
 enum class LeaseActionKind {
     None, // nothing to do, or the former call is under way
@@ -76,26 +76,26 @@
 // All that a lease remembers.
 struct LeaseState
 {
-    LeaseStep step = LeaseStep::Observing;
-    bool isCallUnderWay = false;
+    LeasePhase phase = LeasePhase::Observing;
+    bool isCallPending = false;
     // The version last seen of another holder, and since when; zero: object absent.
-    std::optional<store::Version> seen;
-    base::TimePoint seenAt;
+    std::optional<store::Version> observedVersion;
+    base::TimePoint observedAt;
     // True if nobody can believe in the object seen: it was written by this very
     // incarnation, by an earlier one where the settings say that it is no more, or
     // by a holder that gave the lease up.
-    bool isSeenOurs = false;
+    bool hasNoHolder = false;
     base::TimePoint nextCall;
     // The last write: its id, when it was sent and what it was conditional on.
     std::uint64_t writeId = 0;
     base::TimePoint sentAt;
     store::Version expected;
-    // The version last confirmed as ours; zero: not holding. Belief ends at believeUntil.
-    store::Version held;
-    base::TimePoint believeUntil;
+    // The version last confirmed as ours; zero: not holding. Belief ends at validUntil.
+    store::Version heldVersion;
+    base::TimePoint validUntil;
     base::TimePoint heldSince;
     // Another router, or one that gave the lease up, was seen to have held it.
-    bool wasOthers = false;
+    bool hadOtherHolder = false;
 
     bool operator==(const LeaseState &) const = default;
 };
@@ -112,23 +112,23 @@
     void onWritten(base::TimePoint now, const base::Result<store::Version> &result);
 
     // True while this router may act as holder; ask right before each act.
-    [[nodiscard]] bool mayAct(base::TimePoint now) const;
-    // Fencing number of the present holding; nothing if mayAct() is false.
+    [[nodiscard]] bool isHeld(base::TimePoint now) const;
+    // Fencing number of the present holding; nothing if isHeld() is false.
     [[nodiscard]] std::optional<base::FenceToken> fence(base::TimePoint now) const;
     // True if no other router held the lease before the present holding, as far as
     // this one saw: the lease was never taken, or it was taken by this router.
-    [[nodiscard]] bool isContinued() const;
+    [[nodiscard]] bool hadNoOtherHolder() const;
     // Time since this router learned that it holds, without a break since. Orders
     // of a former holder can be in flight for a while after that.
-    [[nodiscard]] base::Duration heldFor(base::TimePoint now) const;
+    [[nodiscard]] base::Duration heldDuration(base::TimePoint now) const;
     [[nodiscard]] const LeaseState &state() const;
 
 private:
     [[nodiscard]] bool isFree(base::TimePoint now) const;
-    LeaseAction startRead(base::TimePoint now);
-    LeaseAction startWrite(base::TimePoint now, LeaseStep step, store::Version expected);
+    LeaseAction beginRead(base::TimePoint now);
+    LeaseAction beginWrite(base::TimePoint now, LeasePhase phase, store::Version expected);
     void confirm(base::TimePoint now, store::Version version);
-    void observe(base::TimePoint now, store::Version version, bool isOurs);
+    void observe(base::TimePoint now, store::Version version, bool hasNoHolder);
 
     LeaseHolder m_self; // writeId is that of the last write
     LeaseSettings m_settings;
--- a/carawaylatch/fleet/loadslots.cpp
+++ b/carawaylatch/fleet/loadslots.cpp
@@ -20,22 +20,22 @@
 
 } // namespace
 
-LoadSlots::LoadSlots(store::ObjectStore &store, base::Duration lapse)
+LoadSlots::LoadSlots(store::ObjectStore &store, base::Duration timeout)
     : m_store(store)
-    , m_lapse(lapse)
+    , m_timeout(timeout)
 {
 }
 
-bool LoadSlots::hasLapsed(base::TimePoint now, const store::Object &slot)
+bool LoadSlots::hasExpired(base::TimePoint now, const store::Object &slot)
 {
-    const auto [it, isNew] = m_seen.try_emplace(slot.name, Seen{slot.version, now});
+    const auto [it, isNew] = m_observations.try_emplace(slot.name, Observation{slot.version, now});
     if (!isNew && it->second.version != slot.version) {
-        it->second = Seen{slot.version, now};
+        it->second = Observation{slot.version, now};
     }
-    return now - it->second.since >= m_lapse;
+    return now - it->second.since >= m_timeout;
 }
 
-base::Result<void> LoadSlots::take(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine)
+base::Result<void> LoadSlots::acquire(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine)
 {
     struct Free
     {
@@ -52,7 +52,7 @@
         if (object && object.value().value == engine.value()) {
             return base::ok();
         }
-        if (!free && (!object || hasLapsed(now, object.value()))) {
+        if (!free && (!object || hasExpired(now, object.value()))) {
             free = Free{name, object ? object.value().version : store::Version{}};
         }
     }
--- a/carawaylatch/fleet/loadslots.h
+++ b/carawaylatch/fleet/loadslots.h
@@ -24,27 +24,27 @@
 class LoadSlots
 {
 public:
-    LoadSlots(store::ObjectStore &store, base::Duration lapse);
+    LoadSlots(store::ObjectStore &store, base::Duration timeout);
 
     // Takes one of the first `slots` slots for the engine, or finds the one it
     // has. Overloaded: all are taken. Unclear: ask again to find out.
-    [[nodiscard]] base::Result<void> take(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine);
+    [[nodiscard]] base::Result<void> acquire(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine);
     // Gives back every slot of the engine; an error means to try again.
     [[nodiscard]] base::Result<void> release(std::uint32_t slots, const base::UpstreamId &engine);
     // Returns the engines that hold slots; unreadable slots are left out.
     [[nodiscard]] std::vector<base::UpstreamId> holders(std::uint32_t slots);
 
 private:
-    struct Seen
+    struct Observation
     {
         store::Version version;
         base::TimePoint since;
     };
-    [[nodiscard]] bool hasLapsed(base::TimePoint now, const store::Object &slot);
+    [[nodiscard]] bool hasExpired(base::TimePoint now, const store::Object &slot);
 
     store::ObjectStore &m_store;
-    base::Duration m_lapse;
-    std::map<std::string, Seen> m_seen; // one entry a slot
+    base::Duration m_timeout;
+    std::map<std::string, Observation> m_observations; // one entry a slot
 };
 
 } // namespace carawaylatch::fleet
--- a/carawaylatch/fleet/testing/fleettest.cpp
+++ b/carawaylatch/fleet/testing/fleettest.cpp
@@ -51,7 +51,7 @@
     std::vector<std::pair<base::TimePoint, EngineReport>> history; // kept for lagging reports
 };
 
-struct ObeyedOrder
+struct ExecutedOrder
 {
     base::TimePoint at;
     base::UpstreamId upstream;
@@ -68,11 +68,11 @@
     }
 
     std::map<base::UpstreamId, FakeEngine> engines;
-    bool checksFences = true;
+    bool checksFencing = true;
     base::Duration lag{}; // of reports
     OrderFault fault = OrderFault::None; // of the next order
     std::vector<std::pair<base::UpstreamId, EngineOrder>> delayed;
-    std::vector<ObeyedOrder> journal;
+    std::vector<ExecutedOrder> executedOrders;
 
     base::Result<void> order(const base::UpstreamId &upstream, const base::Endpoint & /*endpoint*/, const EngineOrder &order) override
     {
@@ -86,7 +86,7 @@
         if (present == OrderFault::Delayed || present == OrderFault::RequestLost) {
             return base::fail(ErrorKind::Unclear, "lost");
         }
-        auto result = obey(upstream, order);
+        auto result = execute(upstream, order);
         if (present == OrderFault::AnswerLost) {
             return base::fail(ErrorKind::Unclear, "lost");
         }
@@ -109,10 +109,10 @@
         return engine.report;
     }
 
-    base::Result<void> obey(const base::UpstreamId &upstream, const EngineOrder &order)
+    base::Result<void> execute(const base::UpstreamId &upstream, const EngineOrder &order)
     {
         FakeEngine &engine = engines.at(upstream);
-        if (checksFences && order.fence < engine.fence) {
+        if (checksFencing && order.fence < engine.fence) {
             return base::fail(ErrorKind::StaleState, "old fencing number");
         }
         engine.fence = order.fence;
@@ -120,7 +120,7 @@
         engine.loadingAdapter = order.adapter;
         engine.loadedAt = m_clock.now() + (order.kind == EngineOrderKind::LoadWeights ? LoadTime : base::Duration{});
         engine.report.state = EngineState::Loading;
-        journal.push_back(ObeyedOrder{m_clock.now(), upstream, order});
+        executedOrders.push_back(ExecutedOrder{m_clock.now(), upstream, order});
         return base::ok();
     }
 
@@ -164,18 +164,18 @@
 // domain is held back, as the leaving engine is all that may be away.
 struct ChangeRow
 {
-    ChangeStep step;
+    EngineChangeState state;
     std::string_view outcomes;
 };
 constexpr ChangeRow ChangeRows[] = {
-    {ChangeStep::Unreached, "ccccccccc"}, //
-    {ChangeStep::Settled, "ccccccccc"}, //
-    {ChangeStep::Wanted, "ccccccccc"}, //
-    {ChangeStep::Ordered, "ccccccccc"}, //
-    {ChangeStep::Loading, "ccccccccc"}, //
-    {ChangeStep::Leaving, "bbbbbbbbb"}, //
+    {EngineChangeState::Unreachable, "ccccccccc"}, //
+    {EngineChangeState::UpToDate, "ccccccccc"}, //
+    {EngineChangeState::Outdated, "ccccccccc"}, //
+    {EngineChangeState::Ordered, "ccccccccc"}, //
+    {EngineChangeState::Loading, "ccccccccc"}, //
+    {EngineChangeState::Leaving, "bbbbbbbbb"}, //
 };
-static_assert(std::size(ChangeRows) == ChangeStepCount, "a step has no row");
+static_assert(std::size(ChangeRows) == EngineChangeStateCount, "a step has no row");
 
 base::UpstreamId engineId(std::size_t domain, std::size_t n)
 {
@@ -183,10 +183,10 @@
 }
 
 // Three domains with a router each and a spare router in the first domain.
-class FleetBed
+class FleetSimulation
 {
 public:
-    FleetBed()
+    FleetSimulation()
     {
         config::Pool pool;
         pool.name = base::PoolName("contracts");
@@ -250,7 +250,7 @@
         }
     }
 
-    std::size_t settled() const
+    std::size_t upToDateCount() const
     {
         return static_cast<std::size_t>(std::count_if(fleet.engines.begin(), fleet.engines.end(), [this](const auto &it) {
             return it.second.report.state == EngineState::Live && it.second.report.weightsVersion == pools[0].weightsVersion;
@@ -273,200 +273,201 @@
     CPPUNIT_TEST_SUITE(FleetTest);
     CPPUNIT_TEST(testRollingChange);
     CPPUNIT_TEST(testLaggingReports);
-    CPPUNIT_TEST(testEveryFaultAtEveryStep);
-    CPPUNIT_TEST(testPausedHolderIsFencedOff);
-    CPPUNIT_TEST(testSuccessorWaitsWhereFencesAreIgnored);
-    CPPUNIT_TEST(testDeadEngineHoldsChangeBack);
-    CPPUNIT_TEST(testSlotOfVanishedHolderLapses);
+    CPPUNIT_TEST(testEveryFaultInEveryState);
+    CPPUNIT_TEST(testFencingRejectsOrderOfPausedHolder);
+    CPPUNIT_TEST(testNewHolderWaitsWithoutFencing);
+    CPPUNIT_TEST(testUnreachableEngineBlocksChange);
+    CPPUNIT_TEST(testSlotOfLostHolderExpires);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testRollingChange()
     {
-        FleetBed bed;
-        bed.run(base::seconds{5});
-        CPPUNIT_ASSERT(bed.fleet.journal.empty());
-        bed.pools[0].weightsVersion = NewVersion;
-        bed.run(base::seconds{30});
-        CPPUNIT_ASSERT_EQUAL(bed.fleet.engines.size(), bed.settled());
-        CPPUNIT_ASSERT_EQUAL(bed.fleet.engines.size(), bed.fleet.journal.size());
-        CPPUNIT_ASSERT(bed.platform.list("fleet/slots/").value().written.empty());
-        bed.pools[0].adapter = "legal";
-        bed.run(base::seconds{30});
-        CPPUNIT_ASSERT_EQUAL(std::string("legal"), bed.fleet.engines.begin()->second.report.adapter);
-        CPPUNIT_ASSERT(bed.fleet.journal.back().order.kind == EngineOrderKind::LoadAdapter);
+        FleetSimulation simulation;
+        simulation.run(base::seconds{5});
+        CPPUNIT_ASSERT(simulation.fleet.executedOrders.empty());
+        simulation.pools[0].weightsVersion = NewVersion;
+        simulation.run(base::seconds{30});
+        CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.upToDateCount());
+        CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.fleet.executedOrders.size());
+        CPPUNIT_ASSERT(simulation.platform.list("fleet/slots/").value().written.empty());
+        simulation.pools[0].adapter = "legal";
+        simulation.run(base::seconds{30});
+        CPPUNIT_ASSERT_EQUAL(std::string("legal"), simulation.fleet.engines.begin()->second.report.adapter);
+        CPPUNIT_ASSERT(simulation.fleet.executedOrders.back().order.kind == EngineOrderKind::LoadAdapter);
     }
 
     // Reports lag by several loads, so that an order's effect is seen late.
     void testLaggingReports()
     {
-        FleetBed bed;
-        bed.fleet.lag = base::seconds{2};
-        bed.run(base::seconds{5});
-        bed.pools[0].weightsVersion = NewVersion;
-        bed.run(base::minutes{2});
-        CPPUNIT_ASSERT_EQUAL(bed.fleet.engines.size(), bed.settled());
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("each engine is ordered once", bed.fleet.engines.size(), bed.fleet.journal.size());
+        FleetSimulation simulation;
+        simulation.fleet.lag = base::seconds{2};
+        simulation.run(base::seconds{5});
+        simulation.pools[0].weightsVersion = NewVersion;
+        simulation.run(base::minutes{2});
+        CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.upToDateCount());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("each engine is ordered once", simulation.fleet.engines.size(), simulation.fleet.executedOrders.size());
     }
 
-    void testEveryFaultAtEveryStep()
+    void testEveryFaultInEveryState()
     {
         for (const ChangeRow &row : ChangeRows) {
             std::string outcomes;
             for (std::size_t fault = 0; fault < ChangeFaultCount; ++fault) {
-                outcomes += outcomeOf(row.step, static_cast<ChangeFault>(fault));
+                outcomes += outcomeOf(row.state, static_cast<ChangeFault>(fault));
             }
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("step " + std::to_string(static_cast<int>(row.step)), std::string(row.outcomes), outcomes);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("step " + std::to_string(static_cast<int>(row.state)), std::string(row.outcomes), outcomes);
         }
     }
 
     // The old holder's order is on its way while the lease changes hands.
-    void testPausedHolderIsFencedOff()
+    void testFencingRejectsOrderOfPausedHolder()
     {
-        FleetBed bed;
-        delayOrderOfFirstHolder(bed);
-        bed.pools[0].weightsVersion = base::WeightsVersion{3};
-        passToSpare(bed, base::seconds{40});
-        CPPUNIT_ASSERT_EQUAL(bed.fleet.engines.size(), bed.settled());
-        const auto [upstream, order] = bed.fleet.delayed.front();
-        CPPUNIT_ASSERT(bed.fleet.obey(upstream, order).error().kind == ErrorKind::StaleState);
+        FleetSimulation simulation;
+        delayOrderOfFirstHolder(simulation);
+        simulation.pools[0].weightsVersion = base::WeightsVersion{3};
+        runUntilSpareHolds(simulation, base::seconds{40});
+        CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.upToDateCount());
+        const auto [upstream, order] = simulation.fleet.delayed.front();
+        CPPUNIT_ASSERT(simulation.fleet.execute(upstream, order).error().kind == ErrorKind::StaleState);
     }
 
-    // Engines obey any order, so the old one may land up to longestInFlight after
+    // Engines obey any order, so the old one may land up to maxOrderDelay after
     // the lease changed hands; the successor gives none before, and corrects it.
-    void testSuccessorWaitsWhereFencesAreIgnored()
+    void testNewHolderWaitsWithoutFencing()
     {
-        FleetBed bed;
-        bed.pools[0].fencing = config::OrderFencing::Ignored;
-        bed.fleet.checksFences = false;
-        bed.run(base::seconds{15});
-        delayOrderOfFirstHolder(bed);
-        bed.pools[0].weightsVersion = base::WeightsVersion{3};
-        bed.fleet.journal.clear();
-        while (!bed.drivers[3]->counters().isHolder) {
-            bed.step(0);
+        FleetSimulation simulation;
+        simulation.pools[0].fencing = config::OrderFencing::Ignored;
+        simulation.fleet.checksFencing = false;
+        simulation.run(base::seconds{15});
+        delayOrderOfFirstHolder(simulation);
+        simulation.pools[0].weightsVersion = base::WeightsVersion{3};
+        simulation.fleet.executedOrders.clear();
+        while (!simulation.drivers[3]->counters().isHolder) {
+            simulation.step(0);
         }
-        const base::TimePoint since = bed.clock.now();
-        bool hasLanded = false;
+        const base::TimePoint since = simulation.clock.now();
+        bool hasArrived = false;
         for (int i = 0; i < 120; ++i) {
-            if (!hasLanded && bed.clock.now() >= since + base::seconds{8}) {
-                hasLanded = true;
-                CPPUNIT_ASSERT(bed.fleet.obey(bed.fleet.delayed.front().first, bed.fleet.delayed.front().second));
+            if (!hasArrived && simulation.clock.now() >= since + base::seconds{8}) {
+                hasArrived = true;
+                CPPUNIT_ASSERT(simulation.fleet.execute(simulation.fleet.delayed.front().first, simulation.fleet.delayed.front().second));
             }
-            bed.step(0);
+            simulation.step(0);
         }
-        for (const ObeyedOrder &it : bed.fleet.journal) {
-            const bool isSuccessors = it.upstream.value().starts_with(Domains[0]) && it.order.weightsVersion == bed.pools[0].weightsVersion;
+        for (const ExecutedOrder &it : simulation.fleet.executedOrders) {
+            const bool isSuccessors = it.upstream.value().starts_with(Domains[0]) && it.order.weightsVersion == simulation.pools[0].weightsVersion;
             CPPUNIT_ASSERT_MESSAGE("the successor gave an order before the old one had landed", !isSuccessors || it.at >= since - Step + base::seconds{10});
         }
-        CPPUNIT_ASSERT_EQUAL(bed.fleet.engines.size(), bed.settled());
+        CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.upToDateCount());
     }
 
-    void testDeadEngineHoldsChangeBack()
+    void testUnreachableEngineBlocksChange()
     {
-        FleetBed bed;
-        bed.run(base::seconds{2});
-        bed.fleet.engines.at(engineId(0, 2)).isReachable = false;
-        bed.run(base::seconds{20});
-        bed.pools[0].weightsVersion = NewVersion;
-        bed.run(base::seconds{30});
-        CPPUNIT_ASSERT_EQUAL(2 * EnginesOfDomain, bed.settled());
-        CPPUNIT_ASSERT_EQUAL(EnginesOfDomain - 1, bed.drivers[0]->counters().heldBack);
-        std::erase_if(bed.pools[0].members, [](const config::PoolMember &it) {
+        FleetSimulation simulation;
+        simulation.run(base::seconds{2});
+        simulation.fleet.engines.at(engineId(0, 2)).isReachable = false;
+        simulation.run(base::seconds{20});
+        simulation.pools[0].weightsVersion = NewVersion;
+        simulation.run(base::seconds{30});
+        CPPUNIT_ASSERT_EQUAL(2 * EnginesOfDomain, simulation.upToDateCount());
+        CPPUNIT_ASSERT_EQUAL(EnginesOfDomain - 1, simulation.drivers[0]->counters().blockedEngines);
+        std::erase_if(simulation.pools[0].members, [](const config::PoolMember &it) {
             return it.id == engineId(0, 2);
         });
-        bed.run(base::seconds{30});
-        CPPUNIT_ASSERT_EQUAL(3 * EnginesOfDomain - 1, bed.settled());
+        simulation.run(base::seconds{30});
+        CPPUNIT_ASSERT_EQUAL(3 * EnginesOfDomain - 1, simulation.upToDateCount());
     }
 
-    void testSlotOfVanishedHolderLapses()
+    void testSlotOfLostHolderExpires()
     {
         store::MemoryStore platform;
         LoadSlots slots(platform, base::minutes{5});
         const base::TimePoint now{base::hours{1}};
         const base::UpstreamId engines[] = {base::UpstreamId("a"), base::UpstreamId("b"), base::UpstreamId("c")};
-        CPPUNIT_ASSERT(slots.take(now, 2, engines[0]) && slots.take(now, 2, engines[1]) && slots.take(now, 2, engines[0]));
-        CPPUNIT_ASSERT(slots.take(now, 2, engines[2]).error().kind == ErrorKind::Overloaded);
-        CPPUNIT_ASSERT(slots.release(2, engines[0]) && slots.take(now, 2, engines[2]));
-        CPPUNIT_ASSERT(!slots.take(now + base::minutes{4}, 2, engines[0]));
-        CPPUNIT_ASSERT(slots.take(now + base::minutes{6}, 2, engines[0]));
+        CPPUNIT_ASSERT(slots.acquire(now, 2, engines[0]) && slots.acquire(now, 2, engines[1]) && slots.acquire(now, 2, engines[0]));
+        CPPUNIT_ASSERT(slots.acquire(now, 2, engines[2]).error().kind == ErrorKind::Overloaded);
+        CPPUNIT_ASSERT(slots.release(2, engines[0]) && slots.acquire(now, 2, engines[2]));
+        CPPUNIT_ASSERT(!slots.acquire(now + base::minutes{4}, 2, engines[0]));
+        CPPUNIT_ASSERT(slots.acquire(now + base::minutes{6}, 2, engines[0]));
     }
 
 private:
-    static void delayOrderOfFirstHolder(FleetBed &bed)
+    static void delayOrderOfFirstHolder(FleetSimulation &simulation)
     {
-        bed.pools[0].weightsVersion = NewVersion;
-        while (bed.fleet.delayed.empty()) {
-            bed.fleet.fault = OrderFault::Delayed;
-            bed.drivers[0]->step(bed.pools);
-            bed.fleet.fault = OrderFault::None;
-            bed.clock.advance(Step);
+        simulation.pools[0].weightsVersion = NewVersion;
+        while (simulation.fleet.delayed.empty()) {
+            simulation.fleet.fault = OrderFault::Delayed;
+            simulation.drivers[0]->step(simulation.pools);
+            simulation.fleet.fault = OrderFault::None;
+            simulation.clock.advance(Step);
         }
     }
 
-    static void passToSpare(FleetBed &bed, base::Duration duration)
+    static void runUntilSpareHolds(FleetSimulation &simulation, base::Duration duration)
     {
-        for (const base::TimePoint end = bed.clock.now() + duration; bed.clock.now() < end;) {
-            bed.step(0);
+        for (const base::TimePoint end = simulation.clock.now() + duration; simulation.clock.now() < end;) {
+            simulation.step(0);
         }
-        CPPUNIT_ASSERT(bed.drivers[3]->counters().isHolder);
+        CPPUNIT_ASSERT(simulation.drivers[3]->counters().isHolder);
     }
 
-    static char outcomeOf(ChangeStep step, ChangeFault fault)
+    static char outcomeOf(EngineChangeState state, ChangeFault fault)
     {
-        FleetBed bed;
-        const base::UpstreamId engine = engineId(0, step == ChangeStep::Wanted ? EnginesOfDomain - 1 : 0); // the last one has to wait
-        bed.run(base::seconds{3});
-        if (step == ChangeStep::Leaving) {
-            bed.fleet.engines.at(engine).report.state = EngineState::Leaving;
+        FleetSimulation simulation;
+        const base::UpstreamId engine = engineId(0, state == EngineChangeState::Outdated ? EnginesOfDomain - 1 : 0); // the last one has to wait
+        simulation.run(base::seconds{3});
+        if (state == EngineChangeState::Leaving) {
+            simulation.fleet.engines.at(engine).report.state = EngineState::Leaving;
         }
-        if (step == ChangeStep::Unreached) {
-            bed.fleet.engines.at(engine).isReachable = false;
+        if (state == EngineChangeState::Unreachable) {
+            simulation.fleet.engines.at(engine).isReachable = false;
         }
-        bed.pools[0].weightsVersion = step == ChangeStep::Settled ? OldVersion : NewVersion;
+        simulation.pools[0].weightsVersion = state == EngineChangeState::UpToDate ? OldVersion : NewVersion;
         std::optional<base::TimePoint> faultAt;
-        for (const base::TimePoint end = bed.clock.now() + base::minutes{4}; bed.clock.now() < end;) {
-            if (!faultAt && bed.drivers[0]->changeStep(engine) == step) {
-                faultAt = bed.clock.now();
-                inject(bed, fault, engine);
+        for (const base::TimePoint end = simulation.clock.now() + base::minutes{4}; simulation.clock.now() < end;) {
+            if (!faultAt && simulation.drivers[0]->changeState(engine) == state) {
+                faultAt = simulation.clock.now();
+                inject(simulation, fault, engine);
             }
-            const bool isPaused = faultAt && fault == ChangeFault::HolderPaused && bed.clock.now() < *faultAt + base::seconds{40};
-            if (faultAt && bed.clock.now() >= *faultAt + base::seconds{20}) {
-                bed.fleet.engines.at(engine).isReachable = true;
+            const bool isPaused = faultAt && fault == ChangeFault::HolderPaused && simulation.clock.now() < *faultAt + base::seconds{40};
+            if (faultAt && simulation.clock.now() >= *faultAt + base::seconds{20}) {
+                simulation.fleet.engines.at(engine).isReachable = true;
             }
-            if (faultAt && bed.clock.now() >= *faultAt + base::seconds{40}) {
-                setPlatform(bed, StoreFault::None);
-                bed.pools[0].weightsVersion = NewVersion;
+            if (faultAt && simulation.clock.now() >= *faultAt + base::seconds{40}) {
+                setPlatform(simulation, StoreFault::None);
+                simulation.pools[0].weightsVersion = NewVersion;
             }
-            bed.step(isPaused ? std::optional<std::size_t>(0) : std::nullopt);
+            simulation.step(isPaused ? std::optional<std::size_t>(0) : std::nullopt);
         }
-        CPPUNIT_ASSERT_MESSAGE("step " + std::to_string(static_cast<int>(step)) + " not reached", faultAt.has_value());
-        if (bed.settled() == bed.fleet.engines.size()) {
+        CPPUNIT_ASSERT_MESSAGE("step " + std::to_string(static_cast<int>(state)) + " not reached", faultAt.has_value());
+        if (simulation.upToDateCount() == simulation.fleet.engines.size()) {
             return 'c';
         }
-        const std::size_t heldBack = bed.drivers[0]->counters().heldBack + bed.drivers[3]->counters().heldBack; // either may hold the lease
-        return bed.settled() == bed.fleet.engines.size() - EnginesOfDomain && heldBack > 0 ? 'b' : '-';
+        const std::size_t blockedEngines =
+            simulation.drivers[0]->counters().blockedEngines + simulation.drivers[3]->counters().blockedEngines; // either may hold the lease
+        return simulation.upToDateCount() == simulation.fleet.engines.size() - EnginesOfDomain && blockedEngines > 0 ? 'b' : '-';
     }
 
-    static void setPlatform(FleetBed &bed, StoreFault fault)
+    static void setPlatform(FleetSimulation &simulation, StoreFault fault)
     {
-        for (const auto &it : bed.stores) {
+        for (const auto &it : simulation.stores) {
             it->inject(fault);
         }
     }
 
-    static void inject(FleetBed &bed, ChangeFault fault, const base::UpstreamId &engine)
+    static void inject(FleetSimulation &simulation, ChangeFault fault, const base::UpstreamId &engine)
     {
-        FakeEngine &target = bed.fleet.engines.at(engine);
+        FakeEngine &target = simulation.fleet.engines.at(engine);
         switch (fault) {
         case ChangeFault::OrderNotSent:
-            bed.fleet.fault = OrderFault::NotSent;
+            simulation.fleet.fault = OrderFault::NotSent;
             break;
         case ChangeFault::OrderAnswerLost:
-            bed.fleet.fault = OrderFault::AnswerLost;
+            simulation.fleet.fault = OrderFault::AnswerLost;
             break;
         case ChangeFault::OrderRequestLost:
-            bed.fleet.fault = OrderFault::RequestLost;
+            simulation.fleet.fault = OrderFault::RequestLost;
             break;
         case ChangeFault::EngineRestartsEmpty:
             if (target.report.state != EngineState::Leaving) {
@@ -477,10 +478,10 @@
             target.isReachable = false;
             break;
         case ChangeFault::HolderRestarts:
-            bed.restart(0);
+            simulation.restart(0);
             break;
         case ChangeFault::PlatformDown:
-            setPlatform(bed, StoreFault::Down);
+            setPlatform(simulation, StoreFault::Down);
             break;
         case ChangeFault::None:
         case ChangeFault::HolderPaused:
--- a/carawaylatch/fleet/testing/leasetest.cpp
+++ b/carawaylatch/fleet/testing/leasetest.cpp
@@ -49,27 +49,27 @@
 };
 
 // Two routers, one lease object, calls that take effect and answer at any time.
-class LeaseWorld
+class LeaseModel
 {
 public:
-    explicit LeaseWorld(LeaseLimits limits)
-        : m_left(limits)
+    explicit LeaseModel(LeaseLimits limits)
+        : m_remaining(limits)
     {
         for (int i = 0; i < 2; ++i) {
             m_routers.push_back(LeaseRouter{makeLease(i, 1), 1, base::TimePoint{base::hours{1}}, std::nullopt});
         }
     }
 
-    using Choices = std::vector<carawaylatch::testing::Choice<LeaseWorld>>;
+    using Choices = std::vector<carawaylatch::testing::Choice<LeaseModel>>;
 
     Choices choices() const
     {
         Choices choices;
-        if (m_left.ticks > 0) {
-            LeaseWorld next = *this;
-            --next.m_left.ticks;
+        if (m_remaining.ticks > 0) {
+            LeaseModel next = *this;
+            --next.m_remaining.ticks;
             for (std::size_t i = 0; i < 2; ++i) {
-                next.m_routers[i].now += base::seconds{m_left.rates[i]};
+                next.m_routers[i].now += base::seconds{m_remaining.rates[i]};
             }
             add(choices, "tick", std::move(next));
         }
@@ -77,7 +77,7 @@
             addRouterSteps(choices, i);
         }
         for (std::size_t i = 0; i < m_delayed.size(); ++i) {
-            LeaseWorld next = *this;
+            LeaseModel next = *this;
             (void)next.write(m_delayed[i]);
             next.m_delayed.erase(next.m_delayed.begin() + static_cast<std::ptrdiff_t>(i));
             add(choices, "a delayed write arrives", std::move(next));
@@ -87,15 +87,15 @@
 
     std::string violation() const
     {
-        int believers = 0;
+        int holders = 0;
         for (const LeaseRouter &it : m_routers) {
             const auto fence = it.lease.fence(it.now);
-            believers += fence ? 1 : 0;
-            if (fence && fence->value < m_greatestFence) {
+            holders += fence ? 1 : 0;
+            if (fence && fence->value < m_highestFence) {
                 return "a holder believes in an old fencing number";
             }
         }
-        return believers > 1 ? "two routers believe that they hold the lease" : "";
+        return holders > 1 ? "two routers believe that they hold the lease" : "";
     }
 
     std::string key() const
@@ -106,9 +106,10 @@
             const auto since = [&it](base::TimePoint time) {
                 return std::max<std::int64_t>(-2L * Length, std::chrono::duration_cast<base::seconds>(time - it.now).count());
             };
-            out << it.incarnation << ',' << static_cast<int>(state.step) << state.isCallUnderWay << state.isSeenOurs << ','
-                << (state.seen ? static_cast<std::int64_t>(state.seen->value) : -1) << ',' << since(state.seenAt) << ',' << since(state.nextCall) << ','
-                << state.writeId << ',' << since(state.sentAt) << ',' << state.expected << ',' << state.held << ',' << since(state.believeUntil) << '|';
+            out << it.incarnation << ',' << static_cast<int>(state.phase) << state.isCallPending << state.hasNoHolder << ','
+                << (state.observedVersion ? static_cast<std::int64_t>(state.observedVersion->value) : -1) << ',' << since(state.observedAt) << ','
+                << since(state.nextCall) << ',' << state.writeId << ',' << since(state.sentAt) << ',' << state.expected << ',' << state.heldVersion << ','
+                << since(state.validUntil) << '|';
             if (it.call) {
                 out << static_cast<int>(it.call->action.kind) << it.call->action.value << ',' << it.call->action.expected << ',';
                 if (it.call->written) {
@@ -116,7 +117,8 @@
                 }
             }
         }
-        out << m_left.ticks << ',' << m_left.faults << ',' << m_left.restarts << ',' << m_object.version << m_object.value << ',' << m_greatestFence;
+        out << m_remaining.ticks << ',' << m_remaining.faults << ',' << m_remaining.restarts << ',' << m_object.version << m_object.value << ','
+            << m_highestFence;
         for (const LeaseAction &it : m_delayed) {
             out << '|' << it.value << ',' << it.expected;
         }
@@ -129,10 +131,10 @@
         return Lease(base::RouterId(std::to_string(router)), base::Incarnation{incarnation}, LeaseSettings{base::seconds{Length}, base::seconds{1}});
     }
 
-    void add(Choices &choices, std::string label, LeaseWorld next) const
+    void add(Choices &choices, std::string label, LeaseModel next) const
     {
         for (const LeaseRouter &it : next.m_routers) {
-            next.m_greatestFence = std::max(next.m_greatestFence, it.lease.fence(it.now).value_or(base::FenceToken{}).value);
+            next.m_highestFence = std::max(next.m_highestFence, it.lease.fence(it.now).value_or(base::FenceToken{}).value);
         }
         choices.push_back({std::move(label), std::move(next)});
     }
@@ -151,9 +153,9 @@
     {
         const std::string name = "router " + std::to_string(index);
         const LeaseRouter &router = m_routers[index];
-        if (m_left.restarts > 0) {
-            LeaseWorld next = *this;
-            --next.m_left.restarts;
+        if (m_remaining.restarts > 0) {
+            LeaseModel next = *this;
+            --next.m_remaining.restarts;
             if (router.call && router.call->action.kind == LeaseActionKind::Write && !router.call->written) {
                 next.m_delayed.push_back(router.call->action);
             }
@@ -161,14 +163,14 @@
             add(choices, name + " restarts", std::move(next));
         }
         if (!router.call) {
-            LeaseWorld next = *this;
+            LeaseModel next = *this;
             const LeaseAction action = next.m_routers[index].lease.poll(router.now);
             if (action.kind != LeaseActionKind::None) {
                 next.m_routers[index].call = PendingCall{action, std::nullopt};
                 add(choices, name + (action.kind == LeaseActionKind::Read ? " reads" : " writes"), std::move(next));
             }
         } else if (router.call->written) {
-            LeaseWorld next = *this;
+            LeaseModel next = *this;
             LeaseRouter &target = next.m_routers[index];
             const auto written = *target.call->written;
             target.call.reset();
@@ -183,7 +185,7 @@
     {
         const std::string name = "call of router " + std::to_string(index);
         const bool isRead = m_routers[index].call->action.kind == LeaseActionKind::Read;
-        LeaseWorld next = *this;
+        LeaseModel next = *this;
         PendingCall &call = *next.m_routers[index].call;
         if (isRead) {
             next.m_routers[index].call.reset();
@@ -193,20 +195,20 @@
             call.written = next.write(call.action);
         }
         add(choices, name + " takes effect", std::move(next));
-        if (m_left.faults == 0) {
+        if (m_remaining.faults == 0) {
             return;
         }
         if (isRead) {
-            LeaseWorld failed = *this;
-            --failed.m_left.faults;
+            LeaseModel failed = *this;
+            --failed.m_remaining.faults;
             failed.m_routers[index].call.reset();
             failed.m_routers[index].lease.onRead(m_routers[index].now, base::fail(ErrorKind::Unavailable, ""));
             add(choices, name + ": unreachable", std::move(failed));
             return;
         }
         for (const StoreFault fault : {StoreFault::Down, StoreFault::AnswerLost, StoreFault::RequestLost}) {
-            LeaseWorld failed = *this;
-            --failed.m_left.faults;
+            LeaseModel failed = *this;
+            --failed.m_remaining.faults;
             PendingCall &failedCall = *failed.m_routers[index].call;
             if (fault == StoreFault::AnswerLost) {
                 (void)failed.write(failedCall.action);
@@ -218,11 +220,11 @@
         }
     }
 
-    LeaseLimits m_left;
+    LeaseLimits m_remaining;
     std::vector<LeaseRouter> m_routers;
     store::Object m_object;
     std::vector<LeaseAction> m_delayed;
-    std::uint64_t m_greatestFence = 0;
+    std::uint64_t m_highestFence = 0;
 };
 
 enum class LeaseFault {
@@ -240,22 +242,22 @@
 // after a break, o the other one.
 struct LeaseRow
 {
-    LeaseStep step;
+    LeasePhase phase;
     std::string_view holders;
 };
 constexpr LeaseRow LeaseRows[] = {
-    {LeaseStep::Observing, "hooooor"}, // the lease is free, and the other is 200 ms behind
-    {LeaseStep::Acquiring, "hoohror"}, //
-    {LeaseStep::Settling, "hrorror"}, // our write took effect, so the other has to wait
-    {LeaseStep::Holding, "hhohhor"}, // after a restart both observe; ours began earlier
-    {LeaseStep::Renewing, "hhohhoo"}, // after a restart the other has observed for longer
+    {LeasePhase::Observing, "hooooor"}, // the lease is free, and the other is 200 ms behind
+    {LeasePhase::Acquiring, "hoohror"}, //
+    {LeasePhase::Verifying, "hrorror"}, // our write took effect, so the other has to wait
+    {LeasePhase::Holding, "hhohhor"}, // after a restart both observe; ours began earlier
+    {LeasePhase::Renewing, "hhohhoo"}, // after a restart the other has observed for longer
 };
-static_assert(std::size(LeaseRows) == LeaseStepCount, "a step has no row");
+static_assert(std::size(LeaseRows) == LeasePhaseCount, "a step has no row");
 
 // A router with a lease and its own faulty way to the platform.
-struct LeaseActor
+struct LeaseClient
 {
-    explicit LeaseActor(std::string_view name, store::ObjectStore &platform)
+    explicit LeaseClient(std::string_view name, store::ObjectStore &platform)
         : router(name)
         , store(platform)
         , lease(router, base::Incarnation{1}, LeaseSettings{})
@@ -263,7 +265,7 @@
     }
 
     // Runs one action; false if there is none.
-    bool act(base::TimePoint now, const LeaseAction &action)
+    bool perform(base::TimePoint now, const LeaseAction &action)
     {
         if (action.kind == LeaseActionKind::Read) {
             lease.onRead(now, store.read("lease"));
@@ -284,8 +286,8 @@
 {
     CPPUNIT_TEST_SUITE(LeaseTest);
     CPPUNIT_TEST(testAllInterleavings);
-    CPPUNIT_TEST(testEveryFaultAtEveryStep);
-    CPPUNIT_TEST(testRejectsForeignBytes);
+    CPPUNIT_TEST(testEveryFaultInEveryPhase);
+    CPPUNIT_TEST(testRejectsMalformedLease);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -298,7 +300,7 @@
         };
         constexpr std::size_t MaxDepth = 100;
         for (const LeaseLimits &it : Cases) {
-            const auto result = carawaylatch::testing::explore(LeaseWorld(it), MaxDepth);
+            const auto result = carawaylatch::testing::explore(LeaseModel(it), MaxDepth);
             std::cout << "clock rates " << it.rates[0] << ':' << it.rates[1] << ", " << it.ticks << " ticks, " << it.faults << " faults, " << it.restarts
                       << " restarts: " << result.states << " states, depth " << result.depth << (result.isComplete ? ", complete" : ", cut off") << '\n';
             CPPUNIT_ASSERT_EQUAL(std::string(), result.violation);
@@ -306,18 +308,18 @@
         }
     }
 
-    void testEveryFaultAtEveryStep()
+    void testEveryFaultInEveryPhase()
     {
         for (const LeaseRow &row : LeaseRows) {
             std::string holders;
             for (std::size_t fault = 0; fault < LeaseFaultCount; ++fault) {
-                holders += holderAfter(row.step, static_cast<LeaseFault>(fault));
+                holders += holderAfter(row.phase, static_cast<LeaseFault>(fault));
             }
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("step " + std::to_string(static_cast<int>(row.step)), std::string(row.holders), holders);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("step " + std::to_string(static_cast<int>(row.phase)), std::string(row.holders), holders);
         }
     }
 
-    void testRejectsForeignBytes()
+    void testRejectsMalformedLease()
     {
         for (const char *bytes : {"", "r", "r 1", "r 1 x", " 1 1", "r 1 -1", "r 99999999999999999999 1"}) {
             CPPUNIT_ASSERT_MESSAGE(bytes, !decodeLease(bytes));
@@ -327,29 +329,29 @@
     }
 
 private:
-    static char holderAfter(LeaseStep step, LeaseFault fault)
+    static char holderAfter(LeasePhase phase, LeaseFault fault)
     {
         store::MemoryStore platform;
-        LeaseActor one("one", platform);
-        LeaseActor two("two", platform);
-        if (step == LeaseStep::Settling) {
+        LeaseClient one("one", platform);
+        LeaseClient two("two", platform);
+        if (phase == LeasePhase::Verifying) {
             one.store.inject(StoreFault::AnswerLost, 1, 1);
         }
         const base::TimePoint start{base::hours{1}};
         std::optional<base::TimePoint> faultAt;
-        std::optional<base::TimePoint> brokenAt;
+        std::optional<base::TimePoint> lostAt;
         for (base::TimePoint now = start; now < start + base::minutes{2}; now += base::milliseconds{100}) {
             const bool isPaused = faultAt && fault == LeaseFault::Pause && now < *faultAt + base::seconds{40};
             for (int i = 0; i < 3 && !isPaused; ++i) {
                 const LeaseAction action = one.lease.poll(now);
-                if (!faultAt && one.lease.state().step == step) {
+                if (!faultAt && one.lease.state().phase == phase) {
                     faultAt = now;
                     inject(one, fault);
                     if (fault == LeaseFault::Pause || fault == LeaseFault::Restart) {
                         break; // the call that poll() asked for never happens
                     }
                 }
-                if (!one.act(now, action)) {
+                if (!one.perform(now, action)) {
                     break;
                 }
             }
@@ -358,19 +360,19 @@
                 one.store.inject(StoreFault::None);
             }
             if (now >= start + base::milliseconds{200}) {
-                (void)two.act(now, two.lease.poll(now));
+                (void)two.perform(now, two.lease.poll(now));
             }
-            CPPUNIT_ASSERT(!one.lease.mayAct(now) || !two.lease.mayAct(now));
-            brokenAt = faultAt && !one.lease.mayAct(now) ? now : brokenAt;
+            CPPUNIT_ASSERT(!one.lease.isHeld(now) || !two.lease.isHeld(now));
+            lostAt = faultAt && !one.lease.isHeld(now) ? now : lostAt;
         }
         const base::TimePoint end = start + base::minutes{2};
-        if (two.lease.mayAct(end)) {
+        if (two.lease.isHeld(end)) {
             return 'o';
         }
-        return !one.lease.mayAct(end) ? '-' : (brokenAt ? 'r' : 'h');
+        return !one.lease.isHeld(end) ? '-' : (lostAt ? 'r' : 'h');
     }
 
-    static void inject(LeaseActor &actor, LeaseFault fault)
+    static void inject(LeaseClient &actor, LeaseFault fault)
     {
         switch (fault) {
         case LeaseFault::ShortOutage:
--- a/carawaylatch/fleet/weightscontroller.cpp
+++ b/carawaylatch/fleet/weightscontroller.cpp
@@ -5,7 +5,7 @@
 // a successor with no memory does the same as its predecessor would have done.
 //
 // A report counts for an order only if it was sampled after the order was given
-// (asked for at takenAt, `age` old by then); before that the engine counts as
+// (asked for at requestedAt, `age` old by then); before that the engine counts as
 // away. If the effect is not seen within loadTimeout the order is given again.
 #include "carawaylatch/fleet/weightscontroller.h"
 
@@ -24,7 +24,7 @@
     return report.weightsVersion == pool.weightsVersion && report.adapter == pool.adapter;
 }
 
-std::size_t allowedAway(double share, std::size_t members)
+std::size_t maxUnavailable(double share, std::size_t members)
 {
     return std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(share * static_cast<double>(members))));
 }
@@ -59,23 +59,23 @@
 {
 }
 
-std::vector<PlannedOrder> WeightsController::plan(base::TimePoint now, const Tenure &tenure, std::span<const config::Pool> pools,
+std::vector<PlannedOrder> WeightsController::plan(base::TimePoint now, const LeaseTerm &term, std::span<const config::Pool> pools,
                                                   std::span<const ObservedEngine> engines)
 {
     std::vector<PlannedOrder> orders;
-    m_heldBack = 0;
+    m_blockedEngines = 0;
     for (const config::Pool &pool : pools) {
         if (pool.kind == config::UpstreamKind::Engine && pool.weightsVersion.value != 0) {
-            planPool(now, tenure, pool, engines, orders);
+            planPool(now, term, pool, engines, orders);
         }
     }
     std::stable_partition(orders.begin(), orders.end(), [this](const PlannedOrder &it) {
-        return m_engines.at(it.upstream).isEmpty;
+        return m_engines.at(it.upstream).hasNoWeights;
     });
     return orders;
 }
 
-void WeightsController::planPool(base::TimePoint now, const Tenure &tenure, const config::Pool &pool, std::span<const ObservedEngine> engines,
+void WeightsController::planPool(base::TimePoint now, const LeaseTerm &term, const config::Pool &pool, std::span<const ObservedEngine> engines,
                                  std::vector<PlannedOrder> &orders)
 {
     struct Candidate
@@ -83,10 +83,10 @@
         const config::PoolMember *member;
         const ObservedEngine *observed;
     };
-    std::vector<Candidate> wanted;
+    std::vector<Candidate> outdated;
     std::size_t members = 0;
-    std::size_t away = 0;
-    std::size_t lost = 0; // away, and not by a change
+    std::size_t unavailable = 0;
+    std::size_t unplanned = 0; // away, and not by a change
     for (const config::PoolMember &member : pool.members) {
         if (member.domain != m_domain) {
             continue;
@@ -94,65 +94,65 @@
         ++members;
         Engine &engine = m_engines[member.id];
         const ObservedEngine *observed = find(engines, member.id);
-        engine.step = observed == nullptr ? ChangeStep::Unreached : classify(now, pool, *observed, engine);
-        const bool isServing = engine.step == ChangeStep::Settled || (engine.step == ChangeStep::Wanted && !engine.isEmpty);
-        away += isServing ? 0 : 1;
-        lost += engine.step == ChangeStep::Unreached || engine.step == ChangeStep::Leaving ? 1 : 0;
-        if (engine.step == ChangeStep::Wanted) {
-            wanted.push_back(Candidate{&member, observed});
+        engine.state = observed == nullptr ? EngineChangeState::Unreachable : classify(now, pool, *observed, engine);
+        const bool isServing = engine.state == EngineChangeState::UpToDate || (engine.state == EngineChangeState::Outdated && !engine.hasNoWeights);
+        unavailable += isServing ? 0 : 1;
+        unplanned += engine.state == EngineChangeState::Unreachable || engine.state == EngineChangeState::Leaving ? 1 : 0;
+        if (engine.state == EngineChangeState::Outdated) {
+            outdated.push_back(Candidate{&member, observed});
         }
     }
-    const base::TimePoint trustedFrom = pool.fencing == config::OrderFencing::Checked ? base::TimePoint::min() : tenure.since + m_settings.longestInFlight;
-    for (const Candidate &it : wanted) {
-        if (it.observed->takenAt - it.observed->report->age < trustedFrom) {
+    const base::TimePoint trustedFrom = pool.fencing == config::OrderFencing::Checked ? base::TimePoint::min() : term.since + m_settings.maxOrderDelay;
+    for (const Candidate &it : outdated) {
+        if (it.observed->requestedAt - it.observed->report->age < trustedFrom) {
             continue;
         }
-        const bool isEmpty = m_engines[it.member->id].isEmpty;
-        const std::size_t allowed = allowedAway(m_settings.maxAwayShare, members);
-        if (!isEmpty && away >= allowed) {
-            m_heldBack += lost >= allowed ? 1 : 0;
+        const bool hasNoWeights = m_engines[it.member->id].hasNoWeights;
+        const std::size_t allowed = maxUnavailable(m_settings.maxUnavailableShare, members);
+        if (!hasNoWeights && unavailable >= allowed) {
+            m_blockedEngines += unplanned >= allowed ? 1 : 0;
             continue;
         }
-        away += isEmpty ? 0 : 1;
-        orders.push_back(makeOrder(pool, *it.member, *it.observed->report, tenure.fence));
+        unavailable += hasNoWeights ? 0 : 1;
+        orders.push_back(makeOrder(pool, *it.member, *it.observed->report, term.fence));
     }
 }
 
-ChangeStep WeightsController::classify(base::TimePoint now, const config::Pool &pool, const ObservedEngine &observed, Engine &engine) const
+EngineChangeState WeightsController::classify(base::TimePoint now, const config::Pool &pool, const ObservedEngine &observed, Engine &engine) const
 {
-    if (!observed.report || now - observed.takenAt > m_settings.staleAfter) {
-        return ChangeStep::Unreached;
+    if (!observed.report || now - observed.requestedAt > m_settings.maxReportAge) {
+        return EngineChangeState::Unreachable;
     }
     const EngineReport &report = *observed.report;
-    engine.isEmpty = report.weightsVersion.value == 0;
+    engine.hasNoWeights = report.weightsVersion.value == 0;
     if (report.state == EngineState::Leaving) {
-        return ChangeStep::Leaving;
+        return EngineChangeState::Leaving;
     }
     if (report.state == EngineState::Loading) {
-        return ChangeStep::Loading;
+        return EngineChangeState::Loading;
     }
-    const bool isAfterOrder = !engine.orderedAt || observed.takenAt - report.age > *engine.orderedAt;
+    const bool isAfterOrder = !engine.orderedAt || observed.requestedAt - report.age > *engine.orderedAt;
     if (matches(pool, report) && isAfterOrder) {
         engine.orderedAt.reset();
-        return ChangeStep::Settled;
+        return EngineChangeState::UpToDate;
     }
     if (engine.orderedAt && now - *engine.orderedAt < m_settings.loadTimeout) {
-        return ChangeStep::Ordered;
+        return EngineChangeState::Ordered;
     }
-    return ChangeStep::Wanted;
+    return EngineChangeState::Outdated;
 }
 
-void WeightsController::onOrdered(base::TimePoint now, const base::UpstreamId &upstream)
+void WeightsController::recordOrder(base::TimePoint now, const base::UpstreamId &upstream)
 {
     Engine &engine = m_engines[upstream];
-    engine.step = ChangeStep::Ordered;
+    engine.state = EngineChangeState::Ordered;
     engine.orderedAt = now;
 }
 
-void WeightsController::onNotOrdered(const base::UpstreamId &upstream)
+void WeightsController::clearOrder(const base::UpstreamId &upstream)
 {
     Engine &engine = m_engines[upstream];
-    engine.step = ChangeStep::Wanted;
+    engine.state = EngineChangeState::Outdated;
     engine.orderedAt.reset();
 }
 
@@ -161,15 +161,15 @@
     m_engines.clear();
 }
 
-std::size_t WeightsController::heldBack() const
+std::size_t WeightsController::blockedEngines() const
 {
-    return m_heldBack;
+    return m_blockedEngines;
 }
 
-ChangeStep WeightsController::step(const base::UpstreamId &upstream) const
+EngineChangeState WeightsController::changeState(const base::UpstreamId &upstream) const
 {
     const auto it = m_engines.find(upstream);
-    return it == m_engines.end() ? ChangeStep::Unreached : it->second.step;
+    return it == m_engines.end() ? EngineChangeState::Unreachable : it->second.state;
 }
 
 } // namespace carawaylatch::fleet
--- a/carawaylatch/fleet/weightscontroller.h
+++ b/carawaylatch/fleet/weightscontroller.h
@@ -5,7 +5,7 @@
 //
 //   - orders are absolute, so a repeat is harmless;
 //   - an engine that is changing, not reached or leaving counts as away; never
-//     more than maxAwayShare of a pool's engines of the domain are away by the
+//     more than maxUnavailableShare of a pool's engines of the domain are away by the
 //     controller's doing (at least one, or nothing could ever change);
 //   - each load, of weights or of an adapter, needs a slot (loadslots.h);
 //   - engines that check fencing may be ordered at once; for those that do not, a
@@ -29,10 +29,10 @@
 
 struct WeightsSettings
 {
-    double maxAwayShare = 0.34; // of a pool's engines in the domain
-    base::Duration longestInFlight = base::seconds{10}; // an order lands within it or never
+    double maxUnavailableShare = 0.34; // of a pool's engines in the domain
+    base::Duration maxOrderDelay = base::seconds{10}; // an order lands within it or never
     base::Duration loadTimeout = base::seconds{60}; // an order without effect is repeated after it
-    base::Duration staleAfter = base::seconds{15}; // older reports count as none
+    base::Duration maxReportAge = base::seconds{15}; // older reports count as none
 };
 
 // An engine's last report as the controller knows it.
@@ -40,7 +40,7 @@
 {
     base::UpstreamId id;
     std::optional<EngineReport> report; // nothing: not reached
-    base::TimePoint takenAt; // when the report was asked for
+    base::TimePoint requestedAt; // when the report was asked for
 };
 
 struct PlannedOrder
@@ -51,18 +51,18 @@
     std::uint32_t slots = 0; // loads need one of so many slots; zero: needs none
 };
 
-enum class ChangeStep {
-    Unreached, // no fresh report
-    Settled, // reports what the pool asks for
-    Wanted, // differs and is not ordered
+enum class EngineChangeState {
+    Unreachable, // no fresh report
+    UpToDate, // reports what the pool asks for
+    Outdated, // differs and is not ordered
     Ordered, // ordered; its effect not yet seen
     Loading, // reports that it loads
     Leaving, // gets no orders; stays last
 };
-constexpr std::size_t ChangeStepCount = static_cast<std::size_t>(ChangeStep::Leaving) + 1;
+constexpr std::size_t EngineChangeStateCount = static_cast<std::size_t>(EngineChangeState::Leaving) + 1;
 
 // How the holder came to the lease.
-struct Tenure
+struct LeaseTerm
 {
     base::FenceToken fence;
     base::TimePoint since;
@@ -74,33 +74,33 @@
     WeightsController(base::FailureDomain domain, WeightsSettings settings);
 
     // Takes reports in and returns the orders to give now, most needed first.
-    [[nodiscard]] std::vector<PlannedOrder> plan(base::TimePoint now, const Tenure &tenure, std::span<const config::Pool> pools,
+    [[nodiscard]] std::vector<PlannedOrder> plan(base::TimePoint now, const LeaseTerm &term, std::span<const config::Pool> pools,
                                                  std::span<const ObservedEngine> engines);
     // Call before the order is sent; the engine is away until a report says otherwise.
-    void onOrdered(base::TimePoint now, const base::UpstreamId &upstream);
+    void recordOrder(base::TimePoint now, const base::UpstreamId &upstream);
     // The order certainly was not obeyed.
-    void onNotOrdered(const base::UpstreamId &upstream);
+    void clearOrder(const base::UpstreamId &upstream);
     // Forgets all: the lease was lost.
     void reset();
 
     // Engines that can't change because too many are unreached or leaving.
-    [[nodiscard]] std::size_t heldBack() const;
-    [[nodiscard]] ChangeStep step(const base::UpstreamId &upstream) const;
+    [[nodiscard]] std::size_t blockedEngines() const;
+    [[nodiscard]] EngineChangeState changeState(const base::UpstreamId &upstream) const;
 
 private:
     struct Engine
     {
-        ChangeStep step = ChangeStep::Unreached;
+        EngineChangeState state = EngineChangeState::Unreachable;
         std::optional<base::TimePoint> orderedAt; // of an order whose effect was not yet seen
-        bool isEmpty = false; // holds no weights, so a load takes no capacity away
+        bool hasNoWeights = false; // holds no weights, so a load takes no capacity away
     };
-    [[nodiscard]] ChangeStep classify(base::TimePoint now, const config::Pool &pool, const ObservedEngine &observed, Engine &engine) const;
-    void planPool(base::TimePoint now, const Tenure &tenure, const config::Pool &pool, std::span<const ObservedEngine> engines,
+    [[nodiscard]] EngineChangeState classify(base::TimePoint now, const config::Pool &pool, const ObservedEngine &observed, Engine &engine) const;
+    void planPool(base::TimePoint now, const LeaseTerm &term, const config::Pool &pool, std::span<const ObservedEngine> engines,
                   std::vector<PlannedOrder> &orders);
 
     base::FailureDomain m_domain;
     WeightsSettings m_settings;
-    std::size_t m_heldBack = 0;
+    std::size_t m_blockedEngines = 0;
     std::map<base::UpstreamId, Engine> m_engines; // members of the domain's pools
 };
 
--- a/carawaylatch/gateway/controlplane.cpp
+++ b/carawaylatch/gateway/controlplane.cpp
@@ -21,12 +21,12 @@
 namespace
 {
 
-constexpr base::Duration DutyInterval = base::milliseconds{50}; // looks at lease and rollout; no call by itself
+constexpr base::Duration ControlInterval = base::milliseconds{50}; // looks at lease and rollout; no call by itself
 constexpr base::Duration StatusInterval = base::milliseconds{120}; // between questions to an engine that changes
 constexpr base::Duration CacheStoreInterval = base::seconds{1}; // each probe is priced; a dead store costs callers far more
-constexpr base::Duration DutiesPause = base::milliseconds{200}; // engines that change are named in groups; a drain takes three times as long
-constexpr base::Duration PartialListLife = base::seconds{10}; // half of the history that a store keeps
-constexpr base::Duration OutOfReachLife = base::milliseconds{2500}; // after the store's return, entries may still be missing
+constexpr base::Duration CoordinationPause = base::milliseconds{200}; // engines that change are named in groups; a drain takes three times as long
+constexpr base::Duration MaxPartialListAge = base::seconds{10}; // half of the history that a store keeps
+constexpr base::Duration RecoveryWindow = base::milliseconds{2500}; // after the store's return, entries may still be missing
 
 // A coroutine that ends by an exception is a fault of this program: end the process, it is started again.
 void rethrow(const std::exception_ptr &error)
@@ -57,10 +57,10 @@
 
 void ControlPlane::start()
 {
-    for (const ObjectKind kind : {ObjectKind::Tables, ObjectKind::Upstreams, ObjectKind::Weights, ObjectKind::Duties}) {
+    for (const ObjectKind kind : {ObjectKind::Tables, ObjectKind::Upstreams, ObjectKind::Weights, ObjectKind::Coordination}) {
         boost::asio::co_spawn(m_loop, watchKind(kind), rethrow);
     }
-    boost::asio::co_spawn(m_loop, runDuties(), rethrow);
+    boost::asio::co_spawn(m_loop, runControlLoop(), rethrow);
     boost::asio::co_spawn(m_loop, watchCacheStores(), rethrow);
 }
 
@@ -84,14 +84,14 @@
 
 void ControlPlane::publishIfChanged()
 {
-    if (m_state.takeChanged()) {
+    if (m_state.consumeChanged()) {
         m_publish(m_state.view());
     }
 }
 
-Awaitable<base::Result<std::uint64_t>> ControlPlane::listAll(ObjectClient &client, ObjectKind kind, bool wasOutOfReach, PartialList &partial)
+Awaitable<base::Result<std::uint64_t>> ControlPlane::listAll(ObjectClient &client, ObjectKind kind, bool wasStoreUnavailable, PartialList &partial)
 {
-    if (m_clock.now() - partial.begunAt > PartialListLife) {
+    if (m_clock.now() - partial.startedAt > MaxPartialListAge) {
         partial = PartialList{{}, {}, 0, m_clock.now()};
     }
     bool hasMore = true;
@@ -108,7 +108,7 @@
         }
     }
     const PartialList whole = std::exchange(partial, {});
-    m_state.onList(kind, whole.objects, wasOutOfReach, m_clock.now());
+    m_state.onList(kind, whole.objects, wasStoreUnavailable, m_clock.now());
     co_return whole.asOf;
 }
 
@@ -134,8 +134,8 @@
     switch (kind) {
     case ObjectKind::Upstreams:
         return m_settings.upstreamsPause;
-    case ObjectKind::Duties:
-        return DutiesPause;
+    case ObjectKind::Coordination:
+        return CoordinationPause;
     case ObjectKind::Tables:
     case ObjectKind::Weights:
     case ObjectKind::Leases:
@@ -150,26 +150,26 @@
     m_watches[kind] = client.get();
     std::uint64_t since = 0; // zero: list first
     PartialList partial;
-    base::Duration pauseNext = m_settings.retryPause;
-    std::optional<base::TimePoint> lostAt; // first of the calls that failed in a row
-    base::TimePoint backAt{}; // first success after calls that failed
+    base::Duration nextPause = m_settings.retryPause;
+    std::optional<base::TimePoint> unavailableSince; // first of the calls that failed in a row
+    base::TimePoint recoveredAt{}; // first success after calls that failed
     while (true) {
         const base::Duration sentAt = TableAge::bootTime();
         const base::TimePoint callAt = m_clock.now();
-        const bool wasOutOfReach = lostAt || callAt - backAt < OutOfReachLife;
+        const bool wasStoreUnavailable = unavailableSince || callAt - recoveredAt < RecoveryWindow;
         base::Result<std::uint64_t> result = std::uint64_t{0};
         bool hasChanges = false;
         if (since == 0) {
             const std::size_t read = partial.objects.size();
-            result = co_await listAll(*client, kind, wasOutOfReach && backAt != base::TimePoint{}, partial);
+            result = co_await listAll(*client, kind, wasStoreUnavailable && recoveredAt != base::TimePoint{}, partial);
             if (!result && partial.objects.size() > read) {
-                pauseNext = m_settings.retryPause; // the store serves, if not each call
+                nextPause = m_settings.retryPause; // the store serves, if not each call
             }
         } else {
             auto changes = co_await client->watch(kind, since, watchWait(kind));
             if (changes) {
                 for (const StoredObject &object : changes.value().objects) {
-                    m_state.onChange(kind, object, wasOutOfReach, m_clock.now());
+                    m_state.onChange(kind, object, wasStoreUnavailable, m_clock.now());
                 }
                 result = std::max(changes.value().asOf, since);
                 hasChanges = !changes.value().objects.empty();
@@ -180,18 +180,18 @@
         const base::TimePoint now = m_clock.now();
         if (result) {
             since = result.value();
-            pauseNext = m_settings.retryPause;
-            if (lostAt) {
+            nextPause = m_settings.retryPause;
+            if (unavailableSince) {
                 m_log.write(base::LogEvent::StoreRegained,
-                            {{"kind", std::string(objectKindName(kind))}, {"lost_ms", std::to_string(base::toMilliseconds(now - *lostAt))}});
-                lostAt.reset();
-                backAt = now;
+                            {{"kind", std::string(objectKindName(kind))}, {"lost_ms", std::to_string(base::toMilliseconds(now - *unavailableSince))}});
+                unavailableSince.reset();
+                recoveredAt = now;
                 if (kind == ObjectKind::Tables) {
                     interruptWatches();
                 }
             }
-            if (backAt == base::TimePoint{}) {
-                backAt = now - OutOfReachLife;
+            if (recoveredAt == base::TimePoint{}) {
+                recoveredAt = now - RecoveryWindow;
             }
             if (kind == ObjectKind::Tables) {
                 m_tableAge.confirm(sentAt);
@@ -207,15 +207,15 @@
             since = 0;
             continue;
         }
-        if (!lostAt) {
-            lostAt = now;
+        if (!unavailableSince) {
+            unavailableSince = now;
             m_log.write(base::LogEvent::StoreLost, {{"kind", std::string(objectKindName(kind))},
                                                     {"problem", result.error().message},
                                                     {"age_ms", std::to_string(base::toMilliseconds(m_tableAge.age()))}});
         }
         // Spread, so that routers don't all come back at the same moment.
-        const base::Duration wait = base::fromSeconds(base::toSeconds(pauseNext) * (0.5 + m_random.unit()));
-        pauseNext = std::min<base::Duration>(pauseNext * 2, m_settings.maxRetryPause);
+        const base::Duration wait = base::fromSeconds(base::toSeconds(nextPause) * (0.5 + m_random.unit()));
+        nextPause = std::min<base::Duration>(nextPause * 2, m_settings.maxRetryPause);
         co_await pause(wait);
     }
 }
@@ -228,34 +228,34 @@
         const auto stores = m_state.cacheStores();
         for (const proxy::CacheStore &store : stores) {
             const auto probed = co_await m_engines.probeCacheStore(store.endpoint);
-            m_state.onCacheStore(store.endpoint, probed.has_value());
+            m_state.onCacheStoreProbed(store.endpoint, probed.has_value());
         }
         publishIfChanged();
     }
 }
 
-Awaitable<void> ControlPlane::runDuties()
+Awaitable<void> ControlPlane::runControlLoop()
 {
     const auto client = m_clients.makeClient();
     while (true) {
-        co_await pause(DutyInterval);
+        co_await pause(ControlInterval);
         m_state.onTick(m_clock.now());
         publishIfChanged();
-        const bool isOwnObjectSeen = m_state.duty(ownName()) != nullptr;
-        if (std::exchange(m_isOwnObjectSeen, isOwnObjectSeen) && !isOwnObjectSeen) {
+        const bool isRouterObjectStored = m_state.coordinationObject(routerObjectName()) != nullptr;
+        if (std::exchange(m_wasRouterObjectStored, isRouterObjectStored) && !isRouterObjectStored) {
             m_isRegistered = false; // another router took this one for gone
         }
         if (!m_isRegistered) {
             co_await registerRouter(*client);
         }
-        co_await removeGoneRouters(*client);
+        co_await removeUnreachableRouters(*client);
         if (m_isStopping) {
             co_await releaseLease(*client);
             co_return;
         }
         co_await stepLease(*client);
-        co_await noteHolding(*client);
-        if (m_isHolding && m_lease.mayAct(m_clock.now())) {
+        co_await updateHolderState(*client);
+        if (m_isLeaseHolder && m_lease.isHeld(m_clock.now())) {
             co_await stepRollout(*client);
         }
     }
@@ -265,35 +265,35 @@
 // each where to send load reports.
 Awaitable<void> ControlPlane::registerRouter(ObjectClient &client)
 {
-    const std::string name = ownName();
+    const std::string name = routerObjectName();
     const std::string text = encodeRouter(m_settings.peers);
-    const auto result = co_await client.write(ObjectKind::Duties, name, text, 0);
+    const auto result = co_await client.write(ObjectKind::Coordination, name, text, 0);
     m_isRegistered = result.has_value() || result.error().kind == base::ErrorKind::Conflict;
     if (!m_isRegistered) {
         co_await pause(m_settings.maxRetryPause);
     }
 }
 
-std::string ControlPlane::ownName() const
+std::string ControlPlane::routerObjectName() const
 {
     return std::string(RouterPrefix) + m_settings.router.value();
 }
 
 void ControlPlane::onRouterGone(const base::Endpoint &peers)
 {
-    m_goneRouters.insert(peers);
+    m_unreachableRouters.insert(peers);
 }
 
 // One try for each time that a router is told to be gone; it is told again if that fails.
-Awaitable<void> ControlPlane::removeGoneRouters(ObjectClient &client)
+Awaitable<void> ControlPlane::removeUnreachableRouters(ObjectClient &client)
 {
-    for (const base::Endpoint &peers : std::exchange(m_goneRouters, {})) {
+    for (const base::Endpoint &peers : std::exchange(m_unreachableRouters, {})) {
         const StoredObject *object = m_state.routerAt(peers);
-        if (object == nullptr || object->name == ownName()) {
+        if (object == nullptr || object->name == routerObjectName()) {
             continue;
         }
         const std::string name = object->name;
-        const auto removed = co_await client.remove(ObjectKind::Duties, name, object->revision);
+        const auto removed = co_await client.remove(ObjectKind::Coordination, name, object->revision);
         m_log.write(base::LogEvent::RouterForgotten, {{"name", name}, {"problem", removed ? "" : removed.error().message}});
     }
 }
@@ -302,10 +302,10 @@
 {
     const fleet::LeaseAction action = m_lease.poll(m_clock.now());
     if (action.kind == fleet::LeaseActionKind::Read) {
-        const bool isObserving = m_lease.state().step == fleet::LeaseStep::Observing;
+        const bool isObserving = m_lease.state().phase == fleet::LeasePhase::Observing;
         // An outdated lease only makes an observer's conditional write fail.
-        const Freshness freshness = isObserving ? Freshness::MayBeStale : Freshness::Newest;
-        auto result = co_await client.read(ObjectKind::Leases, std::string(LeaseName), freshness);
+        const ReadConsistency consistency = isObserving ? ReadConsistency::AllowStale : ReadConsistency::Latest;
+        auto result = co_await client.read(ObjectKind::Leases, std::string(LeaseName), consistency);
         if (result) {
             m_lease.onRead(m_clock.now(), store::Object{result.value().name, result.value().text, store::Version{result.value().revision}});
         } else {
@@ -324,31 +324,31 @@
 }
 
 // A new holder first reads which engines its predecessor may have ordered.
-Awaitable<void> ControlPlane::noteHolding(ObjectClient &client)
+Awaitable<void> ControlPlane::updateHolderState(ObjectClient &client)
 {
-    const bool isHolding = m_lease.mayAct(m_clock.now());
-    if (isHolding == m_isHolding) {
+    const bool isLeaseHolder = m_lease.isHeld(m_clock.now());
+    if (isLeaseHolder == m_isLeaseHolder) {
         co_return;
     }
-    if (isHolding) {
-        auto changing = co_await client.read(ObjectKind::Duties, std::string(ChangingName), Freshness::Newest);
+    if (isLeaseHolder) {
+        auto changing = co_await client.read(ObjectKind::Coordination, std::string(ChangingName), ReadConsistency::Latest);
         if (!changing && changing.error().kind != base::ErrorKind::NotFound) {
             co_return; // tried again at the next look
         }
         const base::TimePoint now = m_clock.now();
-        if (!m_lease.mayAct(now)) {
+        if (!m_lease.isHeld(now)) {
             co_return;
         }
         if (changing) {
-            m_state.onChange(ObjectKind::Duties, changing.value(), false, now);
-            if (!m_lease.isContinued()) {
+            m_state.onChange(ObjectKind::Coordination, changing.value(), false, now);
+            if (!m_lease.hadNoOtherHolder()) {
                 m_rollout.takeOver(now, ChangingEngines::decode(changing.value().text));
             }
         }
-        m_isHolding = true;
+        m_isLeaseHolder = true;
         m_log.write(base::LogEvent::FleetLeaseGained, {{"domain", "fleet"}, {"fence", std::to_string(m_lease.fence(now)->value)}});
     } else {
-        m_isHolding = false;
+        m_isLeaseHolder = false;
         m_log.write(base::LogEvent::FleetLeaseLost, {{"domain", "fleet"}});
         m_rollout.reset();
     }
@@ -361,7 +361,7 @@
     if (!fence) {
         co_return;
     }
-    m_isHolding = false;
+    m_isLeaseHolder = false;
     m_log.write(base::LogEvent::FleetLeaseLost, {{"domain", "fleet"}});
     const auto released = co_await client.write(ObjectKind::Leases, std::string(LeaseName), fleet::encodeReleasedLease(), fence->value);
     if (!released) {
@@ -371,21 +371,21 @@
 
 // Engines that leave service are published at once; what has changed goes along, as
 // routers also learn it from answers and entries.
-Awaitable<bool> ControlPlane::publishChanging(ObjectClient &client)
+Awaitable<bool> ControlPlane::publishChangingEngines(ObjectClient &client)
 {
     const ChangingEngines changing = m_rollout.changing();
-    const StoredObject *seen = m_state.duty(ChangingName);
+    const StoredObject *seen = m_state.coordinationObject(ChangingName);
     const ChangingEngines published = ChangingEngines::decode(seen != nullptr ? seen->text : std::string_view{});
     const bool isIncluded = std::includes(published.engines.begin(), published.engines.end(), changing.engines.begin(), changing.engines.end());
     if (isIncluded && (!changing.engines.empty() || published.engines.empty())) {
         co_return true;
     }
     const std::string text = changing.encode();
-    const auto written = co_await client.write(ObjectKind::Duties, std::string(ChangingName), text, seen != nullptr ? seen->revision : 0);
+    const auto written = co_await client.write(ObjectKind::Coordination, std::string(ChangingName), text, seen != nullptr ? seen->revision : 0);
     if (!written) {
         co_return false; // tried again at the next look
     }
-    m_state.onChange(ObjectKind::Duties, StoredObject{std::string(ChangingName), text, written.value(), false}, false, m_clock.now());
+    m_state.onChange(ObjectKind::Coordination, StoredObject{std::string(ChangingName), text, written.value(), false}, false, m_clock.now());
     publishIfChanged();
     co_return true;
 }
@@ -397,12 +397,12 @@
     if (!fence) {
         co_return;
     }
-    const fleet::Tenure tenure{*fence, now - m_lease.heldFor(now)};
-    auto orders = m_rollout.plan(now, tenure, m_state);
-    const bool isPublished = co_await publishChanging(client);
+    const fleet::LeaseTerm term{*fence, now - m_lease.heldDuration(now)};
+    auto orders = m_rollout.plan(now, term, m_state);
+    const bool isPublished = co_await publishChangingEngines(client);
     for (WeightsOrder &order : orders) {
-        if (!isPublished || !m_lease.mayAct(m_clock.now())) {
-            m_rollout.onRefused(m_clock.now(), order.engine);
+        if (!isPublished || !m_lease.isHeld(m_clock.now())) {
+            m_rollout.onOrderRejected(m_clock.now(), order.engine);
             continue;
         }
         order.holder = m_settings.router.value();
@@ -411,52 +411,52 @@
                                                     {"weights_version", std::to_string(order.version.value)},
                                                     {"adapter", ""},
                                                     {"fence", std::to_string(order.fence.value)}});
-        boost::asio::co_spawn(m_loop, giveOrder(order), rethrow);
+        boost::asio::co_spawn(m_loop, sendOrder(order), rethrow);
     }
-    for (const WeightsOrder &order : m_rollout.watched()) {
-        if (!m_asked.contains(order.engine)) {
-            m_asked.insert(order.engine);
-            boost::asio::co_spawn(m_loop, askStatus(order), rethrow);
+    for (const WeightsOrder &order : m_rollout.pendingOrders()) {
+        if (!m_pendingStatusCalls.contains(order.engine)) {
+            m_pendingStatusCalls.insert(order.engine);
+            boost::asio::co_spawn(m_loop, pollStatus(order), rethrow);
         }
     }
 }
 
-Awaitable<void> ControlPlane::giveOrder(WeightsOrder order)
+Awaitable<void> ControlPlane::sendOrder(WeightsOrder order)
 {
     const auto result = co_await m_engines.order(order);
     std::string problem;
     if (!result) {
         problem = result.error().message;
-    } else if (result.value() == OrderAnswer::Busy) {
+    } else if (result.value() == OrderResponse::Busy) {
         problem = "busy with another order, or its count of orders differs";
     }
     if (!problem.empty()) {
         m_log.write(base::LogEvent::EngineOrderFailed, {{"engine", order.engine.value()}, {"problem", problem}});
     }
-    const bool isSurelyRefused = result ? result.value() == OrderAnswer::Busy : result.error().kind == base::ErrorKind::Unavailable;
-    if (isSurelyRefused) {
-        m_rollout.onRefused(m_clock.now(), order.engine);
+    const bool isRejected = result ? result.value() == OrderResponse::Busy : result.error().kind == base::ErrorKind::Unavailable;
+    if (isRejected) {
+        m_rollout.onOrderRejected(m_clock.now(), order.engine);
     }
 }
 
-Awaitable<void> ControlPlane::askStatus(WeightsOrder order)
+Awaitable<void> ControlPlane::pollStatus(WeightsOrder order)
 {
     co_await pause(StatusInterval);
-    const base::TimePoint askedAt = m_clock.now();
+    const base::TimePoint requestedAt = m_clock.now();
     const auto result = co_await m_engines.status(order.engine, order.endpoint, order.model);
     if (result) {
-        m_rollout.onStatus(askedAt, order.engine, result.value());
+        m_rollout.onStatus(requestedAt, order.engine, result.value());
         const auto upstream = m_state.upstreams().find(order.engine);
-        const bool isNews = upstream != m_state.upstreams().end() && upstream->second.models.contains(order.model)
-                            && upstream->second.models.at(order.model) < result.value().weights;
-        if (isNews) {
+        const bool hasChanged = upstream != m_state.upstreams().end() && upstream->second.models.contains(order.model)
+                                && upstream->second.models.at(order.model) < result.value().weights;
+        if (hasChanged) {
             m_log.write(base::LogEvent::EngineChanged,
                         {{"engine", order.engine.value()}, {"model", order.model.value()}, {"version", std::to_string(result.value().weights.value)}});
             m_state.onWeightsSeen(order.engine, result.value().weights);
             publishIfChanged();
         }
     }
-    m_asked.erase(order.engine);
+    m_pendingStatusCalls.erase(order.engine);
 }
 
 } // namespace carawaylatch::gateway
--- a/carawaylatch/gateway/controlplane.h
+++ b/carawaylatch/gateway/controlplane.h
@@ -68,23 +68,23 @@
         std::vector<StoredObject> objects;
         std::string after; // the last name read; empty: nothing yet
         std::uint64_t asOf = 0; // of the first page; changes since are seen by a watch from there
-        base::TimePoint begunAt;
+        base::TimePoint startedAt;
     };
     [[nodiscard]] Awaitable<void> watchKind(ObjectKind kind);
-    [[nodiscard]] Awaitable<base::Result<std::uint64_t>> listAll(ObjectClient &client, ObjectKind kind, bool wasOutOfReach, PartialList &partial);
-    [[nodiscard]] Awaitable<void> runDuties();
+    [[nodiscard]] Awaitable<base::Result<std::uint64_t>> listAll(ObjectClient &client, ObjectKind kind, bool wasStoreUnavailable, PartialList &partial);
+    [[nodiscard]] Awaitable<void> runControlLoop();
     [[nodiscard]] Awaitable<void> watchCacheStores();
     [[nodiscard]] Awaitable<void> stepLease(ObjectClient &client);
     [[nodiscard]] Awaitable<void> stepRollout(ObjectClient &client);
-    [[nodiscard]] Awaitable<bool> publishChanging(ObjectClient &client);
+    [[nodiscard]] Awaitable<bool> publishChangingEngines(ObjectClient &client);
     [[nodiscard]] Awaitable<void> registerRouter(ObjectClient &client);
-    [[nodiscard]] Awaitable<void> removeGoneRouters(ObjectClient &client);
-    [[nodiscard]] std::string ownName() const;
-    [[nodiscard]] Awaitable<void> giveOrder(WeightsOrder order);
-    [[nodiscard]] Awaitable<void> askStatus(WeightsOrder order);
+    [[nodiscard]] Awaitable<void> removeUnreachableRouters(ObjectClient &client);
+    [[nodiscard]] std::string routerObjectName() const;
+    [[nodiscard]] Awaitable<void> sendOrder(WeightsOrder order);
+    [[nodiscard]] Awaitable<void> pollStatus(WeightsOrder order);
     [[nodiscard]] Awaitable<void> pause(base::Duration duration);
     void publishIfChanged();
-    [[nodiscard]] Awaitable<void> noteHolding(ObjectClient &client);
+    [[nodiscard]] Awaitable<void> updateHolderState(ObjectClient &client);
     [[nodiscard]] Awaitable<void> releaseLease(ObjectClient &client);
     [[nodiscard]] base::Duration watchWait(ObjectKind kind) const;
     [[nodiscard]] base::Duration pauseAfterChanges(ObjectKind kind) const;
@@ -103,11 +103,11 @@
     Rollout m_rollout;
     base::Random m_random;
     std::map<ObjectKind, ObjectClient *> m_watches; // clients of the watches
-    std::set<base::UpstreamId> m_asked; // status calls under way
-    bool m_isHolding = false;
-    std::set<base::Endpoint> m_goneRouters; // whose objects are still to be removed
+    std::set<base::UpstreamId> m_pendingStatusCalls; // status calls under way
+    bool m_isLeaseHolder = false;
+    std::set<base::Endpoint> m_unreachableRouters; // whose objects are still to be removed
     bool m_isRegistered = false;
-    bool m_isOwnObjectSeen = false; // in what was read of the store last
+    bool m_wasRouterObjectStored = false; // in what was read of the store last
     bool m_isStopping = false;
 };
 
--- a/carawaylatch/gateway/engineclient.h
+++ b/carawaylatch/gateway/engineclient.h
@@ -14,7 +14,7 @@
 {
 
 // What becomes of the runs that are under way when new weights are loaded.
-enum class RunsUnderWay {
+enum class RunningRequestPolicy {
     Finish, // the load waits for them
     Continue, // they go on with the new weights
 };
@@ -27,7 +27,7 @@
     base::WeightsVersion version;
     std::string holder; // of the lease; one name for each VM
     base::FenceToken fence;
-    RunsUnderWay runs = RunsUnderWay::Finish;
+    RunningRequestPolicy runningRequests = RunningRequestPolicy::Finish;
     std::optional<std::uint64_t> expectedOrders; // orders that the engine has accepted so far; void if it differs
 };
 
@@ -40,9 +40,9 @@
     std::uint32_t waiting = 0;
 };
 
-enum class OrderAnswer {
+enum class OrderResponse {
     Accepted, // is carried out
-    AlreadyHolds,
+    AlreadyLoaded,
     Busy, // another order is in progress, or the number of accepted orders differs
 };
 
@@ -51,7 +51,7 @@
 public:
     virtual ~EngineClient() = default;
     // StaleState: the fence is too low. Unavailable: not sent. Any other error: it may be obeyed, also later.
-    [[nodiscard]] virtual Awaitable<base::Result<OrderAnswer>> order(WeightsOrder order) = 0;
+    [[nodiscard]] virtual Awaitable<base::Result<OrderResponse>> order(WeightsOrder order) = 0;
     // Tells whether a store of kept prompt state answers.
     [[nodiscard]] virtual Awaitable<base::Result<void>> probeCacheStore(base::Endpoint endpoint) = 0;
     [[nodiscard]] virtual Awaitable<base::Result<EngineStatus>> status(base::UpstreamId engine, base::Endpoint endpoint, base::ModelId model) = 0;
--- a/carawaylatch/gateway/fleetstate.cpp
+++ b/carawaylatch/gateway/fleetstate.cpp
@@ -19,7 +19,7 @@
         return "weights";
     case ObjectKind::Upstreams:
         return "upstreams";
-    case ObjectKind::Duties:
+    case ObjectKind::Coordination:
         return "duties";
     case ObjectKind::Leases:
         return "leases";
@@ -75,7 +75,7 @@
 {
 }
 
-void FleetState::onList(ObjectKind kind, const std::vector<StoredObject> &objects, bool wasOutOfReach, base::TimePoint now)
+void FleetState::onList(ObjectKind kind, const std::vector<StoredObject> &objects, bool wasStoreUnavailable, base::TimePoint now)
 {
     std::set<std::string, std::less<>> names;
     for (const StoredObject &object : objects) {
@@ -83,11 +83,11 @@
         if (kind == ObjectKind::Weights) {
             applyWeights(object, true, now);
         } else {
-            onChange(kind, object, wasOutOfReach, now);
+            onChange(kind, object, wasStoreUnavailable, now);
         }
     }
-    if (kind == ObjectKind::Duties) {
-        const auto erased = std::erase_if(m_duties, [&names](const auto &it) {
+    if (kind == ObjectKind::Coordination) {
+        const auto erased = std::erase_if(m_coordinationObjects, [&names](const auto &it) {
             return !names.contains(it.first);
         });
         m_isChanged = m_isChanged || erased > 0;
@@ -97,26 +97,26 @@
     }
     std::vector<base::UpstreamId> missing;
     for (const auto &[id, upstream] : m_upstreams) {
-        if (!names.contains(id.value()) && !m_lapsed.contains(id)) {
+        if (!names.contains(id.value()) && !m_expired.contains(id)) {
             missing.push_back(id);
         }
     }
     for (const auto &id : missing) {
-        loseUpstream(id, wasOutOfReach, now);
+        expireUpstream(id, wasStoreUnavailable, now);
     }
 }
 
-void FleetState::loseUpstream(const base::UpstreamId &id, bool wasOutOfReach, base::TimePoint now)
+void FleetState::expireUpstream(const base::UpstreamId &id, bool wasStoreUnavailable, base::TimePoint now)
 {
     const auto it = m_upstreams.find(id);
-    if (it != m_upstreams.end() && wasOutOfReach && it->second.phase == proxy::UpstreamPhase::Ready) {
-        m_lapsed.emplace(id, now + LapsedEntryLife);
+    if (it != m_upstreams.end() && wasStoreUnavailable && it->second.phase == proxy::UpstreamPhase::Ready) {
+        m_expired.emplace(id, now + ExpiredEntryGrace);
     } else {
         removeUpstream(id);
     }
 }
 
-void FleetState::onChange(ObjectKind kind, const StoredObject &object, bool wasOutOfReach, base::TimePoint now)
+void FleetState::onChange(ObjectKind kind, const StoredObject &object, bool wasStoreUnavailable, base::TimePoint now)
 {
     switch (kind) {
     case ObjectKind::Tables:
@@ -126,10 +126,10 @@
         applyWeights(object, false, now);
         break;
     case ObjectKind::Upstreams:
-        applyUpstream(object, wasOutOfReach, now);
+        applyUpstream(object, wasStoreUnavailable, now);
         break;
-    case ObjectKind::Duties:
-        applyDuty(object);
+    case ObjectKind::Coordination:
+        applyCoordination(object);
         break;
     case ObjectKind::Leases:
         break; // no part of the fleet
@@ -139,12 +139,12 @@
 void FleetState::applyTable(const StoredObject &object)
 {
     if (object.isRemoved) {
-        ignoreEntry(ObjectKind::Tables, object, "removed; the configuration before stays in force");
+        logIgnoredEntry(ObjectKind::Tables, object, "removed; the configuration before stays in force");
         return;
     }
     auto table = m_decoder.decodeTable(object.text);
     if (!table) {
-        ignoreEntry(ObjectKind::Tables, object, table.error().message);
+        logIgnoredEntry(ObjectKind::Tables, object, table.error().message);
         return;
     }
     if (m_table && table.value().version <= m_table->version) {
@@ -165,7 +165,7 @@
     }
     const auto named = m_decoder.decodeWeights(object.text);
     if (!named) {
-        ignoreEntry(ObjectKind::Weights, object, named.error().message);
+        logIgnoredEntry(ObjectKind::Weights, object, named.error().message);
         return;
     }
     const auto &[model, version] = named.value();
@@ -185,21 +185,21 @@
            && left.bornMs == right.bornMs && left.models == right.models;
 }
 
-void FleetState::applyUpstream(const StoredObject &object, bool wasOutOfReach, base::TimePoint now)
+void FleetState::applyUpstream(const StoredObject &object, bool wasStoreUnavailable, base::TimePoint now)
 {
     const base::UpstreamId id(object.name);
     if (object.isRemoved) {
         m_ignored.erase(object.name);
-        loseUpstream(id, wasOutOfReach, now);
+        expireUpstream(id, wasStoreUnavailable, now);
         return;
     }
     auto decoded = m_decoder.decodeUpstream(object.name, object.text);
     if (!decoded) {
-        ignoreEntry(ObjectKind::Upstreams, object, decoded.error().message);
+        logIgnoredEntry(ObjectKind::Upstreams, object, decoded.error().message);
         removeUpstream(id);
         return;
     }
-    m_lapsed.erase(id);
+    m_expired.erase(id);
     proxy::Upstream upstream = std::move(decoded.value());
     const auto it = m_upstreams.find(id);
     if (it != m_upstreams.end()) {
@@ -230,7 +230,7 @@
 
 void FleetState::removeUpstream(const base::UpstreamId &id)
 {
-    m_lapsed.erase(id);
+    m_expired.erase(id);
     const auto it = m_upstreams.find(id);
     if (it == m_upstreams.end()) {
         return;
@@ -250,19 +250,19 @@
                                                   {"endpoint", config::formatEndpoint(upstream.endpoint)}});
 }
 
-void FleetState::applyDuty(const StoredObject &object)
+void FleetState::applyCoordination(const StoredObject &object)
 {
-    const auto it = m_duties.find(object.name);
+    const auto it = m_coordinationObjects.find(object.name);
     // A removal may bear the revision of the change before it.
-    const std::uint64_t known = it == m_duties.end() ? 0 : it->second.revision;
+    const std::uint64_t known = it == m_coordinationObjects.end() ? 0 : it->second.revision;
     if (known > object.revision || (known == object.revision && !object.isRemoved)) {
         return;
     }
     m_isChanged = true;
     if (object.isRemoved) {
-        m_duties.erase(object.name);
+        m_coordinationObjects.erase(object.name);
     } else {
-        m_duties[object.name] = object;
+        m_coordinationObjects[object.name] = object;
     }
     if (object.name == ChangingName) {
         for (const auto &[engine, weights] : ChangingEngines::decode(object.text).changed) {
@@ -284,10 +284,10 @@
     }
 }
 
-void FleetState::onCacheStore(const base::Endpoint &endpoint, bool isAlive)
+void FleetState::onCacheStoreProbed(const base::Endpoint &endpoint, bool isAlive)
 {
-    const bool isNews = isAlive ? m_deadCacheStores.erase(endpoint) > 0 : m_deadCacheStores.insert(endpoint).second;
-    if (isNews) {
+    const bool hasChanged = isAlive ? m_deadCacheStores.erase(endpoint) > 0 : m_deadCacheStores.insert(endpoint).second;
+    if (hasChanged) {
         m_isChanged = true;
         m_log.write(base::LogEvent::CacheStoreChanged, {{"endpoint", config::formatEndpoint(endpoint)}, {"state", isAlive ? "answers" : "silent"}});
     }
@@ -300,19 +300,19 @@
 
 bool FleetState::onTick(base::TimePoint now)
 {
-    std::vector<base::UpstreamId> over;
-    for (const auto &[id, until] : m_lapsed) {
+    std::vector<base::UpstreamId> expired;
+    for (const auto &[id, until] : m_expired) {
         if (now >= until) {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const auto &id : over) {
+    for (const auto &id : expired) {
         removeUpstream(id);
     }
-    return !over.empty();
+    return !expired.empty();
 }
 
-bool FleetState::takeChanged()
+bool FleetState::consumeChanged()
 {
     return std::exchange(m_isChanged, false);
 }
@@ -326,11 +326,11 @@
     }
     view->targets = m_targets;
     view->deadCacheStores = m_deadCacheStores;
-    if (const StoredObject *changing = duty(ChangingName)) {
+    if (const StoredObject *changing = coordinationObject(ChangingName)) {
         view->reloading = ChangingEngines::decode(changing->text).engines;
     }
     std::uint32_t routers = 0;
-    for (const auto &[name, object] : m_duties) {
+    for (const auto &[name, object] : m_coordinationObjects) {
         if (!name.starts_with(RouterPrefix)) {
             continue;
         }
@@ -344,18 +344,18 @@
     return view;
 }
 
-const StoredObject *FleetState::duty(std::string_view name) const
+const StoredObject *FleetState::coordinationObject(std::string_view name) const
 {
-    const auto it = m_duties.find(name);
-    return it == m_duties.end() ? nullptr : &it->second;
+    const auto it = m_coordinationObjects.find(name);
+    return it == m_coordinationObjects.end() ? nullptr : &it->second;
 }
 
 const StoredObject *FleetState::routerAt(const base::Endpoint &peers) const
 {
-    const auto it = std::find_if(m_duties.begin(), m_duties.end(), [&peers](const auto &duty) {
-        return duty.first.starts_with(RouterPrefix) && decodeRouter(duty.second.text) == peers;
+    const auto it = std::find_if(m_coordinationObjects.begin(), m_coordinationObjects.end(), [&peers](const auto &coordinationObject) {
+        return coordinationObject.first.starts_with(RouterPrefix) && decodeRouter(coordinationObject.second.text) == peers;
     });
-    return it == m_duties.end() ? nullptr : &it->second;
+    return it == m_coordinationObjects.end() ? nullptr : &it->second;
 }
 
 const std::map<base::UpstreamId, proxy::Upstream> &FleetState::upstreams() const
@@ -368,7 +368,7 @@
     return m_targets;
 }
 
-void FleetState::ignoreEntry(ObjectKind kind, const StoredObject &object, const std::string &problem)
+void FleetState::logIgnoredEntry(ObjectKind kind, const StoredObject &object, const std::string &problem)
 {
     constexpr std::size_t MaxIgnored = 256; // names remembered so that each problem is logged once
     if (m_ignored.size() >= MaxIgnored) {
--- a/carawaylatch/gateway/fleetstate.h
+++ b/carawaylatch/gateway/fleetstate.h
@@ -51,24 +51,24 @@
 {
 public:
     // After the store is back, entries that lapsed meanwhile return within about this time.
-    static constexpr base::Duration LapsedEntryLife = base::milliseconds{1700};
+    static constexpr base::Duration ExpiredEntryGrace = base::milliseconds{1700};
 
     FleetState(const FleetDecoder &decoder, telemetry::DecisionLog &log);
 
-    // All objects of a kind. `wasOutOfReach`: calls failed before this list.
-    void onList(ObjectKind kind, const std::vector<StoredObject> &objects, bool wasOutOfReach, base::TimePoint now);
-    void onChange(ObjectKind kind, const StoredObject &object, bool wasOutOfReach, base::TimePoint now);
+    // All objects of a kind. `wasStoreUnavailable`: calls failed before this list.
+    void onList(ObjectKind kind, const std::vector<StoredObject> &objects, bool wasStoreUnavailable, base::TimePoint now);
+    void onChange(ObjectKind kind, const StoredObject &object, bool wasStoreUnavailable, base::TimePoint now);
     // An engine told its weights itself.
     void onWeightsSeen(const base::UpstreamId &upstream, base::WeightsVersion weights);
-    void onCacheStore(const base::Endpoint &endpoint, bool isAlive);
+    void onCacheStoreProbed(const base::Endpoint &endpoint, bool isAlive);
     // Drops entries whose time is over; true if the snapshot changes.
     bool onTick(base::TimePoint now);
 
     // True once since the last call if the snapshot has changed.
-    [[nodiscard]] bool takeChanged();
+    [[nodiscard]] bool consumeChanged();
     [[nodiscard]] std::shared_ptr<const proxy::FleetView> view();
     // An own object as last seen, or nothing.
-    [[nodiscard]] const StoredObject *duty(std::string_view name) const;
+    [[nodiscard]] const StoredObject *coordinationObject(std::string_view name) const;
     // The object of the router that takes load reports there, or nothing.
     [[nodiscard]] const StoredObject *routerAt(const base::Endpoint &peers) const;
     [[nodiscard]] const std::map<base::UpstreamId, proxy::Upstream> &upstreams() const;
@@ -77,22 +77,22 @@
 
 private:
     void applyTable(const StoredObject &object);
-    void applyUpstream(const StoredObject &object, bool wasOutOfReach, base::TimePoint now);
-    void loseUpstream(const base::UpstreamId &id, bool wasOutOfReach, base::TimePoint now);
+    void applyUpstream(const StoredObject &object, bool wasStoreUnavailable, base::TimePoint now);
+    void expireUpstream(const base::UpstreamId &id, bool wasStoreUnavailable, base::TimePoint now);
     void applyWeights(const StoredObject &object, bool isListed, base::TimePoint now);
-    void applyDuty(const StoredObject &object);
+    void applyCoordination(const StoredObject &object);
     void removeUpstream(const base::UpstreamId &id);
     void logUpstream(const proxy::Upstream &upstream, std::string_view phase);
-    void ignoreEntry(ObjectKind kind, const StoredObject &object, const std::string &problem);
+    void logIgnoredEntry(ObjectKind kind, const StoredObject &object, const std::string &problem);
     [[nodiscard]] static bool isSame(const proxy::Upstream &left, const proxy::Upstream &right);
 
     const FleetDecoder &m_decoder;
     telemetry::DecisionLog &m_log;
     std::shared_ptr<const proxy::RouteTable> m_table;
     std::map<base::UpstreamId, proxy::Upstream> m_upstreams;
-    std::map<base::UpstreamId, base::TimePoint> m_lapsed; // missing in a list; used until then
+    std::map<base::UpstreamId, base::TimePoint> m_expired; // missing in a list; used until then
     std::map<base::ModelId, proxy::WeightsTarget> m_targets;
-    std::map<std::string, StoredObject, std::less<>> m_duties;
+    std::map<std::string, StoredObject, std::less<>> m_coordinationObjects;
     std::map<std::string, std::uint64_t> m_ignored; // name to the revision whose problem was logged
     std::set<base::Endpoint> m_deadCacheStores;
     std::uint64_t m_sequence = 0;
--- a/carawaylatch/gateway/gateway.cpp
+++ b/carawaylatch/gateway/gateway.cpp
@@ -22,12 +22,12 @@
 {
 
 // The balancer asks once a second and gives up after two misses.
-constexpr base::Duration BalancerLag = base::milliseconds{2850};
+constexpr base::Duration LoadBalancerDelay = base::milliseconds{2850};
 constexpr base::Duration StopInterval = base::milliseconds{50}; // between looks at requests under way
-constexpr base::Duration EndReserve = base::milliseconds{300}; // before the end of the grace period
+constexpr base::Duration ShutdownReserve = base::milliseconds{300}; // before the end of the grace period
 constexpr base::Duration SettingsInterval = base::seconds{1}; // between looks at the settings file
 
-std::string readText(const std::string &path)
+std::string readFile(const std::string &path)
 {
     std::ifstream in(path, std::ios::binary);
     std::ostringstream text;
@@ -37,22 +37,23 @@
 
 } // namespace
 
-Gateway::Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log, const MakeGatewayParts &makeParts)
+Gateway::Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log,
+                 const GatewayComponentsFactory &makeComponents)
     : m_settingsPath(std::move(settingsPath))
     , m_settings(std::move(settings))
     , m_clock(clock)
     , m_log(log)
     , m_controlLoop(1)
     , m_trafficLoop(1)
-    , m_parts(makeParts(m_controlLoop, m_settings))
+    , m_components(makeComponents(m_controlLoop, m_settings))
     , m_signals(m_trafficLoop)
-    , m_settingsText(readText(m_settingsPath))
+    , m_settingsText(readFile(m_settingsPath))
 {
-    m_traffic = std::make_unique<proxy::TrafficPlane>(m_trafficLoop, m_clock, m_settings.traffic(), *m_parts.dialect, *this, m_log, [this] {
+    m_traffic = std::make_unique<proxy::TrafficPlane>(m_trafficLoop, m_clock, m_settings.traffic(), *m_components.dialect, *this, m_log, [this] {
         return m_tableAge.age();
     });
-    m_control = std::make_unique<ControlPlane>(m_controlLoop, m_clock, m_settings.control(), *m_parts.clients, *m_parts.engines, *m_parts.decoder, m_log,
-                                               m_tableAge, [this](std::shared_ptr<const proxy::FleetView> view) {
+    m_control = std::make_unique<ControlPlane>(m_controlLoop, m_clock, m_settings.control(), *m_components.clients, *m_components.engines,
+                                               *m_components.decoder, m_log, m_tableAge, [this](std::shared_ptr<const proxy::FleetView> view) {
                                                    boost::asio::post(m_trafficLoop, [this, view = std::move(view)]() mutable {
                                                        m_traffic->adopt(std::move(view));
                                                    });
@@ -130,7 +131,7 @@
     if (m_traffic->isStopping()) {
         return;
     }
-    m_stopBegan = m_clock.now();
+    m_stopStartedAt = m_clock.now();
     m_log.write(base::LogEvent::GatewayStopping, {{"inflight", std::to_string(m_traffic->inflight())}});
     m_traffic->beginStop();
     m_stopTimer = m_traffic->timers().every(m_clock.now(), StopInterval, [this](base::TimePoint) {
@@ -140,13 +141,13 @@
 
 void Gateway::continueStop()
 {
-    const base::Duration waited = m_clock.now() - m_stopBegan;
-    const base::Duration grace = base::fromSeconds(m_settings.graceSeconds) - EndReserve;
-    if (waited < std::min<base::Duration>(BalancerLag, grace)) {
+    const base::Duration waited = m_clock.now() - m_stopStartedAt;
+    const base::Duration grace = base::fromSeconds(m_settings.graceSeconds) - ShutdownReserve;
+    if (waited < std::min<base::Duration>(LoadBalancerDelay, grace)) {
         return;
     }
-    if (!m_isLeaving) {
-        m_isLeaving = true;
+    if (!m_isDraining) {
+        m_isDraining = true;
         m_traffic->beginLeaving();
         boost::asio::post(m_controlLoop, [this] {
             m_control->beginStop();
@@ -164,7 +165,7 @@
 void Gateway::watchSettings()
 {
     m_settingsTimer = m_traffic->timers().every(m_clock.now(), SettingsInterval, [this](base::TimePoint) {
-        if (readText(m_settingsPath) != m_settingsText) {
+        if (readFile(m_settingsPath) != m_settingsText) {
             reload("file");
         }
     });
@@ -172,7 +173,7 @@
 
 void Gateway::reload(const std::string &cause)
 {
-    m_settingsText = readText(m_settingsPath);
+    m_settingsText = readFile(m_settingsPath);
     auto settings = parseGatewaySettings(m_settingsText, m_settingsPath);
     if (!settings) {
         m_log.write(base::LogEvent::SettingsRejected, {{"path", m_settingsPath}, {"problem", settings.error().message}});
--- a/carawaylatch/gateway/gateway.h
+++ b/carawaylatch/gateway/gateway.h
@@ -1,6 +1,6 @@
 // One gateway process: a control thread, a traffic thread, signals.
 //
-//     Gateway gateway(path, settings, log, makeParts);
+//     Gateway gateway(path, settings, log, makeComponents);
 //     BOOST_OUTCOME_TRY(gateway.start());
 //     return gateway.run();        // until SIGTERM has been carried out
 #pragma once
@@ -24,19 +24,20 @@
 {
 
 // What an adapter provides; made for the control thread's loop.
-struct GatewayParts
+struct GatewayComponents
 {
     std::unique_ptr<ObjectClientFactory> clients;
     std::unique_ptr<EngineClient> engines;
     std::unique_ptr<FleetDecoder> decoder;
     std::unique_ptr<proxy::Dialect> dialect;
 };
-using MakeGatewayParts = std::function<GatewayParts(boost::asio::io_context &controlLoop, const GatewaySettings &settings)>;
+using GatewayComponentsFactory = std::function<GatewayComponents(boost::asio::io_context &controlLoop, const GatewaySettings &settings)>;
 
 class Gateway : public proxy::TrafficObserver
 {
 public:
-    Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log, const MakeGatewayParts &makeParts);
+    Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log,
+            const GatewayComponentsFactory &makeComponents);
     ~Gateway() override;
 
     // Binds the addresses. Unavailable if one is taken.
@@ -61,14 +62,14 @@
     TableAge m_tableAge;
     boost::asio::io_context m_controlLoop;
     boost::asio::io_context m_trafficLoop;
-    GatewayParts m_parts;
+    GatewayComponents m_components;
     std::unique_ptr<proxy::TrafficPlane> m_traffic;
     std::unique_ptr<ControlPlane> m_control;
     boost::asio::signal_set m_signals; // on the traffic thread
     base::TimerService::Subscription m_stopTimer;
     base::TimerService::Subscription m_settingsTimer;
-    base::TimePoint m_stopBegan;
-    bool m_isLeaving = false; // the balancer sends nothing any more
+    base::TimePoint m_stopStartedAt;
+    bool m_isDraining = false; // the balancer sends nothing any more
     std::string m_settingsText; // as last read
 };
 
--- a/carawaylatch/gateway/gatewaysettings.cpp
+++ b/carawaylatch/gateway/gatewaysettings.cpp
@@ -43,7 +43,7 @@
     Key{"weights", "lease_ms", "number", "milliseconds between the last order of one holder and the first of another", false, nullptr, nullptr, &S::leaseMs},
 };
 
-base::Error wrongValue(std::string_view fileName, const config::IniEntry &entry, const std::string &problem)
+base::Error invalidValueError(std::string_view fileName, const config::IniEntry &entry, const std::string &problem)
 {
     return base::fail(base::ErrorKind::InvalidArgument, config::linePrefix(fileName, entry.line) + entry.key + ": " + problem);
 }
@@ -53,19 +53,19 @@
     if (key.text != nullptr) {
         const auto name = config::parseName(entry.value);
         if (!name) {
-            return wrongValue(fileName, entry, name.error().message);
+            return invalidValueError(fileName, entry, name.error().message);
         }
         settings.*key.text = name.value();
     } else if (key.endpoint != nullptr) {
         const auto endpoint = config::parseEndpoint(entry.value);
         if (!endpoint) {
-            return wrongValue(fileName, entry, endpoint.error().message);
+            return invalidValueError(fileName, entry, endpoint.error().message);
         }
         settings.*key.endpoint = endpoint.value();
     } else {
         const auto number = config::parseFraction(entry.value);
         if (!number) {
-            return wrongValue(fileName, entry, number.error().message);
+            return invalidValueError(fileName, entry, number.error().message);
         }
         settings.*key.number = number.value();
     }
@@ -74,23 +74,23 @@
 
 base::Result<void> checkRanges(const GatewaySettings &settings, std::string_view fileName)
 {
-    const auto tooSmall = [fileName](std::string_view key, std::string_view least) {
+    const auto belowMinimumError = [fileName](std::string_view key, std::string_view least) {
         return base::fail(base::ErrorKind::InvalidArgument, std::string(fileName) + ": " + std::string(key) + " must be " + std::string(least) + " or more");
     };
     if (settings.memoryMegabytes < 32) {
-        return tooSmall("memory_mb", "32");
+        return belowMinimumError("memory_mb", "32");
     }
     if (settings.graceSeconds < 1) {
-        return tooSmall("grace_seconds", "1");
+        return belowMinimumError("grace_seconds", "1");
     }
     if (settings.storeTimeoutMs < 10 || settings.watchWaitMs < 10) {
-        return tooSmall("timeout_ms and watch_ms", "10");
+        return belowMinimumError("timeout_ms and watch_ms", "10");
     }
     if (settings.leaveWithinMs < 100) {
-        return tooSmall("leave_within_ms", "100");
+        return belowMinimumError("leave_within_ms", "100");
     }
     if (settings.leaseMs < 100 || settings.changeWithinMs < 100) {
-        return tooSmall("lease_ms and change_within_ms", "100");
+        return belowMinimumError("lease_ms and change_within_ms", "100");
     }
     return base::ok();
 }
@@ -128,10 +128,10 @@
                 return it.section == section.name && it.name == entry.key;
             });
             if (key == Keys.end()) {
-                return wrongValue(fileName, entry, "no such key in [" + section.name + "]; docs/SETTINGS-gateway.md lists all");
+                return invalidValueError(fileName, entry, "no such key in [" + section.name + "]; docs/SETTINGS-gateway.md lists all");
             }
             if (!seen.insert(section.name + '.' + entry.key).second) {
-                return wrongValue(fileName, entry, "stands twice; remove one");
+                return invalidValueError(fileName, entry, "stands twice; remove one");
             }
             if (const auto assigned = assign(settings, *key, entry, fileName); !assigned) {
                 return assigned.error();
@@ -193,16 +193,16 @@
     constexpr double LeaseShare = 0.6; // the lease's own length; its holder believes for two thirds of it at most
     // A successor leaves its predecessor's engines alone for so long: an order may take a
     // while on its way after the predecessor has stopped believing.
-    constexpr double SettleShare = 1.2;
+    constexpr double TakeoverDelayShare = 1.2;
     constexpr double UpstreamsPauseShare = 0.2; // of the time to leave; the rest covers a slow call and requests on their way
     ControlSettings out;
     out.upstreamsPause = base::fromMilliseconds(leaveWithinMs * UpstreamsPauseShare);
     out.router = base::RouterId(id);
     out.peers = peers;
-    out.lease.length = base::fromMilliseconds(leaseMs * LeaseShare);
+    out.lease.duration = base::fromMilliseconds(leaseMs * LeaseShare);
     out.lease.readInterval = base::fromMilliseconds(leaseMs * LeaseShare / 6);
-    out.lease.isRouterSingle = true;
-    out.rollout.settleTime = base::fromMilliseconds(leaseMs * SettleShare);
+    out.lease.isRouterIdUnique = true;
+    out.rollout.takeoverDelay = base::fromMilliseconds(leaseMs * TakeoverDelayShare);
     out.watchWait = base::fromMilliseconds(watchWaitMs);
     return out;
 }
--- a/carawaylatch/gateway/objectclient.h
+++ b/carawaylatch/gateway/objectclient.h
@@ -33,7 +33,7 @@
     Tables, // the configuration
     Weights, // versions of weights that are named
     Upstreams, // entries that upstreams write of themselves
-    Duties, // this project's own: engines that change, routers
+    Coordination, // this project's own: engines that change, routers
     Leases, // this project's own; changes every second, so nobody watches it
 };
 [[nodiscard]] std::string_view objectKindName(ObjectKind kind);
@@ -53,9 +53,9 @@
     bool hasMore = false;
 };
 
-enum class Freshness {
-    Newest,
-    MayBeStale,
+enum class ReadConsistency {
+    Latest,
+    AllowStale,
 };
 
 class ObjectClient
@@ -67,8 +67,8 @@
     [[nodiscard]] virtual Awaitable<base::Result<ObjectPage>> list(ObjectKind kind, std::string after) = 0;
     // Changes after `since`, or none after `wait`.
     [[nodiscard]] virtual Awaitable<base::Result<ObjectPage>> watch(ObjectKind kind, std::uint64_t since, base::Duration wait) = 0;
-    // With MayBeStale the object may be seconds old, which costs the store a tenth.
-    [[nodiscard]] virtual Awaitable<base::Result<StoredObject>> read(ObjectKind kind, std::string name, Freshness freshness) = 0;
+    // With AllowStale the object may be seconds old, which costs the store a tenth.
+    [[nodiscard]] virtual Awaitable<base::Result<StoredObject>> read(ObjectKind kind, std::string name, ReadConsistency consistency) = 0;
     // Ends the call under way with an error; it goes on from a new connection.
     virtual void interrupt() = 0;
     // Writes if the object's revision is still `expected`; zero creates it. Returns the new revision.
--- a/carawaylatch/gateway/rollout.cpp
+++ b/carawaylatch/gateway/rollout.cpp
@@ -17,8 +17,8 @@
 fleet::WeightsSettings controllerSettings(const RolloutSettings &settings)
 {
     fleet::WeightsSettings out;
-    out.maxAwayShare = settings.awayShare;
-    out.longestInFlight = base::Duration{}; // kept for each engine, see takeOver()
+    out.maxUnavailableShare = settings.maxUnavailableShare;
+    out.maxOrderDelay = base::Duration{}; // kept for each engine, see takeOver()
     // An order is repeated by this part; to the controller the engine is away until then.
     out.loadTimeout = base::hours{1};
     return out;
@@ -61,27 +61,27 @@
 }
 
 // Forgets changes that are done, or whose engine is gone or leaves.
-void Rollout::dropSettled(base::TimePoint now, const FleetState &state)
+void Rollout::removeCompleted(base::TimePoint now, const FleetState &state)
 {
     std::erase_if(m_changes, [this, &state](const auto &it) {
         const auto &[id, change] = it;
         const auto upstream = state.upstreams().find(id);
         const auto model = upstream != state.upstreams().end() ? modelState(upstream->second, state) : std::nullopt;
         if (!model || upstream->second.phase != proxy::UpstreamPhase::Ready) {
-            m_controller.onNotOrdered(id);
+            m_controller.clearOrder(id);
             return true;
         }
         if (model->weights < change.order.version) {
             return false;
         }
         if (change.orderedAt) {
-            m_settled[id] = Settled{model->weights, *change.orderedAt};
+            m_completed[id] = CompletedChange{model->weights, *change.orderedAt};
         }
-        m_controller.onNotOrdered(id); // a newer version may be named already
+        m_controller.clearOrder(id); // a newer version may be named already
         return true;
     });
-    std::erase_if(m_settled, [this, now](const auto &it) {
-        return now - it.second.orderedAt >= m_settings.settleTime;
+    std::erase_if(m_completed, [this, now](const auto &it) {
+        return now - it.second.orderedAt >= m_settings.takeoverDelay;
     });
 }
 
@@ -91,8 +91,8 @@
     Fleet out;
     for (const auto &[id, upstream] : state.upstreams()) {
         const auto model = modelState(upstream, state);
-        const auto untouched = m_untouchedUntil.find(id);
-        if (!model || (untouched != m_untouchedUntil.end() && now < untouched->second)) {
+        const auto noOrders = m_noOrdersUntil.find(id);
+        if (!model || (noOrders != m_noOrdersUntil.end() && now < noOrders->second)) {
             continue;
         }
         config::Pool &pool = pools[{upstream.pool, model->model}];
@@ -111,32 +111,32 @@
     return out;
 }
 
-void Rollout::startDraining(base::TimePoint now, const fleet::Tenure &tenure, const Fleet &fleet, const FleetState &state)
+void Rollout::startDraining(base::TimePoint now, const fleet::LeaseTerm &term, const Fleet &fleet, const FleetState &state)
 {
-    for (const fleet::PlannedOrder &planned : m_controller.plan(now, tenure, fleet.pools, fleet.engines)) {
+    for (const fleet::PlannedOrder &planned : m_controller.plan(now, term, fleet.pools, fleet.engines)) {
         Change change;
         change.order.engine = planned.upstream;
         change.order.endpoint = planned.endpoint;
         change.order.model = state.upstreams().at(planned.upstream).models.begin()->first;
         change.order.version = planned.order.weightsVersion;
         change.drainingSince = now;
-        change.nextOrderAt = now;
+        change.earliestOrderAt = now;
         m_changes.insert_or_assign(planned.upstream, std::move(change));
-        m_controller.onOrdered(now, planned.upstream);
+        m_controller.recordOrder(now, planned.upstream);
     }
 }
 
 bool Rollout::isDrained(base::TimePoint now, const Change &change) const
 {
     const bool isEmpty = change.status && change.status->running + change.status->waiting == 0;
-    return isEmpty || now - change.drainingSince >= m_settings.longestDrain;
+    return isEmpty || now - change.drainingSince >= m_settings.maxDrainTime;
 }
 
-std::vector<WeightsOrder> Rollout::plan(base::TimePoint now, const fleet::Tenure &tenure, const FleetState &state)
+std::vector<WeightsOrder> Rollout::plan(base::TimePoint now, const fleet::LeaseTerm &term, const FleetState &state)
 {
-    dropSettled(now, state);
+    removeCompleted(now, state);
     const Fleet fleet = observe(now, state);
-    startDraining(now, tenure, fleet, state);
+    startDraining(now, term, fleet, state);
     // A version that was named meanwhile is loaded at once, not after the one before.
     for (auto &[id, change] : m_changes) {
         if (!change.orderedAt) {
@@ -146,20 +146,20 @@
     const auto loading = std::count_if(m_changes.begin(), m_changes.end(), [](const auto &it) {
         return it.second.orderedAt.has_value();
     });
-    const auto share = static_cast<std::int64_t>(std::floor(m_settings.loadingShare * static_cast<double>(fleet.engines.size())));
-    std::int64_t room = std::max<std::int64_t>(m_settings.minLoading, share) - loading;
+    const auto share = static_cast<std::int64_t>(std::floor(m_settings.maxLoadingShare * static_cast<double>(fleet.engines.size())));
+    std::int64_t freeLoads = std::max<std::int64_t>(m_settings.minLoadLimit, share) - loading;
     std::vector<WeightsOrder> orders;
     for (auto &[id, change] : m_changes) {
         const bool isRepeated = change.orderedAt && now - *change.orderedAt >= m_settings.orderTimeout;
-        const bool isFirst = !change.orderedAt && room > 0 && isDrained(now, change);
-        if ((!isRepeated && !isFirst) || now < change.nextOrderAt) {
+        const bool isFirst = !change.orderedAt && freeLoads > 0 && isDrained(now, change);
+        if ((!isRepeated && !isFirst) || now < change.earliestOrderAt) {
             continue;
         }
-        room -= isFirst ? 1 : 0;
+        freeLoads -= isFirst ? 1 : 0;
         change.orderedAt = now;
         WeightsOrder order = change.order;
-        order.runs = RunsUnderWay::Continue;
-        order.fence = tenure.fence;
+        order.runningRequests = RunningRequestPolicy::Continue;
+        order.fence = term.fence;
         if (change.status) {
             order.expectedOrders = change.status->acceptedOrders;
         }
@@ -168,25 +168,25 @@
     return orders;
 }
 
-void Rollout::onRefused(base::TimePoint now, const base::UpstreamId &engine)
+void Rollout::onOrderRejected(base::TimePoint now, const base::UpstreamId &engine)
 {
     constexpr base::Duration OrderPause = base::milliseconds{300}; // about half of a load
     const auto it = m_changes.find(engine);
     if (it != m_changes.end()) {
         it->second.orderedAt.reset();
-        it->second.nextOrderAt = now + OrderPause;
+        it->second.earliestOrderAt = now + OrderPause;
     }
 }
 
-void Rollout::onStatus(base::TimePoint askedAt, const base::UpstreamId &engine, const EngineStatus &status)
+void Rollout::onStatus(base::TimePoint requestedAt, const base::UpstreamId &engine, const EngineStatus &status)
 {
     const auto it = m_changes.find(engine);
-    if (it != m_changes.end() && askedAt >= it->second.drainingSince) {
+    if (it != m_changes.end() && requestedAt >= it->second.drainingSince) {
         it->second.status = status;
     }
 }
 
-std::vector<WeightsOrder> Rollout::watched() const
+std::vector<WeightsOrder> Rollout::pendingOrders() const
 {
     std::vector<WeightsOrder> out;
     for (const auto &[engine, change] : m_changes) {
@@ -201,8 +201,8 @@
     for (const auto &[engine, change] : m_changes) {
         out.engines.insert(engine);
     }
-    for (const auto &[engine, settled] : m_settled) {
-        out.changed.emplace(engine, settled.weights);
+    for (const auto &[engine, completed] : m_completed) {
+        out.changed.emplace(engine, completed.weights);
     }
     return out;
 }
@@ -210,19 +210,19 @@
 void Rollout::takeOver(base::TimePoint now, const ChangingEngines &inherited)
 {
     for (const auto &engine : inherited.engines) {
-        m_untouchedUntil[engine] = now + m_settings.settleTime;
+        m_noOrdersUntil[engine] = now + m_settings.takeoverDelay;
     }
     for (const auto &[engine, weights] : inherited.changed) {
-        m_untouchedUntil[engine] = now + m_settings.settleTime;
+        m_noOrdersUntil[engine] = now + m_settings.takeoverDelay;
     }
 }
 
 void Rollout::reset()
 {
-    m_untouchedUntil.clear();
+    m_noOrdersUntil.clear();
     m_controller.reset();
     m_changes.clear();
-    m_settled.clear();
+    m_completed.clear();
 }
 
 } // namespace carawaylatch::gateway
--- a/carawaylatch/gateway/rollout.h
+++ b/carawaylatch/gateway/rollout.h
@@ -33,13 +33,13 @@
 {
     // Engines of a pool that are out of service at the same time: those that load and
     // as many that drain meanwhile.
-    double awayShare = 0.45;
+    double maxUnavailableShare = 0.45;
     // Loads at the same time that the weight store bears, as the deployments' sheets
     // tell: 2 of 9 engines, 3 of 18, 18 of 90.
-    double loadingShare = 0.2;
-    std::uint32_t minLoading = 2;
-    base::Duration longestDrain = base::milliseconds{700}; // most runs take less
-    base::Duration settleTime = base::seconds{3}; // after taking over from another holder
+    double maxLoadingShare = 0.2;
+    std::uint32_t minLoadLimit = 2;
+    base::Duration maxDrainTime = base::milliseconds{700}; // most runs take less
+    base::Duration takeoverDelay = base::seconds{3}; // after taking over from another holder
     base::Duration orderTimeout = base::seconds{3}; // an order without effect is given again; loads take a fifth of it
 };
 
@@ -49,12 +49,12 @@
     explicit Rollout(RolloutSettings settings);
 
     // Moves engines through the stages; returns the orders to give now.
-    [[nodiscard]] std::vector<WeightsOrder> plan(base::TimePoint now, const fleet::Tenure &tenure, const FleetState &state);
+    [[nodiscard]] std::vector<WeightsOrder> plan(base::TimePoint now, const fleet::LeaseTerm &term, const FleetState &state);
     // The order surely was not taken: it is given again.
-    void onRefused(base::TimePoint now, const base::UpstreamId &engine);
-    void onStatus(base::TimePoint askedAt, const base::UpstreamId &engine, const EngineStatus &status);
+    void onOrderRejected(base::TimePoint now, const base::UpstreamId &engine);
+    void onStatus(base::TimePoint requestedAt, const base::UpstreamId &engine, const EngineStatus &status);
     // Engines whose status should be asked for.
-    [[nodiscard]] std::vector<WeightsOrder> watched() const;
+    [[nodiscard]] std::vector<WeightsOrder> pendingOrders() const;
     // What other routers should know.
     [[nodiscard]] ChangingEngines changing() const;
     // Another router held the lease before and may have ordered these engines a moment
@@ -70,25 +70,25 @@
         base::TimePoint drainingSince;
         std::optional<base::TimePoint> orderedAt; // nothing while draining
         std::optional<EngineStatus> status; // asked for since the draining began
-        base::TimePoint nextOrderAt; // not ordered before
+        base::TimePoint earliestOrderAt; // not ordered before
     };
     struct Fleet;
 
     [[nodiscard]] Fleet observe(base::TimePoint now, const FleetState &state);
-    void dropSettled(base::TimePoint now, const FleetState &state);
-    void startDraining(base::TimePoint now, const fleet::Tenure &tenure, const Fleet &fleet, const FleetState &state);
+    void removeCompleted(base::TimePoint now, const FleetState &state);
+    void startDraining(base::TimePoint now, const fleet::LeaseTerm &term, const Fleet &fleet, const FleetState &state);
     [[nodiscard]] bool isDrained(base::TimePoint now, const Change &change) const;
 
     RolloutSettings m_settings;
     fleet::WeightsController m_controller;
     std::map<base::UpstreamId, Change> m_changes;
-    std::map<base::UpstreamId, base::TimePoint> m_untouchedUntil; // engines of a predecessor
-    struct Settled
+    std::map<base::UpstreamId, base::TimePoint> m_noOrdersUntil; // engines of a predecessor
+    struct CompletedChange
     {
         base::WeightsVersion weights;
         base::TimePoint orderedAt;
     };
-    std::map<base::UpstreamId, Settled> m_settled; // ordered within the settle time
+    std::map<base::UpstreamId, CompletedChange> m_completed; // ordered within the settle time
 };
 
 } // namespace carawaylatch::gateway
--- a/carawaylatch/gateway/testing/controlplanetest.cpp
+++ b/carawaylatch/gateway/testing/controlplanetest.cpp
@@ -29,7 +29,7 @@
 constexpr base::Duration LoadTime = base::milliseconds{60};
 constexpr int Engines = 3;
 
-struct GivenOrder
+struct RecordedOrder
 {
     std::string holder;
     std::uint64_t fence = 0;
@@ -46,11 +46,11 @@
         , m_clock(clock)
     {
     }
-    Awaitable<base::Result<OrderAnswer>> order(WeightsOrder order) override
+    Awaitable<base::Result<OrderResponse>> order(WeightsOrder order) override
     {
         orders[order.engine].push_back({order.holder, order.fence.value, order.version.value, m_clock.now()});
         m_loads[order.engine] = {m_clock.now() + LoadTime, order.version};
-        co_return OrderAnswer::Accepted;
+        co_return OrderResponse::Accepted;
     }
     Awaitable<base::Result<EngineStatus>> status(base::UpstreamId engine, base::Endpoint /*endpoint*/, base::ModelId /*model*/) override
     {
@@ -64,7 +64,7 @@
     {
         co_return base::ok();
     }
-    std::map<base::UpstreamId, std::vector<GivenOrder>> orders;
+    std::map<base::UpstreamId, std::vector<RecordedOrder>> orders;
 
 private:
     boost::asio::io_context &m_loop;
@@ -81,9 +81,9 @@
     }
     std::unique_ptr<ObjectClient> makeClient() override
     {
-        return std::make_unique<FakeClient>(m_store, isCut);
+        return std::make_unique<FakeClient>(m_store, isDisconnected);
     }
-    bool isCut = false; // from the store
+    bool isDisconnected = false; // from the store
 
 private:
     FakeStore &m_store;
@@ -97,7 +97,7 @@
         : clients(store)
         , plane(loop, clock, settings(id), clients, engines, decoder, log, age, [this](std::shared_ptr<const proxy::FleetView> view) {
             const std::uint64_t version = view->table ? view->table->version : 0;
-            hasGoneBack = hasGoneBack || version < newestTable;
+            hasVersionRegressed = hasVersionRegressed || version < newestTable;
             newestTable = std::max(newestTable, version);
             last = std::move(view);
         })
@@ -108,11 +108,11 @@
     {
         ControlSettings out;
         out.router = base::RouterId(id);
-        out.lease.length = LeaseTime * 6 / 10;
+        out.lease.duration = LeaseTime * 6 / 10;
         out.lease.readInterval = LeaseTime / 10;
-        out.lease.isRouterSingle = true;
-        out.rollout.settleTime = LeaseTime;
-        out.rollout.longestDrain = base::milliseconds{50};
+        out.lease.isRouterIdUnique = true;
+        out.rollout.takeoverDelay = LeaseTime;
+        out.rollout.maxDrainTime = base::milliseconds{50};
         out.rollout.orderTimeout = base::milliseconds{400};
         out.watchWait = base::milliseconds{60};
         out.longWatchWait = base::milliseconds{200};
@@ -125,13 +125,13 @@
     TableAge age;
     std::shared_ptr<const proxy::FleetView> last;
     std::uint64_t newestTable = 0;
-    bool hasGoneBack = false;
+    bool hasVersionRegressed = false;
     ControlPlane plane;
 };
 
-struct World
+struct TestCluster
 {
-    World(boost::asio::io_context &loop, const base::Clock &clock, telemetry::DecisionLog &log)
+    TestCluster(boost::asio::io_context &loop, const base::Clock &clock, telemetry::DecisionLog &log)
         : store(loop)
         , engines(loop, clock)
         , m_loop(loop)
@@ -159,14 +159,14 @@
     [[nodiscard]] std::string violation() const
     {
         for (const auto &router : routers) {
-            if (router->hasGoneBack) {
+            if (router->hasVersionRegressed) {
                 return "a configuration went back";
             }
         }
         for (const auto &[engine, orders] : engines.orders) {
             for (std::size_t i = 1; i < orders.size(); ++i) {
-                const GivenOrder &before = orders[i - 1];
-                const GivenOrder &after = orders[i];
+                const RecordedOrder &before = orders[i - 1];
+                const RecordedOrder &after = orders[i];
                 if (after.fence < before.fence) {
                     return "an order with a lower fence after a higher one";
                 }
@@ -186,7 +186,7 @@
     boost::asio::io_context &m_loop;
     const base::Clock &m_clock;
     telemetry::DecisionLog &m_log;
-    WordDecoder m_decoder;
+    PlainTextDecoder m_decoder;
 };
 
 } // namespace
@@ -195,50 +195,50 @@
 {
     CPPUNIT_TEST_SUITE(ControlPlaneTest);
     CPPUNIT_TEST(testEveryFaultAtEveryCall);
-    CPPUNIT_TEST(testHolderIsCutOff);
-    CPPUNIT_TEST(testNewHolderOrdersNothingBeforeItHasReadTheList);
-    CPPUNIT_TEST(testHolderStops);
-    CPPUNIT_TEST(testOutage);
-    CPPUNIT_TEST(testLongListOfABusyStore);
-    CPPUNIT_TEST(testGoneRouterIsForgotten);
-    CPPUNIT_TEST(testRouterThatWasForgottenComesBack);
+    CPPUNIT_TEST(testDisconnectedHolderIsReplaced);
+    CPPUNIT_TEST(testNewHolderReadsChangingEnginesBeforeOrders);
+    CPPUNIT_TEST(testStoppedHolderReleasesLease);
+    CPPUNIT_TEST(testStoreOutage);
+    CPPUNIT_TEST(testPagedListFromOverloadedStore);
+    CPPUNIT_TEST(testUnreachableRouterIsRemoved);
+    CPPUNIT_TEST(testRemovedRouterRegistersAgain);
     CPPUNIT_TEST_SUITE_END();
 
     base::SteadyClock m_clock;
     NullLog m_log;
-    std::vector<std::unique_ptr<World>> m_worlds;
+    std::vector<std::unique_ptr<TestCluster>> m_clusters;
     std::unique_ptr<boost::asio::io_context> m_loop = std::make_unique<boost::asio::io_context>(1); // its coroutines end before the worlds do
 
     // Ends all worlds.
-    void startAfresh()
+    void resetClusters()
     {
         m_loop.reset();
-        m_worlds.clear();
+        m_clusters.clear();
         m_loop = std::make_unique<boost::asio::io_context>(1);
     }
 
-    World &addWorld()
+    TestCluster &addCluster()
     {
-        m_worlds.push_back(std::make_unique<World>(*m_loop, m_clock, m_log.log));
-        return *m_worlds.back();
+        m_clusters.push_back(std::make_unique<TestCluster>(*m_loop, m_clock, m_log.log));
+        return *m_clusters.back();
     }
-    World &addWorldOfTwo()
+    TestCluster &addClusterOfTwoRouters()
     {
-        World &world = addWorld();
-        world.addRouter("a");
-        world.addRouter("b");
-        return world;
+        TestCluster &cluster = addCluster();
+        cluster.addRouter("a");
+        cluster.addRouter("b");
+        return cluster;
     }
     // Names new weights; returns the router that gives the first order.
-    std::string firstHolder(World &world)
+    std::string firstHolder(TestCluster &cluster)
     {
-        world.store.put(ObjectKind::Weights, "m", "m 2");
+        cluster.store.put(ObjectKind::Weights, "m", "m 2");
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return !world.engines.orders.empty();
+            [&cluster] {
+                return !cluster.engines.orders.empty();
             },
             base::seconds{5}));
-        return world.engines.orders.begin()->second.front().holder;
+        return cluster.engines.orders.begin()->second.front().holder;
     }
     template <typename Condition>
     bool runUntil(Condition condition, base::Duration limit)
@@ -249,24 +249,24 @@
         }
         return condition();
     }
-    bool allWorlds(const std::function<bool(const World &)> &isTrue) const
+    bool allClusters(const std::function<bool(const TestCluster &)> &predicate) const
     {
-        return std::all_of(m_worlds.begin(), m_worlds.end(), [&isTrue](const auto &world) {
-            return isTrue(*world);
+        return std::all_of(m_clusters.begin(), m_clusters.end(), [&predicate](const auto &cluster) {
+            return predicate(*cluster);
         });
     }
     void assertNoViolation()
     {
-        for (const auto &world : m_worlds) {
-            const std::string violation = world->violation();
-            CPPUNIT_ASSERT_MESSAGE(violation + " (fault " + std::to_string(static_cast<int>(world->store.fault)) + " at call "
-                                       + std::to_string(world->store.faultAt) + ")",
+        for (const auto &cluster : m_clusters) {
+            const std::string violation = cluster->violation();
+            CPPUNIT_ASSERT_MESSAGE(violation + " (fault " + std::to_string(static_cast<int>(cluster->store.fault)) + " at call "
+                                       + std::to_string(cluster->store.faultyCall) + ")",
                                    violation.empty());
         }
     }
-    static bool hasTable(const World &world, std::uint64_t version)
+    static bool hasTable(const TestCluster &cluster, std::uint64_t version)
     {
-        return std::all_of(world.routers.begin(), world.routers.end(), [version](const auto &router) {
+        return std::all_of(cluster.routers.begin(), cluster.routers.end(), [version](const auto &router) {
             return router->last && router->newestTable == version;
         });
     }
@@ -280,13 +280,13 @@
         constexpr int CallsAtOnce = 6;
         for (const CallFault fault : AllCallFaults) {
             for (int first = 1; first <= Calls; first += CallsAtOnce) {
-                startAfresh();
+                resetClusters();
                 for (int call = first; call < first + CallsAtOnce; ++call) {
-                    World &world = addWorld();
-                    world.store.fault = fault;
-                    world.store.faultAt = call;
-                    world.addRouter("a");
-                    world.addRouter("b");
+                    TestCluster &cluster = addCluster();
+                    cluster.store.fault = fault;
+                    cluster.store.faultyCall = call;
+                    cluster.addRouter("a");
+                    cluster.addRouter("b");
                 }
                 changeEverything();
             }
@@ -298,138 +298,138 @@
     {
         CPPUNIT_ASSERT(runUntil(
             [this] {
-                return allWorlds([](const World &world) {
-                    return hasTable(world, 1);
+                return allClusters([](const TestCluster &cluster) {
+                    return hasTable(cluster, 1);
                 });
             },
             base::seconds{10}));
-        for (const auto &world : m_worlds) {
-            world->store.put(ObjectKind::Weights, "m", "m 2");
-            world->store.put(ObjectKind::Tables, "main", "2");
+        for (const auto &cluster : m_clusters) {
+            cluster->store.put(ObjectKind::Weights, "m", "m 2");
+            cluster->store.put(ObjectKind::Tables, "main", "2");
         }
         CPPUNIT_ASSERT(runUntil(
             [this] {
-                return allWorlds([](const World &world) {
-                    return hasTable(world, 2) && world.isChanged(2);
+                return allClusters([](const TestCluster &cluster) {
+                    return hasTable(cluster, 2) && cluster.isChanged(2);
                 });
             },
             base::seconds{20}));
         assertNoViolation();
     }
 
-    void testHolderIsCutOff()
+    void testDisconnectedHolderIsReplaced()
     {
-        World &world = addWorldOfTwo();
-        const std::string holder = firstHolder(world);
-        world.routers[holder == "a" ? 0 : 1]->clients.isCut = true;
-        world.store.put(ObjectKind::Weights, "m", "m 3");
+        TestCluster &cluster = addClusterOfTwoRouters();
+        const std::string holder = firstHolder(cluster);
+        cluster.routers[holder == "a" ? 0 : 1]->clients.isDisconnected = true;
+        cluster.store.put(ObjectKind::Weights, "m", "m 3");
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return world.isChanged(3);
+            [&cluster] {
+                return cluster.isChanged(3);
             },
             base::seconds{10}));
-        for (const auto &[engine, orders] : world.engines.orders) {
+        for (const auto &[engine, orders] : cluster.engines.orders) {
             CPPUNIT_ASSERT(orders.back().holder != holder);
         }
         assertNoViolation();
     }
 
     // Without the list a new holder can't know which engines its predecessor has ordered.
-    void testNewHolderOrdersNothingBeforeItHasReadTheList()
+    void testNewHolderReadsChangingEnginesBeforeOrders()
     {
-        World &world = addWorldOfTwo();
-        const std::string holder = firstHolder(world);
-        world.store.areDutyReadsRefused = true;
-        world.routers[holder == "a" ? 0 : 1]->clients.isCut = true;
-        world.store.put(ObjectKind::Weights, "m", "m 3");
+        TestCluster &cluster = addClusterOfTwoRouters();
+        const std::string holder = firstHolder(cluster);
+        cluster.store.areCoordinationReadsRefused = true;
+        cluster.routers[holder == "a" ? 0 : 1]->clients.isDisconnected = true;
+        cluster.store.put(ObjectKind::Weights, "m", "m 3");
         m_loop->run_for(std::chrono::milliseconds{1000});
-        for (const auto &[engine, orders] : world.engines.orders) {
+        for (const auto &[engine, orders] : cluster.engines.orders) {
             CPPUNIT_ASSERT(orders.back().holder == holder);
         }
-        world.store.areDutyReadsRefused = false;
+        cluster.store.areCoordinationReadsRefused = false;
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return world.isChanged(3);
+            [&cluster] {
+                return cluster.isChanged(3);
             },
             base::seconds{10}));
         assertNoViolation();
     }
 
     // A holder that stops releases the lease: the other one takes it at once.
-    void testHolderStops()
+    void testStoppedHolderReleasesLease()
     {
-        World &world = addWorldOfTwo();
+        TestCluster &cluster = addClusterOfTwoRouters();
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return !world.store.objects(ObjectKind::Leases).empty();
+            [&cluster] {
+                return !cluster.store.objects(ObjectKind::Leases).empty();
             },
             base::seconds{5}));
-        const std::string first = world.store.objects(ObjectKind::Leases).begin()->second.text.substr(0, 1);
-        world.routers[first == "a" ? 0 : 1]->plane.beginStop();
+        const std::string first = cluster.store.objects(ObjectKind::Leases).begin()->second.text.substr(0, 1);
+        cluster.routers[first == "a" ? 0 : 1]->plane.beginStop();
         CPPUNIT_ASSERT(runUntil(
-            [&world, &first] {
-                const std::string &text = world.store.objects(ObjectKind::Leases).begin()->second.text;
+            [&cluster, &first] {
+                const std::string &text = cluster.store.objects(ObjectKind::Leases).begin()->second.text;
                 return text.substr(0, 1) != first && text != fleet::encodeReleasedLease();
             },
             base::seconds{5}));
-        world.store.put(ObjectKind::Weights, "m", "m 2");
+        cluster.store.put(ObjectKind::Weights, "m", "m 2");
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return world.isChanged(2);
+            [&cluster] {
+                return cluster.isChanged(2);
             },
             base::seconds{5}));
         assertNoViolation();
     }
 
     // Everything that was changed while the store was down is known soon after its return.
-    void testOutage()
+    void testStoreOutage()
     {
-        World &world = addWorldOfTwo();
+        TestCluster &cluster = addClusterOfTwoRouters();
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return hasTable(world, 1);
+            [&cluster] {
+                return hasTable(cluster, 1);
             },
             base::seconds{5}));
-        world.store.isDown = true;
+        cluster.store.isDown = true;
         m_loop->run_for(std::chrono::milliseconds{400});
-        CPPUNIT_ASSERT_MESSAGE("the age tells of the outage", world.routers[0]->age.age() > base::milliseconds{250});
-        world.store.put(ObjectKind::Tables, "main", "2");
-        world.store.put(ObjectKind::Weights, "m", "m 2");
-        world.store.isDown = false;
+        CPPUNIT_ASSERT_MESSAGE("the age tells of the outage", cluster.routers[0]->age.age() > base::milliseconds{250});
+        cluster.store.put(ObjectKind::Tables, "main", "2");
+        cluster.store.put(ObjectKind::Weights, "m", "m 2");
+        cluster.store.isDown = false;
         CPPUNIT_ASSERT(runUntil(
-            [&world] {
-                return hasTable(world, 2) && world.isChanged(2) && world.routers[0]->age.age() < base::milliseconds{200};
+            [&cluster] {
+                return hasTable(cluster, 2) && cluster.isChanged(2) && cluster.routers[0]->age.age() < base::milliseconds{200};
             },
             base::seconds{5}));
         assertNoViolation();
     }
 
     // Twenty pages from a store that refuses every third call, as when many routers start together.
-    void testLongListOfABusyStore()
+    void testPagedListFromOverloadedStore()
     {
         constexpr int Upstreams = 40;
-        World &world = addWorld();
+        TestCluster &cluster = addCluster();
         for (int i = 0; i < Upstreams; ++i) {
-            world.store.put(ObjectKind::Upstreams, "u" + std::to_string(100 + i), "p ready 1 1");
+            cluster.store.put(ObjectKind::Upstreams, "u" + std::to_string(100 + i), "p ready 1 1");
         }
-        world.store.pageSize = 2;
-        world.store.refusedListEvery = 3;
-        world.addRouter("a");
-        const auto knowsAll = [&world] {
-            return world.routers[0]->last && world.routers[0]->last->upstreams.size() == Upstreams + Engines;
+        cluster.store.pageSize = 2;
+        cluster.store.refusedListEvery = 3;
+        cluster.addRouter("a");
+        const auto hasAllUpstreams = [&cluster] {
+            return cluster.routers[0]->last && cluster.routers[0]->last->upstreams.size() == Upstreams + Engines;
         };
-        CPPUNIT_ASSERT(runUntil(knowsAll, base::seconds{5}));
+        CPPUNIT_ASSERT(runUntil(hasAllUpstreams, base::seconds{5}));
     }
 
-    void testGoneRouterIsForgotten()
+    void testUnreachableRouterIsRemoved()
     {
-        World &world = addWorld();
+        TestCluster &cluster = addCluster();
         const base::Endpoint gone{"10.0.0.9", 7};
-        world.store.put(ObjectKind::Duties, "router.gone", encodeRouter(gone));
-        world.addRouter("a");
-        world.addRouter("b");
-        const auto seesRouters = [&world](std::uint32_t routers) {
-            return std::all_of(world.routers.begin(), world.routers.end(), [routers](const auto &router) {
+        cluster.store.put(ObjectKind::Coordination, "router.gone", encodeRouter(gone));
+        cluster.addRouter("a");
+        cluster.addRouter("b");
+        const auto seesRouters = [&cluster](std::uint32_t routers) {
+            return std::all_of(cluster.routers.begin(), cluster.routers.end(), [routers](const auto &router) {
                 return router->last && router->last->routers == routers;
             });
         };
@@ -439,37 +439,37 @@
             },
             base::seconds{5}));
         // Both find out; the second one's removal meets nothing.
-        world.routers[0]->plane.onRouterGone(gone);
-        world.routers[1]->plane.onRouterGone(gone);
-        world.routers[1]->plane.onRouterGone(base::Endpoint{"10.0.0.8", 7});
+        cluster.routers[0]->plane.onRouterGone(gone);
+        cluster.routers[1]->plane.onRouterGone(gone);
+        cluster.routers[1]->plane.onRouterGone(base::Endpoint{"10.0.0.8", 7});
         CPPUNIT_ASSERT(runUntil(
             [&seesRouters] {
                 return seesRouters(2);
             },
             base::seconds{5}));
-        CPPUNIT_ASSERT(!world.store.objects(ObjectKind::Duties).contains("router.gone"));
+        CPPUNIT_ASSERT(!cluster.store.objects(ObjectKind::Coordination).contains("router.gone"));
     }
 
     // A router that was cut off from the others for long, but not from the store.
-    void testRouterThatWasForgottenComesBack()
+    void testRemovedRouterRegistersAgain()
     {
-        World &world = addWorldOfTwo();
-        const auto isRegistered = [&world] {
-            return world.store.objects(ObjectKind::Duties).contains("router.a") && world.routers[0]->last && world.routers[0]->last->routers == 2;
+        TestCluster &cluster = addClusterOfTwoRouters();
+        const auto isRegistered = [&cluster] {
+            return cluster.store.objects(ObjectKind::Coordination).contains("router.a") && cluster.routers[0]->last && cluster.routers[0]->last->routers == 2;
         };
         CPPUNIT_ASSERT(runUntil(isRegistered, base::seconds{5}));
-        const StoredObject object = world.store.objects(ObjectKind::Duties).at("router.a");
-        FakeClient client(world.store, world.routers[1]->clients.isCut);
+        const StoredObject object = cluster.store.objects(ObjectKind::Coordination).at("router.a");
+        FakeClient client(cluster.store, cluster.routers[1]->clients.isDisconnected);
         bool isRemoved = false;
         boost::asio::co_spawn(
             *m_loop,
             [&client, &object, &isRemoved]() -> Awaitable<void> {
-                isRemoved = (co_await client.remove(ObjectKind::Duties, object.name, object.revision)).has_value();
+                isRemoved = (co_await client.remove(ObjectKind::Coordination, object.name, object.revision)).has_value();
             },
             boost::asio::detached);
         CPPUNIT_ASSERT(runUntil(
-            [&world, &isRemoved] {
-                return isRemoved && world.routers[1]->last->routers == 1;
+            [&cluster, &isRemoved] {
+                return isRemoved && cluster.routers[1]->last->routers == 1;
             },
             base::seconds{5}));
         CPPUNIT_ASSERT(runUntil(isRegistered, base::seconds{5}));
--- a/carawaylatch/gateway/testing/fakes.h
+++ b/carawaylatch/gateway/testing/fakes.h
@@ -14,7 +14,7 @@
 {
 
 // Reads "POOL PHASE BORN WEIGHTS" for upstreams, a number for tables, "MODEL N" for weights.
-class WordDecoder : public FleetDecoder
+class PlainTextDecoder : public FleetDecoder
 {
 public:
     base::Result<proxy::RouteTable> decodeTable(std::string_view text) const override
--- a/carawaylatch/gateway/testing/fakestore.h
+++ b/carawaylatch/gateway/testing/fakestore.h
@@ -19,11 +19,11 @@
     None,
     Refused, // nothing was done
     AnswerLost, // done, not answered
-    DoneLate, // not answered, done a while later if the condition still holds
+    AppliedLate, // not answered, done a while later if the condition still holds
     HistoryGone, // of a watch; another call is refused
     Slow, // done and answered after a while
 };
-constexpr CallFault AllCallFaults[] = {CallFault::Refused, CallFault::AnswerLost, CallFault::DoneLate, CallFault::HistoryGone, CallFault::Slow};
+constexpr CallFault AllCallFaults[] = {CallFault::Refused, CallFault::AnswerLost, CallFault::AppliedLate, CallFault::HistoryGone, CallFault::Slow};
 
 // The objects and their history; shared by the clients of one world.
 class FakeStore
@@ -46,12 +46,12 @@
     }
 
     // The fault hits the call of this number, counted over all clients from 1; zero: none.
-    int faultAt = 0;
+    int faultyCall = 0;
     CallFault fault = CallFault::None;
     bool isDown = false; // every call is refused
     std::size_t pageSize = 0; // objects of one page of a list; zero: all
     int refusedListEvery = 0; // every so many calls of a list are refused; zero: none
-    bool areDutyReadsRefused = false; // reads of single objects of this project
+    bool areCoordinationReadsRefused = false; // reads of single objects of this project
 
 private:
     friend class FakeClient;
@@ -66,9 +66,9 @@
 class FakeClient : public ObjectClient
 {
 public:
-    FakeClient(FakeStore &store, const bool &isCut)
+    FakeClient(FakeStore &store, const bool &isDisconnected)
         : m_store(store)
-        , m_isCut(isCut)
+        , m_isDisconnected(isDisconnected)
     {
     }
 
@@ -125,10 +125,10 @@
         co_return page;
     }
 
-    Awaitable<base::Result<StoredObject>> read(ObjectKind kind, std::string name, Freshness /*freshness*/) override
+    Awaitable<base::Result<StoredObject>> read(ObjectKind kind, std::string name, ReadConsistency /*freshness*/) override
     {
         CallFault fault = co_await begin();
-        if (m_store.areDutyReadsRefused && kind == ObjectKind::Duties) {
+        if (m_store.areCoordinationReadsRefused && kind == ObjectKind::Coordination) {
             fault = CallFault::Refused;
         }
         if (const auto error = errorOf(fault)) {
@@ -147,8 +147,8 @@
         if (fault == CallFault::AnswerLost) {
             static_cast<void>(apply(kind, name, text, expected));
         }
-        if (fault == CallFault::DoneLate) {
-            auto timer = std::make_shared<boost::asio::steady_timer>(m_store.m_loop, Late);
+        if (fault == CallFault::AppliedLate) {
+            auto timer = std::make_shared<boost::asio::steady_timer>(m_store.m_loop, LateDelay);
             timer->async_wait([this, timer, kind, name, text, expected](const boost::system::error_code &) {
                 static_cast<void>(apply(kind, name, text, expected));
             });
@@ -186,7 +186,7 @@
 
 private:
     static constexpr base::Duration Step = base::milliseconds{5};
-    static constexpr base::Duration Late = base::milliseconds{150};
+    static constexpr base::Duration LateDelay = base::milliseconds{150};
 
     Awaitable<void> pause(base::Duration duration)
     {
@@ -195,9 +195,9 @@
     }
     Awaitable<CallFault> begin()
     {
-        const bool isHit = ++m_store.m_calls == m_store.faultAt;
-        const CallFault fault = m_store.isDown || m_isCut ? CallFault::Refused : (isHit ? m_store.fault : CallFault::None);
-        co_await pause(fault == CallFault::Slow ? Late : base::milliseconds{1});
+        const bool isHit = ++m_store.m_calls == m_store.faultyCall;
+        const CallFault fault = m_store.isDown || m_isDisconnected ? CallFault::Refused : (isHit ? m_store.fault : CallFault::None);
+        co_await pause(fault == CallFault::Slow ? LateDelay : base::milliseconds{1});
         co_return fault;
     }
     static std::optional<base::Error> errorOf(CallFault fault)
@@ -210,7 +210,7 @@
         case CallFault::HistoryGone:
             return base::fail(base::ErrorKind::Unavailable, "refused");
         case CallFault::AnswerLost:
-        case CallFault::DoneLate:
+        case CallFault::AppliedLate:
             return base::fail(base::ErrorKind::Unclear, "no answer");
         }
         return std::nullopt;
@@ -227,7 +227,7 @@
     }
 
     FakeStore &m_store;
-    const bool &m_isCut;
+    const bool &m_isDisconnected;
     bool m_isInterrupted = false;
 };
 
--- a/carawaylatch/gateway/testing/fleetstatetest.cpp
+++ b/carawaylatch/gateway/testing/fleetstatetest.cpp
@@ -30,20 +30,20 @@
 class FleetStateTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(FleetStateTest);
-    CPPUNIT_TEST(testTablesNeverGoBack);
-    CPPUNIT_TEST(testUnreadableTableChangesNothing);
-    CPPUNIT_TEST(testDrainingIsFinalForALife);
-    CPPUNIT_TEST(testUnreadableEntryNamesNoUpstream);
-    CPPUNIT_TEST(testEntryOfAnEarlierLifeIsIgnored);
-    CPPUNIT_TEST(testLapsedEntriesStayForAWhile);
-    CPPUNIT_TEST(testListedVersionCountsAsLongNamed);
-    CPPUNIT_TEST(testEngineKnowsItsWeightsBest);
+    CPPUNIT_TEST(testTableVersionNeverDecreases);
+    CPPUNIT_TEST(testMalformedTableIsIgnored);
+    CPPUNIT_TEST(testDrainingIsFinalForAnIncarnation);
+    CPPUNIT_TEST(testMalformedEntryRemovesUpstream);
+    CPPUNIT_TEST(testEntryOfEarlierIncarnationIsIgnored);
+    CPPUNIT_TEST(testExpiredEntriesStayDuringGrace);
+    CPPUNIT_TEST(testListedVersionAllowsNoOlderWeights);
+    CPPUNIT_TEST(testReportedWeightsOverrideEntry);
     CPPUNIT_TEST(testRoutersAreCounted);
-    CPPUNIT_TEST(testChangingEnginesSurviveTheirText);
+    CPPUNIT_TEST(testChangingEnginesRoundTrip);
     CPPUNIT_TEST(testDeadCacheStoresAreInTheView);
     CPPUNIT_TEST_SUITE_END();
 
-    WordDecoder m_decoder;
+    PlainTextDecoder m_decoder;
     std::unique_ptr<NullLog> m_log;
     std::unique_ptr<FleetState> m_state;
 
@@ -51,7 +51,7 @@
     {
         m_state->onChange(kind, object, false, Start);
     }
-    bool has(const std::string &id)
+    bool hasUpstream(const std::string &id)
     {
         return m_state->upstreams().contains(base::UpstreamId(id));
     }
@@ -63,7 +63,7 @@
         m_state = std::make_unique<FleetState>(m_decoder, m_log->log);
     }
 
-    void testTablesNeverGoBack()
+    void testTableVersionNeverDecreases()
     {
         change(ObjectKind::Tables, object("main", "7"));
         change(ObjectKind::Tables, object("main", "5", 2));
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, m_state->view()->table->version);
     }
 
-    void testUnreadableTableChangesNothing()
+    void testMalformedTableIsIgnored()
     {
         CPPUNIT_ASSERT(m_state->view()->table == nullptr);
         change(ObjectKind::Tables, object("main", "?"));
@@ -84,7 +84,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, m_state->view()->table->version);
     }
 
-    void testDrainingIsFinalForALife()
+    void testDrainingIsFinalForAnIncarnation()
     {
         change(ObjectKind::Upstreams, object("e", "p ready 10 1"));
         change(ObjectKind::Upstreams, object("e", "p draining 10 1", 2));
@@ -94,16 +94,16 @@
         CPPUNIT_ASSERT(m_state->view()->upstreams.front().phase == proxy::UpstreamPhase::Ready);
     }
 
-    void testUnreadableEntryNamesNoUpstream()
+    void testMalformedEntryRemovesUpstream()
     {
         change(ObjectKind::Upstreams, object("e", "p ready 10 1"));
         change(ObjectKind::Upstreams, object("f", "p ready 10 1"));
         change(ObjectKind::Upstreams, object("e", "??", 2));
-        CPPUNIT_ASSERT(!has("e"));
-        CPPUNIT_ASSERT(has("f"));
+        CPPUNIT_ASSERT(!hasUpstream("e"));
+        CPPUNIT_ASSERT(hasUpstream("f"));
     }
 
-    void testEntryOfAnEarlierLifeIsIgnored()
+    void testEntryOfEarlierIncarnationIsIgnored()
     {
         change(ObjectKind::Upstreams, object("e", "p ready 20 3"));
         change(ObjectKind::Upstreams, object("e", "p draining 10 1", 2));
@@ -113,27 +113,27 @@
 
     // After the store was out of reach, a missing entry may have lapsed: it stays in
     // use for a while, unless the upstream was leaving.
-    void testLapsedEntriesStayForAWhile()
+    void testExpiredEntriesStayDuringGrace()
     {
         change(ObjectKind::Upstreams, object("ready", "p ready 10 1"));
         change(ObjectKind::Upstreams, object("leaving", "p draining 10 1"));
         change(ObjectKind::Upstreams, object("removed", "p ready 10 1"));
         m_state->onChange(ObjectKind::Upstreams, removal("removed"), true, Start);
         m_state->onList(ObjectKind::Upstreams, {}, true, Start);
-        CPPUNIT_ASSERT(has("ready"));
-        CPPUNIT_ASSERT(has("removed"));
-        CPPUNIT_ASSERT(!has("leaving"));
-        CPPUNIT_ASSERT(!m_state->onTick(Start + FleetState::LapsedEntryLife - base::milliseconds{1}));
+        CPPUNIT_ASSERT(hasUpstream("ready"));
+        CPPUNIT_ASSERT(hasUpstream("removed"));
+        CPPUNIT_ASSERT(!hasUpstream("leaving"));
+        CPPUNIT_ASSERT(!m_state->onTick(Start + FleetState::ExpiredEntryGrace - base::milliseconds{1}));
         change(ObjectKind::Upstreams, object("ready", "p ready 10 1", 2));
-        CPPUNIT_ASSERT(m_state->onTick(Start + FleetState::LapsedEntryLife));
-        CPPUNIT_ASSERT(has("ready"));
-        CPPUNIT_ASSERT(!has("removed"));
+        CPPUNIT_ASSERT(m_state->onTick(Start + FleetState::ExpiredEntryGrace));
+        CPPUNIT_ASSERT(hasUpstream("ready"));
+        CPPUNIT_ASSERT(!hasUpstream("removed"));
         m_state->onList(ObjectKind::Upstreams, {}, false, Start);
-        CPPUNIT_ASSERT_MESSAGE("with the store in reach, missing is gone", !has("ready"));
+        CPPUNIT_ASSERT_MESSAGE("with the store in reach, missing is gone", !hasUpstream("ready"));
     }
 
     // A restarted router took a version that it found for new, and used older weights too long.
-    void testListedVersionCountsAsLongNamed()
+    void testListedVersionAllowsNoOlderWeights()
     {
         m_state->onList(ObjectKind::Weights, {object("m", "m 3")}, false, Start);
         const auto limit = base::seconds{6};
@@ -144,7 +144,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, m_state->targets().at(base::ModelId("m")).version.value);
     }
 
-    void testEngineKnowsItsWeightsBest()
+    void testReportedWeightsOverrideEntry()
     {
         change(ObjectKind::Upstreams, object("e", "p ready 10 1"));
         m_state->onWeightsSeen(base::UpstreamId("e"), base::WeightsVersion{2});
@@ -158,8 +158,8 @@
     void testRoutersAreCounted()
     {
         CPPUNIT_ASSERT_EQUAL(1U, m_state->view()->routers);
-        change(ObjectKind::Duties, object("router.a", "router"));
-        change(ObjectKind::Duties, object("router.b", "10.0.0.2:7340"));
+        change(ObjectKind::Coordination, object("router.a", "router"));
+        change(ObjectKind::Coordination, object("router.b", "10.0.0.2:7340"));
         CPPUNIT_ASSERT_EQUAL(2U, m_state->view()->routers);
         const base::Endpoint peers{"10.0.0.2", 7340};
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_state->view()->routerEndpoints.size());
@@ -167,13 +167,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("router.b"), m_state->routerAt(peers)->name);
         CPPUNIT_ASSERT(m_state->routerAt(base::Endpoint{"10.0.0.1", 7340}) == nullptr);
         // A removal may bear the revision of the change before it; an older one changes nothing.
-        change(ObjectKind::Duties, StoredObject{"router.b", {}, 0, true});
+        change(ObjectKind::Coordination, StoredObject{"router.b", {}, 0, true});
         CPPUNIT_ASSERT_EQUAL(2U, m_state->view()->routers);
-        change(ObjectKind::Duties, StoredObject{"router.b", {}, 1, true});
+        change(ObjectKind::Coordination, StoredObject{"router.b", {}, 1, true});
         CPPUNIT_ASSERT_EQUAL(1U, m_state->view()->routers);
     }
 
-    void testChangingEnginesSurviveTheirText()
+    void testChangingEnginesRoundTrip()
     {
         ChangingEngines changing;
         changing.engines = {base::UpstreamId("a"), base::UpstreamId("b")};
@@ -188,13 +188,13 @@
     void testDeadCacheStoresAreInTheView()
     {
         const base::Endpoint store{"127.0.0.1", 9};
-        static_cast<void>(m_state->takeChanged());
-        m_state->onCacheStore(store, true);
-        CPPUNIT_ASSERT(!m_state->takeChanged());
-        m_state->onCacheStore(store, false);
-        CPPUNIT_ASSERT(m_state->takeChanged());
+        static_cast<void>(m_state->consumeChanged());
+        m_state->onCacheStoreProbed(store, true);
+        CPPUNIT_ASSERT(!m_state->consumeChanged());
+        m_state->onCacheStoreProbed(store, false);
+        CPPUNIT_ASSERT(m_state->consumeChanged());
         CPPUNIT_ASSERT(m_state->view()->deadCacheStores.contains(store));
-        m_state->onCacheStore(store, true);
+        m_state->onCacheStoreProbed(store, true);
         CPPUNIT_ASSERT(m_state->view()->deadCacheStores.empty());
     }
 };
--- a/carawaylatch/gateway/testing/gatewaysettingstest.cpp
+++ b/carawaylatch/gateway/testing/gatewaysettingstest.cpp
@@ -15,9 +15,9 @@
 {
     CPPUNIT_TEST_SUITE(GatewaySettingsTest);
     CPPUNIT_TEST(testAllKeys);
-    CPPUNIT_TEST(testMistakesNameTheirKey);
+    CPPUNIT_TEST(testErrorsNameTheKey);
     CPPUNIT_TEST(testMissingKeys);
-    CPPUNIT_TEST(testBoundsFollow);
+    CPPUNIT_TEST(testDerivedLimitsStayBelowSettings);
     CPPUNIT_TEST(testTemplateHasKnownKeys);
     CPPUNIT_TEST(testPageIsUpToDate);
     CPPUNIT_TEST_SUITE_END();
@@ -40,9 +40,9 @@
         CPPUNIT_ASSERT_EQUAL(2000.0, settings.value().leaseMs);
     }
 
-    void testMistakesNameTheirKey()
+    void testErrorsNameTheKey()
     {
-        const std::pair<std::string, std::string> mistakes[] = {
+        const std::pair<std::string, std::string> invalidTexts[] = {
             {"[retries]\nshare = much\n", "share"},
             {"[retries]\nshares = 1\n", "shares"},
             {"[retry]\nshare = 1\n", "share"},
@@ -52,7 +52,7 @@
             {"[gateway]\nmemory_mb = 1\n", "memory_mb"},
             {"[store]\nwatch_ms = -3\n", "watch_ms"},
         };
-        for (const auto &[more, key] : mistakes) {
+        for (const auto &[more, key] : invalidTexts) {
             const auto settings = parseGatewaySettings(text(more), "f");
             CPPUNIT_ASSERT_MESSAGE(more, !settings.has_value());
             CPPUNIT_ASSERT_MESSAGE(settings.error().message, settings.error().message.find(key) != std::string::npos);
@@ -76,7 +76,7 @@
     }
 
     // Requests with a key end before the bound, readiness before that, a watch in good order before both.
-    void testBoundsFollow()
+    void testDerivedLimitsStayBelowSettings()
     {
         const GatewaySettings settings = parseGatewaySettings(text(), "f").value();
         const proxy::TrafficSettings traffic = settings.traffic();
@@ -84,7 +84,7 @@
         CPPUNIT_ASSERT(traffic.maxTableAge < base::seconds{5});
         CPPUNIT_ASSERT(traffic.readyTableAge < traffic.maxTableAge);
         CPPUNIT_ASSERT(control.watchWait * 2 < traffic.readyTableAge);
-        CPPUNIT_ASSERT(control.rollout.settleTime >= base::fromSeconds(settings.leaseMs / 1000));
+        CPPUNIT_ASSERT(control.rollout.takeoverDelay >= base::fromSeconds(settings.leaseMs / 1000));
     }
 
     // A key that the settings refuse would keep every process from starting.
--- a/carawaylatch/gateway/testing/rollouttest.cpp
+++ b/carawaylatch/gateway/testing/rollouttest.cpp
@@ -23,24 +23,24 @@
 {
     CPPUNIT_TEST_SUITE(RolloutTest);
     CPPUNIT_TEST(testWholeFleetChangesWithinBounds);
-    CPPUNIT_TEST(testNewerVersionReplacesTheOneUnderWay);
-    CPPUNIT_TEST(testLostOrderIsGivenAgain);
-    CPPUNIT_TEST(testRefusedOrderIsGivenAgainAfterAPause);
-    CPPUNIT_TEST(testPredecessorsEnginesAreLeftAlone);
-    CPPUNIT_TEST(testEngineThatLeavesIsForgotten);
+    CPPUNIT_TEST(testNewerVersionReplacesPendingVersion);
+    CPPUNIT_TEST(testLostOrderIsRepeated);
+    CPPUNIT_TEST(testRejectedOrderIsRepeatedAfterPause);
+    CPPUNIT_TEST(testEnginesOfPreviousHolderGetNoOrders);
+    CPPUNIT_TEST(testLeavingEngineIsDropped);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr int Engines = 9;
     static constexpr base::Duration LoadTime = base::milliseconds{570};
 
-    WordDecoder m_decoder;
+    PlainTextDecoder m_decoder;
     std::unique_ptr<NullLog> m_log;
     std::unique_ptr<FleetState> m_state;
     std::unique_ptr<Rollout> m_rollout;
     std::map<base::UpstreamId, std::pair<base::TimePoint, base::WeightsVersion>> m_loads;
     base::TimePoint m_now = Start;
-    std::size_t m_mostLoads = 0;
-    std::size_t m_mostAway = 0;
+    std::size_t m_maxLoads = 0;
+    std::size_t m_maxUnavailable = 0;
     int m_orders = 0;
     bool m_dropsOrders = false;
 
@@ -60,33 +60,33 @@
                 ++it;
             }
         }
-        for (const WeightsOrder &order : m_rollout->plan(m_now, fleet::Tenure{base::FenceToken{5}, Start}, *m_state)) {
+        for (const WeightsOrder &order : m_rollout->plan(m_now, fleet::LeaseTerm{base::FenceToken{5}, Start}, *m_state)) {
             ++m_orders;
             if (!m_dropsOrders) {
                 m_loads[order.engine] = {m_now, order.version};
             }
         }
-        m_mostLoads = std::max(m_mostLoads, m_loads.size());
-        m_mostAway = std::max(m_mostAway, m_rollout->changing().engines.size());
+        m_maxLoads = std::max(m_maxLoads, m_loads.size());
+        m_maxUnavailable = std::max(m_maxUnavailable, m_rollout->changing().engines.size());
     }
 
-    bool isSettled(std::uint64_t version) const
+    bool isUpToDate(std::uint64_t version) const
     {
         return std::all_of(m_state->upstreams().begin(), m_state->upstreams().end(), [version](const auto &it) {
             return it.second.models.begin()->second.value == version;
         });
     }
 
-    base::Duration runUntilSettled(std::uint64_t version)
+    base::Duration runUntilUpToDate(std::uint64_t version)
     {
         const base::TimePoint begun = m_now;
-        while (!isSettled(version) && m_now - begun < base::seconds{60}) {
+        while (!isUpToDate(version) && m_now - begun < base::seconds{60}) {
             step();
         }
         return m_now - begun;
     }
 
-    void name(std::uint64_t version)
+    void announceVersion(std::uint64_t version)
     {
         m_state->onChange(ObjectKind::Weights, StoredObject{"m", "m " + std::to_string(version), version, false}, false, m_now);
     }
@@ -102,7 +102,7 @@
         }
         m_loads.clear();
         m_now = Start;
-        m_mostLoads = m_mostAway = 0;
+        m_maxLoads = m_maxUnavailable = 0;
         m_orders = 0;
         m_dropsOrders = false;
     }
@@ -112,48 +112,48 @@
     {
         step();
         CPPUNIT_ASSERT_EQUAL_MESSAGE("nothing is named", 0, m_orders);
-        name(2);
-        const base::Duration took = runUntilSettled(2);
-        CPPUNIT_ASSERT(took < base::seconds{8});
+        announceVersion(2);
+        const base::Duration duration = runUntilUpToDate(2);
+        CPPUNIT_ASSERT(duration < base::seconds{8});
         CPPUNIT_ASSERT_EQUAL(Engines, m_orders);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_mostLoads);
-        CPPUNIT_ASSERT(m_mostAway <= Engines / 2);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_maxLoads);
+        CPPUNIT_ASSERT(m_maxUnavailable <= Engines / 2);
         step();
         CPPUNIT_ASSERT(m_rollout->changing().engines.empty());
     }
 
     // Engines that loaded a replaced version waited for the time limit of their order.
-    void testNewerVersionReplacesTheOneUnderWay()
+    void testNewerVersionReplacesPendingVersion()
     {
-        name(2);
+        announceVersion(2);
         while (m_loads.empty()) {
             step();
         }
-        name(3);
-        CPPUNIT_ASSERT(runUntilSettled(3) < base::seconds{8});
+        announceVersion(3);
+        CPPUNIT_ASSERT(runUntilUpToDate(3) < base::seconds{8});
         CPPUNIT_ASSERT(m_orders <= Engines + 2);
     }
 
-    void testLostOrderIsGivenAgain()
+    void testLostOrderIsRepeated()
     {
-        name(2);
+        announceVersion(2);
         m_dropsOrders = true;
         while (m_orders == 0) {
             step();
         }
         m_dropsOrders = false;
-        CPPUNIT_ASSERT(runUntilSettled(2) < RolloutSettings{}.orderTimeout + base::seconds{8});
+        CPPUNIT_ASSERT(runUntilUpToDate(2) < RolloutSettings{}.orderTimeout + base::seconds{8});
     }
 
-    void testRefusedOrderIsGivenAgainAfterAPause()
+    void testRejectedOrderIsRepeatedAfterPause()
     {
-        name(2);
+        announceVersion(2);
         m_dropsOrders = true;
         while (m_orders == 0) {
             step();
         }
         m_dropsOrders = false; // engines that are ordered from now on load
-        m_rollout->onRefused(m_now, engine(0));
+        m_rollout->onOrderRejected(m_now, engine(0));
         step();
         CPPUNIT_ASSERT(!m_loads.contains(engine(0)));
         for (int i = 0; i < 60 && !m_loads.contains(engine(0)); ++i) {
@@ -163,29 +163,29 @@
     }
 
     // Orders of two holders to one engine keep the lease's time between them.
-    void testPredecessorsEnginesAreLeftAlone()
+    void testEnginesOfPreviousHolderGetNoOrders()
     {
         ChangingEngines inherited;
         inherited.engines = {engine(0)};
         inherited.changed = {{engine(1), base::WeightsVersion{1}}};
         m_rollout->takeOver(m_now, inherited);
-        name(2);
-        std::set<base::UpstreamId> early;
-        while (m_now - Start < RolloutSettings{}.settleTime - Step) {
+        announceVersion(2);
+        std::set<base::UpstreamId> orderedDuringDelay;
+        while (m_now - Start < RolloutSettings{}.takeoverDelay - Step) {
             step();
             for (const auto &[id, load] : m_loads) {
-                early.insert(id);
+                orderedDuringDelay.insert(id);
             }
         }
-        CPPUNIT_ASSERT(!early.contains(engine(0)));
-        CPPUNIT_ASSERT(!early.contains(engine(1)));
-        CPPUNIT_ASSERT(early.size() > 2);
-        CPPUNIT_ASSERT(runUntilSettled(2) < base::seconds{8});
+        CPPUNIT_ASSERT(!orderedDuringDelay.contains(engine(0)));
+        CPPUNIT_ASSERT(!orderedDuringDelay.contains(engine(1)));
+        CPPUNIT_ASSERT(orderedDuringDelay.size() > 2);
+        CPPUNIT_ASSERT(runUntilUpToDate(2) < base::seconds{8});
     }
 
-    void testEngineThatLeavesIsForgotten()
+    void testLeavingEngineIsDropped()
     {
-        name(2);
+        announceVersion(2);
         step();
         const base::UpstreamId leaving = *m_rollout->changing().engines.begin();
         m_state->onChange(ObjectKind::Upstreams, StoredObject{leaving.value(), "p draining 1 1", 2, false}, false, m_now);
--- a/carawaylatch/router/platformduties.cpp
+++ b/carawaylatch/router/platformduties.cpp
@@ -30,7 +30,7 @@
 fleet::FleetSettings fleetSettings(const config::Settings &settings)
 {
     fleet::FleetSettings fleet;
-    fleet.lease.length = settings.timings.lease;
+    fleet.lease.duration = settings.timings.lease;
     return fleet;
 }
 
