--- a/carawaylatch/fleet/enginecontrol.h
+++ b/carawaylatch/fleet/enginecontrol.h
@@ -1,7 +1,7 @@
-// Orders to one engine, and its report. http/ implements it over the wire of
-// docs/design/wire.md (`POST /v1/orders`, `GET /v1/load`), tests with fakes.
-// Orders are absolute ("serve version 7"), so repeating one is harmless. Calls
-// block; they are made from a platform thread.
+// Interface that sends orders to an engine and reads its report. http/ implements it
+// with the protocol of docs/design/wire.md (`POST /v1/orders`, `GET /v1/load`); tests
+// use fakes. An order names the desired state ("serve version 7"), so repeating it is
+// harmless. Calls block, so they are made on a worker thread.
 #pragma once
 
 #include <string>
@@ -34,7 +34,7 @@
     Leaving,
 };
 
-// What an engine reports, with the lag `age`.
+// State of an engine as it was `age` ago.
 struct EngineReport
 {
     base::Incarnation incarnation;
@@ -49,8 +49,9 @@
 {
 public:
     virtual ~EngineControl() = default;
-    // Gives the order. StaleState: the engine refused an old fencing number.
-    // Unavailable: not sent. Any other error: it may have been obeyed.
+    // Sends the order. StaleState: the engine rejected it because its fencing token is
+    // outdated. Unavailable: not sent. After any other error the order may have been
+    // executed.
     [[nodiscard]] virtual base::Result<void> order(const base::UpstreamId &upstream, const base::Endpoint &endpoint, const EngineOrder &order) = 0;
     [[nodiscard]] virtual base::Result<EngineReport> report(const base::UpstreamId &upstream, const base::Endpoint &endpoint) = 0;
 };
--- a/carawaylatch/fleet/fleetdriver.cpp
+++ b/carawaylatch/fleet/fleetdriver.cpp
@@ -1,6 +1,7 @@
-// Thin driver: lease first, then reports, then orders, with the lease asked again
-// right before each order. A pause between that question and the order's arrival
-// is what fencing numbers are for, and maxOrderDelay where engines ignore them.
+// Each step renews the lease, polls engines and sends orders. The lease is checked
+// again right before each order. The process may be suspended between that check and
+// the order's arrival: engines then reject the order by its fencing token, and for
+// engines without fencing the next holder waits for maxOrderDelay.
 #include "carawaylatch/fleet/fleetdriver.h"
 
 #include <algorithm>
@@ -93,7 +94,7 @@
     }
 }
 
-// Asks up to maxReportsPerStep engines of the domain, in turn.
+// Polls up to maxReportsPerStep engines of the domain in round-robin order.
 void FleetDriver::pollEngines(std::span<const config::Pool> pools)
 {
     std::vector<const config::PoolMember *> members;
@@ -157,7 +158,8 @@
     m_controller.clearOrder(planned.upstream);
 }
 
-// Takes over the slots of a former holder, so that they are given back after the load.
+// Finds the slots that a previous holder acquired for engines of this domain, so that
+// they are released after the load.
 void FleetDriver::recoverSlots(std::span<const config::Pool> pools)
 {
     std::uint32_t slots = 0;
@@ -176,7 +178,7 @@
     }
 }
 
-// Gives slots back of engines that neither load nor are about to.
+// Releases the slots of engines that neither load nor have an order to load.
 void FleetDriver::releaseSlots()
 {
     std::erase_if(m_slotHolders, [this](const auto &it) {
--- a/carawaylatch/fleet/fleetdriver.h
+++ b/carawaylatch/fleet/fleetdriver.h
@@ -1,6 +1,7 @@
-// Runs the lease and the weights controller of one failure domain against the
-// platform and the engines. Call step() from a platform worker thread, about
-// twice a second; it blocks for the calls it makes.
+// Changes the weights of the engines of one failure domain: holds the domain's lease
+// in the object store, polls the engines and sends them the orders that
+// WeightsController plans. Call step() about twice a second from a worker thread; it
+// blocks during the calls to the store and the engines.
 //
 //     FleetDriver driver(identity, store, engineControl, clock);
 //     driver.step(snapshot->pools);
@@ -27,8 +28,8 @@
 {
     LeaseSettings lease;
     WeightsSettings weights;
-    base::Duration slotTimeout = base::minutes{5}; // longer than any load of weights
-    std::size_t maxReportsPerStep = 64; // engines asked in one step
+    base::Duration slotTimeout = base::minutes{5}; // must exceed the longest load of weights
+    std::size_t maxReportsPerStep = 64; // engines polled in one step
 };
 
 struct FleetIdentity
@@ -40,11 +41,11 @@
 
 struct FleetCounters
 {
-    std::uint64_t orders = 0; // given, including those whose answer was lost
-    std::uint64_t staleFenceRejections = 0; // an engine knew a greater fencing number
-    std::uint64_t failedOrders = 0; // not sent or refused for another reason
-    std::uint64_t slotWaits = 0;
-    std::size_t blockedEngines = 0; // engines that can't change because too many are unreached or leaving
+    std::uint64_t orders = 0; // sent, including those whose response was lost
+    std::uint64_t staleFenceRejections = 0; // orders rejected by an engine that has seen a higher fencing token
+    std::uint64_t failedOrders = 0; // orders that were not sent
+    std::uint64_t slotWaits = 0; // orders postponed because no load slot was acquired
+    std::size_t blockedEngines = 0; // engines that can't change because too many are unreachable or leaving
     bool isHolder = false;
     base::FenceToken fence;
 };
@@ -55,7 +56,7 @@
     FleetDriver(FleetIdentity identity, store::ObjectStore &store, EngineControl &engines, const base::Clock &clock, FleetSettings settings = {});
 
     void step(std::span<const config::Pool> pools);
-    // For status pages; call from the thread that calls step().
+    // For status pages. Not thread-safe: call it on the thread that calls step().
     [[nodiscard]] const FleetCounters &counters() const;
     [[nodiscard]] EngineChangeState changeState(const base::UpstreamId &engine) const;
 
@@ -76,9 +77,9 @@
     Lease m_lease;
     WeightsController m_controller;
     LoadSlots m_slots;
-    std::vector<ObservedEngine> m_observed; // by id; engines of the domain's pools
+    std::vector<ObservedEngine> m_observed; // last reports, one for each engine of the domain's pools
     std::size_t m_nextMember = 0;
-    std::map<base::UpstreamId, std::uint32_t> m_slotHolders; // engines that hold one of so many slots
+    std::map<base::UpstreamId, std::uint32_t> m_slotHolders; // engine to the number of slots among which it holds one
     FleetCounters m_counters;
 };
 
--- a/carawaylatch/fleet/lease.cpp
+++ b/carawaylatch/fleet/lease.cpp
@@ -1,17 +1,17 @@
-// Lease by observation (after the usual scheme of lock services without a common
-// clock: the holder's promise is shorter than the observer's patience).
+// Lease without a common clock, as in usual lock services: the holder's validity period
+// is shorter than the time that an observer waits before it takes over.
 //
-// Why two never believe at once. Let A's last write be sent at s on A's clock and
-// take effect later. A believes until s + 2/3 length. B sees the new version
-// after it took effect, waits a whole length of its own clock and only then
-// writes, on condition of that version. If A renews meanwhile, B's write fails.
-// So B's belief starts more than a length after s, on clocks whose rates differ
-// by less than a half.
+// Why two routers never hold the lease at once: let router A send its last write at
+// time s of its clock. A holds the lease until s + 2/3 duration. Router B reads the new
+// version only after the write took effect, waits for the whole duration by its own
+// clock and then writes on the condition that the version is unchanged. If A has
+// renewed the lease meanwhile, B's write fails. So B's lease starts more than one
+// duration after s, for clocks whose rates differ by less than a half.
 //
-// A write whose answer was lost is read back. Our own write id found there means
-// that we hold, and belief counts from when that write was sent, not from the
-// reading. An older write of this incarnation that arrived late is overwritten at
-// once: nobody else believes in it.
+// After a write whose response was lost, the object is read back. If it contains the id
+// of that write, this router holds the lease, and its validity counts from when the
+// write was sent, not from the read. An older write of this incarnation that took
+// effect late is overwritten at once, as no other router holds the lease by it.
 #include "carawaylatch/fleet/lease.h"
 
 #include <charconv>
@@ -27,10 +27,10 @@
 
 base::Error malformedLeaseError()
 {
-    return base::fail(ErrorKind::InvalidArgument, "lease object can't be decoded; remove it, and a router creates it anew");
+    return base::fail(ErrorKind::InvalidArgument, "lease object is malformed; remove it, and a router will create a new one");
 }
 
-// Parses the number after the last space and cuts it off the text.
+// Parses the number after the last space and removes both from the text.
 std::optional<std::uint64_t> extractTrailingNumber(std::string_view &text)
 {
     const std::size_t space = text.rfind(' ');
@@ -120,7 +120,7 @@
     return beginRead(now);
 }
 
-// True if no other router can believe in the version last seen.
+// True if no other router can be holding the lease by the observed version.
 bool Lease::isFree(base::TimePoint now) const
 {
     return m_state.observedVersion && (m_state.observedVersion->value == 0 || m_state.hasNoHolder || now - m_state.observedAt >= m_settings.duration);
@@ -166,7 +166,7 @@
         if (result.error().kind == ErrorKind::NotFound) {
             observe(now, {}, false);
         }
-        return; // not read: stay and read again after the interval
+        return; // read failed: keep the phase and read again after readInterval
     }
     const store::Object &object = result.value();
     const auto holder = decodeLease(object.value);
@@ -175,7 +175,7 @@
     if (isOurs && holder.value().writeId == m_self.writeId) {
         confirm(now, object.version);
     } else if (isOurs && object.version == m_state.heldVersion) {
-        m_state.phase = LeasePhase::Holding; // the renewal has not taken effect; write again
+        m_state.phase = LeasePhase::Holding; // the renewal has had no effect so far; write again
     } else {
         m_state.hadOtherHolder = m_state.hadOtherHolder || !isOurRouter;
         const bool isReleased = object.value == encodeReleasedLease();
--- a/carawaylatch/fleet/lease.h
+++ b/carawaylatch/fleet/lease.h
@@ -1,14 +1,15 @@
-// A lease over one platform object: at most one believing holder at a time.
+// A lease stored in one object of the object store: at most one router regards itself
+// as the holder at any time.
 //
-// Nobody compares wall clocks. An observer times the lease by its own monotonic
-// clock from the moment it first saw the object's present version; a whole
-// length without a change means that the holder has stopped believing, as that
-// one counts from before its last write was sent and stops at two thirds. The
-// margin bears clocks whose rates differ by up to a half, and any pause: a
-// paused holder asks isHeld(now) before each act. The fencing number is the
-// object's version, which grows with every write.
+// Wall clocks are never compared. An observer measures with its own monotonic clock,
+// from when it first read the object's current version. Once that version is
+// unchanged for the whole lease duration, the lease has expired for its holder: the
+// holder counts from before it sent its last write, and only for two thirds of the
+// duration. The margin tolerates clock rates that differ by up to a half. A process
+// that was suspended is safe as well, because it checks isHeld(now) before each
+// action. The fencing token is the object's version, which increases with every write.
 //
-// The machine does no I/O: poll() says what to do next, on...() report results.
+// The class does no I/O: poll() returns the next call to make, on...() take its result.
 //
 //     LeaseAction action = lease.poll(now);
 //     if (action.kind == LeaseActionKind::Read) lease.onRead(clock.now(), store.read(name));
@@ -29,10 +30,10 @@
 
 struct LeaseSettings
 {
-    base::Duration duration = base::seconds{15}; // equal on all routers
-    base::Duration readInterval = base::seconds{1}; // of an observer, and between failed renewals
-    // True if a router's id names at most one live process at any time. A lease of
-    // an earlier life of this router is then free at once.
+    base::Duration duration = base::seconds{15}; // must be the same on all routers
+    base::Duration readInterval = base::seconds{1}; // between reads of an observer, and between failed renewals
+    // True if at most one process uses a router id at any time. A lease that an earlier
+    // process with this id held is then free at once.
     bool isRouterIdUnique = false;
 };
 
@@ -40,28 +41,28 @@
 {
     base::RouterId router;
     base::Incarnation incarnation;
-    std::uint64_t writeId = 0; // tells this router's own writes apart when reading back
+    std::uint64_t writeId = 0; // identifies the write when the object is read back
 
     bool operator==(const LeaseHolder &) const = default;
 };
 
 [[nodiscard]] std::string encodeLease(const LeaseHolder &holder);
-// The value of a lease that its holder gave up; it is free at once.
+// Returns the value of a lease that its holder released; it is free at once.
 [[nodiscard]] std::string encodeReleasedLease();
-// Returns the holder, or InvalidArgument for a value that no router wrote.
+// Returns the holder, or InvalidArgument if the value is malformed.
 [[nodiscard]] base::Result<LeaseHolder> decodeLease(std::string_view value);
 
 enum class LeasePhase {
-    Observing, // another holds it, or nobody yet known
-    Acquiring, // write under way
-    Verifying, // reading back after an unclear or refused write
+    Observing, // another router holds the lease, or the holder is not known yet
+    Acquiring, // write in flight
+    Verifying, // reads the object back after a write that failed or whose result is unknown
     Holding,
-    Renewing, // write under way; still holding by the former one; stays last
+    Renewing, // write in flight; holds the lease by the previous write; must stay last
 };
 constexpr std::size_t LeasePhaseCount = static_cast<std::size_t>(LeasePhase::Renewing) + 1;
 
 enum class LeaseActionKind {
-    None, // nothing to do, or the former call is under way
+    None, // nothing to do, or the previous call is in flight
     Read,
     Write,
 };
@@ -69,32 +70,34 @@
 struct LeaseAction
 {
     LeaseActionKind kind = LeaseActionKind::None;
-    std::string value; // with Write
-    store::Version expected; // with Write
+    std::string value; // to write
+    store::Version expected; // the write succeeds only if this is the object's version
 };
 
-// All that a lease remembers.
+// Complete state of a lease; the tests use it to recognize equal states.
 struct LeaseState
 {
     LeasePhase phase = LeasePhase::Observing;
     bool isCallPending = false;
-    // The version last seen of another holder, and since when; zero: object absent.
+    // Last version read while not holding, and when it was first read; version zero:
+    // the object is absent.
     std::optional<store::Version> observedVersion;
     base::TimePoint observedAt;
-    // True if nobody can believe in the object seen: it was written by this very
-    // incarnation, by an earlier one where the settings say that it is no more, or
-    // by a holder that gave the lease up.
+    // True if no router can be holding the lease by the observed version: this
+    // incarnation wrote it, or an earlier one while isRouterIdUnique is set, or its
+    // holder released the lease.
     bool hasNoHolder = false;
     base::TimePoint nextCall;
-    // The last write: its id, when it was sent and what it was conditional on.
+    // The last write: its id, when it was sent, and the version that it required.
     std::uint64_t writeId = 0;
     base::TimePoint sentAt;
     store::Version expected;
-    // The version last confirmed as ours; zero: not holding. Belief ends at validUntil.
+    // Last version confirmed as written by this router; zero: not holding. The lease is
+    // held until validUntil.
     store::Version heldVersion;
     base::TimePoint validUntil;
     base::TimePoint heldSince;
-    // Another router, or one that gave the lease up, was seen to have held it.
+    // True if another router's lease or a released lease was read.
     bool hadOtherHolder = false;
 
     bool operator==(const LeaseState &) const = default;
@@ -105,21 +108,21 @@
 public:
     Lease(base::RouterId router, base::Incarnation incarnation, LeaseSettings settings);
 
-    // Returns what to do now; at most one call is under way.
+    // Returns the call to make now; at most one call is in flight.
     [[nodiscard]] LeaseAction poll(base::TimePoint now);
-    // NotFound counts as an answer: the lease is free.
+    // NotFound means that the lease is free.
     void onRead(base::TimePoint now, const base::Result<store::Object> &result);
     void onWritten(base::TimePoint now, const base::Result<store::Version> &result);
 
-    // True while this router may act as holder; ask right before each act.
+    // True while this router may act as the holder. Check it right before each action.
     [[nodiscard]] bool isHeld(base::TimePoint now) const;
-    // Fencing number of the present holding; nothing if isHeld() is false.
+    // Returns the fencing token; nothing if isHeld() is false.
     [[nodiscard]] std::optional<base::FenceToken> fence(base::TimePoint now) const;
-    // True if no other router held the lease before the present holding, as far as
-    // this one saw: the lease was never taken, or it was taken by this router.
+    // True if this router has never read a lease of another router or a released lease.
     [[nodiscard]] bool hadNoOtherHolder() const;
-    // Time since this router learned that it holds, without a break since. Orders
-    // of a former holder can be in flight for a while after that.
+    // Time since this router learned that it had acquired the lease, which it has held
+    // without interruption since. Orders of the previous holder can be in flight for a
+    // while after that.
     [[nodiscard]] base::Duration heldDuration(base::TimePoint now) const;
     [[nodiscard]] const LeaseState &state() const;
 
@@ -130,7 +133,7 @@
     void confirm(base::TimePoint now, store::Version version);
     void observe(base::TimePoint now, store::Version version, bool hasNoHolder);
 
-    LeaseHolder m_self; // writeId is that of the last write
+    LeaseHolder m_self; // with the id of the last write
     LeaseSettings m_settings;
     LeaseState m_state;
 };
--- a/carawaylatch/fleet/loadslots.cpp
+++ b/carawaylatch/fleet/loadslots.cpp
@@ -1,6 +1,6 @@
-// Slot objects. The search looks at all slots before it takes one, so that an
-// engine whose slot was taken by a former holder of the lease, or by a write
-// whose answer was lost, is found again and never holds two.
+// acquire() reads all slots before it writes one: the engine may hold a slot already,
+// acquired by a previous lease holder or by a write whose response was lost, and must
+// not hold two.
 #include "carawaylatch/fleet/loadslots.h"
 
 #include <optional>
@@ -57,7 +57,7 @@
         }
     }
     if (!free) {
-        return base::fail(ErrorKind::Overloaded, "all slots for loads of weights are taken; wait for a load to end", base::seconds{1});
+        return base::fail(ErrorKind::Overloaded, "all slots for loads of weights are in use; wait until a load has finished", base::seconds{1});
     }
     const auto written = m_store.write(free->name, engine.value(), free->version);
     if (!written) {
--- a/carawaylatch/fleet/loadslots.h
+++ b/carawaylatch/fleet/loadslots.h
@@ -1,11 +1,11 @@
-// Slots for loads of weights: at most N at once over all pools and domains, as
-// many as the weight store bears.
+// Limits concurrent loads of weights to N over all pools and failure domains, which is
+// the number of loads that the weight store can serve.
 //
-// Slot i of N is the object "fleet/slots/i", whose value names the engine that
-// loads. A slot is taken by creating it, and given back by removing it at the
-// version seen. A slot whose holder vanished is taken over after it was seen
-// unchanged for `lapse` by this router's own clock, which must be longer than any
-// load.
+// Slot i of N is the object "fleet/slots/i", whose value is the id of the engine that
+// loads. A slot is acquired by creating or overwriting the object and released by
+// removing it, both on the condition that its version is unchanged. A slot whose
+// holder has crashed is taken over once its version was unchanged for `timeout` on this
+// router's clock; `timeout` must exceed the longest load.
 #pragma once
 
 #include <cstdint>
@@ -26,12 +26,12 @@
 public:
     LoadSlots(store::ObjectStore &store, base::Duration timeout);
 
-    // Takes one of the first `slots` slots for the engine, or finds the one it
-    // has. Overloaded: all are taken. Unclear: ask again to find out.
+    // Acquires one of the first `slots` slots for the engine, or finds the one that it
+    // holds. Overloaded: all are in use. Unclear: the result is unknown; call again.
     [[nodiscard]] base::Result<void> acquire(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine);
-    // Gives back every slot of the engine; an error means to try again.
+    // Releases every slot of the engine. Call again after an error.
     [[nodiscard]] base::Result<void> release(std::uint32_t slots, const base::UpstreamId &engine);
-    // Returns the engines that hold slots; unreadable slots are left out.
+    // Returns the engines that hold slots, without slots that could not be read.
     [[nodiscard]] std::vector<base::UpstreamId> holders(std::uint32_t slots);
 
 private:
@@ -44,7 +44,7 @@
 
     store::ObjectStore &m_store;
     base::Duration m_timeout;
-    std::map<std::string, Observation> m_observations; // one entry a slot
+    std::map<std::string, Observation> m_observations; // by slot name
 };
 
 } // namespace carawaylatch::fleet
--- a/carawaylatch/fleet/testing/fleettest.cpp
+++ b/carawaylatch/fleet/testing/fleettest.cpp
@@ -1,5 +1,5 @@
-// Changes of weights over three failure domains in virtual time: slots, capacity,
-// fencing, and every fault at every step of an engine's change.
+// Tests changes of weights over three failure domains in virtual time: load slots,
+// capacity limits, fencing, and every fault in every state of an engine's change.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -37,7 +37,7 @@
     NotSent,
     AnswerLost,
     RequestLost,
-    Delayed, // lands when delayedLand() is called
+    Delayed, // the test executes it later
 };
 
 struct FakeEngine
@@ -48,7 +48,7 @@
     base::TimePoint loadedAt;
     base::FenceToken fence;
     bool isReachable = true;
-    std::vector<std::pair<base::TimePoint, EngineReport>> history; // kept for lagging reports
+    std::vector<std::pair<base::TimePoint, EngineReport>> history; // earlier reports, for `lag`
 };
 
 struct ExecutedOrder
@@ -58,7 +58,7 @@
     EngineOrder order;
 };
 
-// Engines in memory under a manual clock.
+// Simulated engines with a manual clock.
 class FakeFleet : public EngineControl
 {
 public:
@@ -69,8 +69,8 @@
 
     std::map<base::UpstreamId, FakeEngine> engines;
     bool checksFencing = true;
-    base::Duration lag{}; // of reports
-    OrderFault fault = OrderFault::None; // of the next order
+    base::Duration lag{}; // age of reports
+    OrderFault fault = OrderFault::None; // for the next order
     std::vector<std::pair<base::UpstreamId, EngineOrder>> delayed;
     std::vector<ExecutedOrder> executedOrders;
 
@@ -160,8 +160,9 @@
 };
 constexpr std::size_t ChangeFaultCount = static_cast<std::size_t>(ChangeFault::PlatformDown) + 1;
 
-// What happens in the end: c all engines serve what the pool asks for, b the
-// domain is held back, as the leaving engine is all that may be away.
+// Expected outcome of each fault in one state. c: all engines serve what the pool
+// specifies; b: the domain's change is blocked, as the leaving engine alone reaches the
+// limit of unavailable engines.
 struct ChangeRow
 {
     EngineChangeState state;
@@ -175,14 +176,14 @@
     {EngineChangeState::Loading, "ccccccccc"}, //
     {EngineChangeState::Leaving, "bbbbbbbbb"}, //
 };
-static_assert(std::size(ChangeRows) == EngineChangeStateCount, "a step has no row");
+static_assert(std::size(ChangeRows) == EngineChangeStateCount, "a state has no row");
 
 base::UpstreamId engineId(std::size_t domain, std::size_t n)
 {
     return base::UpstreamId(std::string(Domains[domain]) + "-" + std::to_string(n));
 }
 
-// Three domains with a router each and a spare router in the first domain.
+// Three failure domains with one router each, and a spare router in the first domain.
 class FleetSimulation
 {
 public:
@@ -217,7 +218,7 @@
         drivers[router] = std::make_unique<FleetDriver>(identity, *stores[router], fleet, clock);
     }
 
-    // One step of all routers but the paused one, then the invariants.
+    // Runs one step of all routers but the paused one and checks the invariants.
     void step(std::optional<std::size_t> paused = std::nullopt)
     {
         for (std::size_t i = 0; i < drivers.size(); ++i) {
@@ -239,14 +240,14 @@
 
     void checkInvariants() const
     {
-        CPPUNIT_ASSERT_MESSAGE("more loads at once than the weight store bears", fleet.count(EngineState::Loading) <= MaxLoads);
+        CPPUNIT_ASSERT_MESSAGE("more concurrent loads than the weight store can serve", fleet.count(EngineState::Loading) <= MaxLoads);
         for (std::size_t domain = 0; domain < std::size(Domains); ++domain) {
             std::size_t loading = 0;
             for (std::size_t n = 0; n < EnginesOfDomain; ++n) {
                 const EngineReport &report = fleet.engines.at(engineId(domain, n)).report;
                 loading += report.state == EngineState::Loading && report.weightsVersion.value != 0 ? 1 : 0;
             }
-            CPPUNIT_ASSERT_MESSAGE("too many engines of a domain away", loading <= 1);
+            CPPUNIT_ASSERT_MESSAGE("too many unavailable engines in a domain", loading <= 1);
         }
     }
 
@@ -297,7 +298,8 @@
         CPPUNIT_ASSERT(simulation.fleet.executedOrders.back().order.kind == EngineOrderKind::LoadAdapter);
     }
 
-    // Reports lag by several loads, so that an order's effect is seen late.
+    // Reports are older than several loads, so an order's effect is reported late. The order
+    // must not be repeated meanwhile.
     void testLaggingReports()
     {
         FleetSimulation simulation;
@@ -306,7 +308,7 @@
         simulation.pools[0].weightsVersion = NewVersion;
         simulation.run(base::minutes{2});
         CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.upToDateCount());
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("each engine is ordered once", simulation.fleet.engines.size(), simulation.fleet.executedOrders.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("each engine gets one order", simulation.fleet.engines.size(), simulation.fleet.executedOrders.size());
     }
 
     void testEveryFaultInEveryState()
@@ -316,11 +318,11 @@
             for (std::size_t fault = 0; fault < ChangeFaultCount; ++fault) {
                 outcomes += outcomeOf(row.state, static_cast<ChangeFault>(fault));
             }
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("step " + std::to_string(static_cast<int>(row.state)), std::string(row.outcomes), outcomes);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("state " + std::to_string(static_cast<int>(row.state)), std::string(row.outcomes), outcomes);
         }
     }
 
-    // The old holder's order is on its way while the lease changes hands.
+    // An order of the paused holder is in flight while the spare router acquires the lease.
     void testFencingRejectsOrderOfPausedHolder()
     {
         FleetSimulation simulation;
@@ -332,8 +334,9 @@
         CPPUNIT_ASSERT(simulation.fleet.execute(upstream, order).error().kind == ErrorKind::StaleState);
     }
 
-    // Engines obey any order, so the old one may land up to maxOrderDelay after
-    // the lease changed hands; the successor gives none before, and corrects it.
+    // Engines execute any order, and one of the previous holder may arrive up to
+    // maxOrderDelay after the lease has changed hands. The new holder sends no order until
+    // then, and afterwards corrects the effect of the late one.
     void testNewHolderWaitsWithoutFencing()
     {
         FleetSimulation simulation;
@@ -357,7 +360,7 @@
         }
         for (const ExecutedOrder &it : simulation.fleet.executedOrders) {
             const bool isSuccessors = it.upstream.value().starts_with(Domains[0]) && it.order.weightsVersion == simulation.pools[0].weightsVersion;
-            CPPUNIT_ASSERT_MESSAGE("the successor gave an order before the old one had landed", !isSuccessors || it.at >= since - Step + base::seconds{10});
+            CPPUNIT_ASSERT_MESSAGE("the new holder sent an order before maxOrderDelay had passed", !isSuccessors || it.at >= since - Step + base::seconds{10});
         }
         CPPUNIT_ASSERT_EQUAL(simulation.fleet.engines.size(), simulation.upToDateCount());
     }
@@ -415,7 +418,7 @@
     static char outcomeOf(EngineChangeState state, ChangeFault fault)
     {
         FleetSimulation simulation;
-        const base::UpstreamId engine = engineId(0, state == EngineChangeState::Outdated ? EnginesOfDomain - 1 : 0); // the last one has to wait
+        const base::UpstreamId engine = engineId(0, state == EngineChangeState::Outdated ? EnginesOfDomain - 1 : 0); // the last engine has to wait
         simulation.run(base::seconds{3});
         if (state == EngineChangeState::Leaving) {
             simulation.fleet.engines.at(engine).report.state = EngineState::Leaving;
@@ -440,12 +443,12 @@
             }
             simulation.step(isPaused ? std::optional<std::size_t>(0) : std::nullopt);
         }
-        CPPUNIT_ASSERT_MESSAGE("step " + std::to_string(static_cast<int>(state)) + " not reached", faultAt.has_value());
+        CPPUNIT_ASSERT_MESSAGE("state " + std::to_string(static_cast<int>(state)) + " not reached", faultAt.has_value());
         if (simulation.upToDateCount() == simulation.fleet.engines.size()) {
             return 'c';
         }
         const std::size_t blockedEngines =
-            simulation.drivers[0]->counters().blockedEngines + simulation.drivers[3]->counters().blockedEngines; // either may hold the lease
+            simulation.drivers[0]->counters().blockedEngines + simulation.drivers[3]->counters().blockedEngines; // either of the two may hold the lease
         return simulation.upToDateCount() == simulation.fleet.engines.size() - EnginesOfDomain && blockedEngines > 0 ? 'b' : '-';
     }
 
--- a/carawaylatch/fleet/testing/leasetest.cpp
+++ b/carawaylatch/fleet/testing/leasetest.cpp
@@ -1,5 +1,5 @@
-// The lease: exhaustive interleavings under clocks of unequal rates, and every
-// fault at every step in virtual time.
+// Tests the lease: exploration of all interleavings with clocks of different rates, and
+// every fault in every phase in virtual time.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -24,11 +24,11 @@
 namespace
 {
 
-constexpr int Length = 12; // seconds of the explored lease
+constexpr int Length = 12; // lease duration in the explored model, in seconds
 
 struct LeaseLimits
 {
-    int rates[2]; // seconds of a router's clock in one tick
+    int rates[2]; // seconds by which each router's clock advances in one tick
     int ticks = 0;
     int faults = 0;
     int restarts = 0;
@@ -37,7 +37,7 @@
 struct PendingCall
 {
     LeaseAction action;
-    std::optional<base::Result<store::Version>> written; // took effect, not answered yet
+    std::optional<base::Result<store::Version>> written; // result of a write, not delivered to the router yet
 };
 
 struct LeaseRouter
@@ -48,7 +48,7 @@
     std::optional<PendingCall> call;
 };
 
-// Two routers, one lease object, calls that take effect and answer at any time.
+// Two routers and one lease object. Calls take effect and are answered at any time.
 class LeaseModel
 {
 public:
@@ -92,10 +92,10 @@
             const auto fence = it.lease.fence(it.now);
             holders += fence ? 1 : 0;
             if (fence && fence->value < m_highestFence) {
-                return "a holder believes in an old fencing number";
+                return "a holder uses an outdated fencing token";
             }
         }
-        return holders > 1 ? "two routers believe that they hold the lease" : "";
+        return holders > 1 ? "two routers hold the lease" : "";
     }
 
     std::string key() const
@@ -213,7 +213,7 @@
             if (fault == StoreFault::AnswerLost) {
                 (void)failed.write(failedCall.action);
             } else if (fault == StoreFault::RequestLost) {
-                failed.m_delayed.push_back(failedCall.action); // may still arrive
+                failed.m_delayed.push_back(failedCall.action); // may still take effect
             }
             failedCall.written = base::fail(fault == StoreFault::Down ? ErrorKind::Unavailable : ErrorKind::Unclear, "");
             add(choices, name + ": fault " + std::to_string(static_cast<int>(fault)), std::move(failed));
@@ -230,31 +230,31 @@
 enum class LeaseFault {
     None,
     ShortOutage,
-    LongOutage, // longer than the lease, for this router only
+    LongOutage, // longer than the lease duration; affects this router only
     AnswerLost,
     RequestLost,
-    Pause, // longer than the lease
+    Pause, // longer than the lease duration
     Restart,
 };
 constexpr std::size_t LeaseFaultCount = static_cast<std::size_t>(LeaseFault::Restart) + 1;
 
-// Who holds a minute later, by fault: h the router without a break, r it again
-// after a break, o the other one.
+// Who holds the lease two minutes after the start, for each fault in one phase. h: the
+// router, without interruption; r: the router, after an interruption; o: the other one.
 struct LeaseRow
 {
     LeasePhase phase;
     std::string_view holders;
 };
 constexpr LeaseRow LeaseRows[] = {
-    {LeasePhase::Observing, "hooooor"}, // the lease is free, and the other is 200 ms behind
+    {LeasePhase::Observing, "hooooor"}, // the lease is free; the other router starts 200 ms later
     {LeasePhase::Acquiring, "hoohror"}, //
-    {LeasePhase::Verifying, "hrorror"}, // our write took effect, so the other has to wait
-    {LeasePhase::Holding, "hhohhor"}, // after a restart both observe; ours began earlier
-    {LeasePhase::Renewing, "hhohhoo"}, // after a restart the other has observed for longer
+    {LeasePhase::Verifying, "hrorror"}, // the write took effect, so the other router has to wait
+    {LeasePhase::Holding, "hhohhor"}, // after a restart both routers observe; the restarted one started earlier
+    {LeasePhase::Renewing, "hhohhoo"}, // after a restart the other router has observed for longer
 };
-static_assert(std::size(LeaseRows) == LeasePhaseCount, "a step has no row");
+static_assert(std::size(LeaseRows) == LeasePhaseCount, "a phase has no row");
 
-// A router with a lease and its own faulty way to the platform.
+// A router with a lease and its own faulty connection to the store.
 struct LeaseClient
 {
     explicit LeaseClient(std::string_view name, store::ObjectStore &platform)
@@ -264,7 +264,7 @@
     {
     }
 
-    // Runs one action; false if there is none.
+    // Executes an action; false if there is none.
     bool perform(base::TimePoint now, const LeaseAction &action)
     {
         if (action.kind == LeaseActionKind::Read) {
@@ -315,7 +315,7 @@
             for (std::size_t fault = 0; fault < LeaseFaultCount; ++fault) {
                 holders += holderAfter(row.phase, static_cast<LeaseFault>(fault));
             }
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("step " + std::to_string(static_cast<int>(row.phase)), std::string(row.holders), holders);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("phase " + std::to_string(static_cast<int>(row.phase)), std::string(row.holders), holders);
         }
     }
 
@@ -348,7 +348,7 @@
                     faultAt = now;
                     inject(one, fault);
                     if (fault == LeaseFault::Pause || fault == LeaseFault::Restart) {
-                        break; // the call that poll() asked for never happens
+                        break; // the call that poll() returned is never made
                     }
                 }
                 if (!one.perform(now, action)) {
--- a/carawaylatch/fleet/weightscontroller.cpp
+++ b/carawaylatch/fleet/weightscontroller.cpp
@@ -1,12 +1,12 @@
-// Reconciliation: compare, order the difference, look again.
+// Reconciliation loop: compares reports with the pools and orders the differences.
 //
-// The controller keeps little: for each engine, whether an order is out whose
-// effect was not seen. Everything else is derived from reports in each round, so
-// a successor with no memory does the same as its predecessor would have done.
+// The only state kept between rounds is whether an engine has a pending order. Everything
+// else is derived from the reports of each round, so a new lease holder without any
+// state plans the same orders as the previous one.
 //
-// A report counts for an order only if it was sampled after the order was given
-// (asked for at requestedAt, `age` old by then); before that the engine counts as
-// away. If the effect is not seen within loadTimeout the order is given again.
+// A report confirms an order only if it was sampled (`age` before requestedAt) after the
+// order was sent; until then the engine counts as unavailable. If no report confirms
+// the order within loadTimeout, the order is sent again.
 #include "carawaylatch/fleet/weightscontroller.h"
 
 #include <algorithm>
@@ -86,7 +86,7 @@
     std::vector<Candidate> outdated;
     std::size_t members = 0;
     std::size_t unavailable = 0;
-    std::size_t unplanned = 0; // away, and not by a change
+    std::size_t unplanned = 0; // unavailable for a reason other than a change
     for (const config::PoolMember &member : pool.members) {
         if (member.domain != m_domain) {
             continue;
--- a/carawaylatch/fleet/weightscontroller.h
+++ b/carawaylatch/fleet/weightscontroller.h
@@ -1,18 +1,19 @@
-// Brings the engines of one failure domain to what their pools ask for.
+// Reconciles the engines of one failure domain with the weights version and adapter that
+// their pools specify.
 //
-// One controller a domain holds the lease. Each round it compares what engines
-// report with their pool's version and adapter, and orders the differences:
+// The lease holder of the domain compares the engines' reports with the pools in each
+// round and orders the differences:
 //
-//   - orders are absolute, so a repeat is harmless;
-//   - an engine that is changing, not reached or leaving counts as away; never
-//     more than maxUnavailableShare of a pool's engines of the domain are away by the
-//     controller's doing (at least one, or nothing could ever change);
+//   - an order names the desired state, so repeating it is harmless;
+//   - an engine that is changing, unreachable or leaving counts as unavailable; an engine
+//     that serves is ordered only while fewer than maxUnavailableShare of the pool's
+//     engines of the domain are unavailable (at least one, or nothing could ever change);
 //   - each load, of weights or of an adapter, needs a slot (loadslots.h);
-//   - engines that check fencing may be ordered at once; for those that do not, a
-//     new holder waits until its predecessor's last order has landed, and trusts
-//     only reports taken after that.
+//   - engines that check fencing tokens may be ordered at once; for others a new holder
+//     waits until the previous holder's last order must have arrived, and uses only
+//     reports taken after that.
 //
-// No I/O: reports in, orders out. FleetDriver carries them out.
+// The class does no I/O: it takes reports and returns orders, which FleetDriver sends.
 #pragma once
 
 #include <map>
@@ -30,17 +31,17 @@
 struct WeightsSettings
 {
     double maxUnavailableShare = 0.34; // of a pool's engines in the domain
-    base::Duration maxOrderDelay = base::seconds{10}; // an order lands within it or never
-    base::Duration loadTimeout = base::seconds{60}; // an order without effect is repeated after it
-    base::Duration maxReportAge = base::seconds{15}; // older reports count as none
+    base::Duration maxOrderDelay = base::seconds{10}; // an order arrives within this time or not at all
+    base::Duration loadTimeout = base::seconds{60}; // after it an order without effect is repeated
+    base::Duration maxReportAge = base::seconds{15}; // an engine without a newer report counts as unreachable
 };
 
-// An engine's last report as the controller knows it.
+// Last poll of an engine.
 struct ObservedEngine
 {
     base::UpstreamId id;
-    std::optional<EngineReport> report; // nothing: not reached
-    base::TimePoint requestedAt; // when the report was asked for
+    std::optional<EngineReport> report; // nothing: unreachable
+    base::TimePoint requestedAt; // when the report was requested; report->age counts back from here
 };
 
 struct PlannedOrder
@@ -48,20 +49,20 @@
     base::UpstreamId upstream;
     base::Endpoint endpoint;
     EngineOrder order;
-    std::uint32_t slots = 0; // loads need one of so many slots; zero: needs none
+    std::uint32_t slots = 0; // the order needs one of so many load slots; zero: none
 };
 
 enum class EngineChangeState {
-    Unreachable, // no fresh report
-    UpToDate, // reports what the pool asks for
-    Outdated, // differs and is not ordered
-    Ordered, // ordered; its effect not yet seen
-    Loading, // reports that it loads
-    Leaving, // gets no orders; stays last
+    Unreachable, // no recent report
+    UpToDate, // reports what the pool specifies
+    Outdated, // differs from the pool, and no order is pending
+    Ordered, // an order was sent; no report shows its effect yet
+    Loading, // reports that it is loading
+    Leaving, // gets no orders; must stay last
 };
 constexpr std::size_t EngineChangeStateCount = static_cast<std::size_t>(EngineChangeState::Leaving) + 1;
 
-// How the holder came to the lease.
+// The current period in which this router holds the lease.
 struct LeaseTerm
 {
     base::FenceToken fence;
@@ -73,17 +74,19 @@
 public:
     WeightsController(base::FailureDomain domain, WeightsSettings settings);
 
-    // Takes reports in and returns the orders to give now, most needed first.
+    // Returns the orders to send now. Engines without weights come first, as they serve
+    // nothing.
     [[nodiscard]] std::vector<PlannedOrder> plan(base::TimePoint now, const LeaseTerm &term, std::span<const config::Pool> pools,
                                                  std::span<const ObservedEngine> engines);
-    // Call before the order is sent; the engine is away until a report says otherwise.
+    // Call it before the order is sent. The engine counts as unavailable until a report
+    // shows the order's effect or loadTimeout has passed.
     void recordOrder(base::TimePoint now, const base::UpstreamId &upstream);
-    // The order certainly was not obeyed.
+    // The engine has no pending order: it was certainly not executed, or is done.
     void clearOrder(const base::UpstreamId &upstream);
-    // Forgets all: the lease was lost.
+    // Drops all state. Call it when the lease is lost.
     void reset();
 
-    // Engines that can't change because too many are unreached or leaving.
+    // Number of engines that can't change because too many are unreachable or leaving.
     [[nodiscard]] std::size_t blockedEngines() const;
     [[nodiscard]] EngineChangeState changeState(const base::UpstreamId &upstream) const;
 
@@ -91,8 +94,8 @@
     struct Engine
     {
         EngineChangeState state = EngineChangeState::Unreachable;
-        std::optional<base::TimePoint> orderedAt; // of an order whose effect was not yet seen
-        bool hasNoWeights = false; // holds no weights, so a load takes no capacity away
+        std::optional<base::TimePoint> orderedAt; // of a pending order
+        bool hasNoWeights = false; // serves nothing, so a load costs no capacity
     };
     [[nodiscard]] EngineChangeState classify(base::TimePoint now, const config::Pool &pool, const ObservedEngine &observed, Engine &engine) const;
     void planPool(base::TimePoint now, const LeaseTerm &term, const config::Pool &pool, std::span<const ObservedEngine> engines,
