--- a/carawaylatch/gateway/testing/controlplanetest.cpp
+++ b/carawaylatch/gateway/testing/controlplanetest.cpp
@@ -1,6 +1,6 @@
-// Control planes against a store that fails: each fault at each of the first
-// calls, and two routers of which the holder of the lease is cut off. All worlds
-// run at once on one loop; times are a tenth of those in use.
+// Tests ControlPlane against a faulty object store: each kind of fault at each of the
+// first calls, and two routers of which the lease holder is disconnected. Several
+// clusters run concurrently on one event loop, with a tenth of the default times.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <utility> // boost/asio/awaitable.hpp 1.74 uses std::exchange without it
@@ -37,7 +37,7 @@
     base::TimePoint at;
 };
 
-// Engines that load what they are told to; every order is noted.
+// Engines that execute every order and record it.
 class FakeEngines : public EngineClient
 {
 public:
@@ -83,13 +83,13 @@
     {
         return std::make_unique<FakeClient>(m_store, isDisconnected);
     }
-    bool isDisconnected = false; // from the store
+    bool isDisconnected = false; // from the store; all calls fail
 
 private:
     FakeStore &m_store;
 };
 
-// One router's control plane, and what it has published.
+// The control plane of one router, and what it has published.
 struct Router
 {
     Router(boost::asio::io_context &loop, const base::Clock &clock, FakeStore &store, FakeEngines &engines, const FleetDecoder &decoder,
@@ -155,12 +155,12 @@
         }
         return changed == Engines;
     }
-    // What breaks a promise, or nothing.
+    // Returns which invariant is violated, or an empty string.
     [[nodiscard]] std::string violation() const
     {
         for (const auto &router : routers) {
             if (router->hasVersionRegressed) {
-                return "a configuration went back";
+                return "the configuration's version decreased";
             }
         }
         for (const auto &[engine, orders] : engines.orders) {
@@ -168,10 +168,10 @@
                 const RecordedOrder &before = orders[i - 1];
                 const RecordedOrder &after = orders[i];
                 if (after.fence < before.fence) {
-                    return "an order with a lower fence after a higher one";
+                    return "an order with a lower fencing token follows one with a higher token";
                 }
                 if (after.holder != before.holder && (after.at - before.at < LeaseTime || after.fence == before.fence)) {
-                    return "two holders took turns within the lease time";
+                    return "two lease holders sent orders to one engine within the lease time";
                 }
             }
         }
@@ -207,9 +207,10 @@
     base::SteadyClock m_clock;
     NullLog m_log;
     std::vector<std::unique_ptr<TestCluster>> m_clusters;
-    std::unique_ptr<boost::asio::io_context> m_loop = std::make_unique<boost::asio::io_context>(1); // its coroutines end before the worlds do
+    // Destroyed before the clusters that its coroutines refer to.
+    std::unique_ptr<boost::asio::io_context> m_loop = std::make_unique<boost::asio::io_context>(1);
 
-    // Ends all worlds.
+    // Destroys all clusters.
     void resetClusters()
     {
         m_loop.reset();
@@ -229,7 +230,7 @@
         cluster.addRouter("b");
         return cluster;
     }
-    // Names new weights; returns the router that gives the first order.
+    // Announces new weights and returns the router that sends the first order.
     std::string firstHolder(TestCluster &cluster)
     {
         cluster.store.put(ObjectKind::Weights, "m", "m 2");
@@ -272,8 +273,9 @@
     }
 
 public:
-    // The calls of a start, of taking the lease, of a rollout and of a new configuration.
-    // A few worlds at a time: on a loop that can't keep up no lease is ever renewed in time.
+    // The calls cover the start, the acquisition of the lease, a rollout and a new
+    // configuration. Only a few clusters run at a time, as an overloaded event loop would
+    // renew no lease in time.
     void testEveryFaultAtEveryCall()
     {
         constexpr int Calls = 30;
@@ -293,7 +295,7 @@
         }
     }
 
-    // New weights and a new configuration reach all routers and engines of all worlds.
+    // Changes weights and configuration, and waits until all routers and engines have both.
     void changeEverything()
     {
         CPPUNIT_ASSERT(runUntil(
@@ -334,7 +336,8 @@
         assertNoViolation();
     }
 
-    // Without the list a new holder can't know which engines its predecessor has ordered.
+    // Without this object a new holder can't know to which engines the previous holder sent
+    // orders, and two orders could reach an engine within the lease time.
     void testNewHolderReadsChangingEnginesBeforeOrders()
     {
         TestCluster &cluster = addClusterOfTwoRouters();
@@ -355,7 +358,7 @@
         assertNoViolation();
     }
 
-    // A holder that stops releases the lease: the other one takes it at once.
+    // A stopping holder releases the lease, so that the other router acquires it at once.
     void testStoppedHolderReleasesLease()
     {
         TestCluster &cluster = addClusterOfTwoRouters();
@@ -381,7 +384,7 @@
         assertNoViolation();
     }
 
-    // Everything that was changed while the store was down is known soon after its return.
+    // After an outage of the store, routers soon learn of the changes made during it.
     void testStoreOutage()
     {
         TestCluster &cluster = addClusterOfTwoRouters();
@@ -392,7 +395,7 @@
             base::seconds{5}));
         cluster.store.isDown = true;
         m_loop->run_for(std::chrono::milliseconds{400});
-        CPPUNIT_ASSERT_MESSAGE("the age tells of the outage", cluster.routers[0]->age.age() > base::milliseconds{250});
+        CPPUNIT_ASSERT_MESSAGE("the configuration's age must include the outage", cluster.routers[0]->age.age() > base::milliseconds{250});
         cluster.store.put(ObjectKind::Tables, "main", "2");
         cluster.store.put(ObjectKind::Weights, "m", "m 2");
         cluster.store.isDown = false;
@@ -404,7 +407,9 @@
         assertNoViolation();
     }
 
-    // Twenty pages from a store that refuses every third call, as when many routers start together.
+    // A list of twenty pages completes although the store rejects every third list call, as
+    // under overload when many routers start together. Restarting the list after each
+    // rejection would never complete it.
     void testPagedListFromOverloadedStore()
     {
         constexpr int Upstreams = 40;
@@ -438,7 +443,7 @@
                 return seesRouters(3);
             },
             base::seconds{5}));
-        // Both find out; the second one's removal meets nothing.
+        // Both routers report it; the second removal finds no object.
         cluster.routers[0]->plane.onRouterGone(gone);
         cluster.routers[1]->plane.onRouterGone(gone);
         cluster.routers[1]->plane.onRouterGone(base::Endpoint{"10.0.0.8", 7});
@@ -450,7 +455,8 @@
         CPPUNIT_ASSERT(!cluster.store.objects(ObjectKind::Coordination).contains("router.gone"));
     }
 
-    // A router that was cut off from the others for long, but not from the store.
+    // A router that was disconnected from the other routers, but not from the store, writes
+    // its removed object again.
     void testRemovedRouterRegistersAgain()
     {
         TestCluster &cluster = addClusterOfTwoRouters();
--- a/carawaylatch/gateway/testing/fakes.h
+++ b/carawaylatch/gateway/testing/fakes.h
@@ -1,4 +1,4 @@
-// Small parts that the gateway's tests share.
+// Helpers shared by the gateway's tests.
 #pragma once
 
 #include <fcntl.h>
@@ -13,7 +13,8 @@
 namespace carawaylatch::gateway::testing
 {
 
-// Reads "POOL PHASE BORN WEIGHTS" for upstreams, a number for tables, "MODEL N" for weights.
+// Decodes "POOL PHASE BORN_MS WEIGHTS" for upstreams, a version for tables, "MODEL VERSION"
+// for weights.
 class PlainTextDecoder : public FleetDecoder
 {
 public:
@@ -21,7 +22,7 @@
     {
         const auto version = number(text);
         if (version == 0) {
-            return base::fail(base::ErrorKind::InvalidArgument, "no table");
+            return base::fail(base::ErrorKind::InvalidArgument, "not a table");
         }
         proxy::RouteTable table;
         table.version = version;
@@ -31,7 +32,7 @@
     {
         const auto words = split(text);
         if (words.size() != 4) {
-            return base::fail(base::ErrorKind::InvalidArgument, "no upstream");
+            return base::fail(base::ErrorKind::InvalidArgument, "not an upstream");
         }
         proxy::Upstream upstream;
         upstream.id = base::UpstreamId(name);
@@ -46,7 +47,7 @@
     {
         const auto words = split(text);
         if (words.size() != 2) {
-            return base::fail(base::ErrorKind::InvalidArgument, "no weights");
+            return base::fail(base::ErrorKind::InvalidArgument, "not a weights version");
         }
         return std::pair{base::ModelId(words[0]), base::WeightsVersion{number(words[1])}};
     }
@@ -70,7 +71,7 @@
     }
 };
 
-// A log whose lines go nowhere.
+// A log that discards its lines.
 class NullLog
 {
 public:
--- a/carawaylatch/gateway/testing/fakestore.h
+++ b/carawaylatch/gateway/testing/fakestore.h
@@ -1,4 +1,4 @@
-// An object store in memory behind ObjectClient, with one fault at a chosen call.
+// In-memory object store behind ObjectClient that injects one fault at a chosen call.
 #pragma once
 
 #include <map>
@@ -17,15 +17,15 @@
 
 enum class CallFault {
     None,
-    Refused, // nothing was done
-    AnswerLost, // done, not answered
-    AppliedLate, // not answered, done a while later if the condition still holds
-    HistoryGone, // of a watch; another call is refused
-    Slow, // done and answered after a while
+    Refused, // the call has no effect
+    AnswerLost, // the call takes effect, the response is lost
+    AppliedLate, // no response; a write takes effect LateDelay later if its condition still holds
+    HistoryGone, // a watch fails as its history is gone; other calls are refused
+    Slow, // the call takes effect and is answered after LateDelay
 };
 constexpr CallFault AllCallFaults[] = {CallFault::Refused, CallFault::AnswerLost, CallFault::AppliedLate, CallFault::HistoryGone, CallFault::Slow};
 
-// The objects and their history; shared by the clients of one world.
+// The objects and their history, shared by the clients of one cluster.
 class FakeStore
 {
 public:
@@ -45,13 +45,13 @@
         return m_objects[kind];
     }
 
-    // The fault hits the call of this number, counted over all clients from 1; zero: none.
+    // Number of the call with the fault, counted from 1 over all clients; zero: none.
     int faultyCall = 0;
     CallFault fault = CallFault::None;
     bool isDown = false; // every call is refused
-    std::size_t pageSize = 0; // objects of one page of a list; zero: all
-    int refusedListEvery = 0; // every so many calls of a list are refused; zero: none
-    bool areCoordinationReadsRefused = false; // reads of single objects of this project
+    std::size_t pageSize = 0; // objects in a page of a list; zero: unlimited
+    int refusedListEvery = 0; // every n-th list call is refused; zero: none
+    bool areCoordinationReadsRefused = false; // single reads of coordination objects are refused
 
 private:
     friend class FakeClient;
@@ -99,7 +99,7 @@
     {
         const CallFault fault = co_await begin();
         if (fault == CallFault::HistoryGone) {
-            co_return base::fail(base::ErrorKind::StaleState, "history gone");
+            co_return base::fail(base::ErrorKind::StaleState, "history is gone");
         }
         if (const auto error = errorOf(fault)) {
             co_return *error;
@@ -169,7 +169,7 @@
         auto &objects = m_store.m_objects[kind];
         const auto it = objects.find(name);
         if (it == objects.end() || it->second.revision != expected) {
-            co_return base::fail(base::ErrorKind::Conflict, "another revision");
+            co_return base::fail(base::ErrorKind::Conflict, "revision differs");
         }
         m_store.m_changes.emplace_back(kind, StoredObject{name, {}, ++m_store.m_revision, true});
         objects.erase(it);
@@ -211,7 +211,7 @@
             return base::fail(base::ErrorKind::Unavailable, "refused");
         case CallFault::AnswerLost:
         case CallFault::AppliedLate:
-            return base::fail(base::ErrorKind::Unclear, "no answer");
+            return base::fail(base::ErrorKind::Unclear, "no response");
         }
         return std::nullopt;
     }
@@ -220,7 +220,7 @@
         const auto it = m_store.m_objects[kind].find(name);
         const std::uint64_t present = it == m_store.m_objects[kind].end() ? 0 : it->second.revision;
         if (present != expected) {
-            return base::fail(base::ErrorKind::Conflict, "another revision");
+            return base::fail(base::ErrorKind::Conflict, "revision differs");
         }
         m_store.put(kind, name, text);
         return m_store.m_revision;
--- a/carawaylatch/gateway/testing/fleetstatetest.cpp
+++ b/carawaylatch/gateway/testing/fleetstatetest.cpp
@@ -1,4 +1,5 @@
-// The control thread's knowledge of the fleet, in virtual time.
+// Tests FleetState in virtual time: which objects change the snapshot, and which are
+// ignored.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -111,8 +112,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, m_state->view()->upstreams.front().bornMs);
     }
 
-    // After the store was out of reach, a missing entry may have lapsed: it stays in
-    // use for a while, unless the upstream was leaving.
+    // After an outage of the store, a missing entry may have expired: its upstream stays in
+    // use for a grace period, unless it was draining.
     void testExpiredEntriesStayDuringGrace()
     {
         change(ObjectKind::Upstreams, object("ready", "p ready 10 1"));
@@ -129,10 +130,11 @@
         CPPUNIT_ASSERT(hasUpstream("ready"));
         CPPUNIT_ASSERT(!hasUpstream("removed"));
         m_state->onList(ObjectKind::Upstreams, {}, false, Start);
-        CPPUNIT_ASSERT_MESSAGE("with the store in reach, missing is gone", !hasUpstream("ready"));
+        CPPUNIT_ASSERT_MESSAGE("without an outage, a missing entry removes its upstream", !hasUpstream("ready"));
     }
 
-    // A restarted router took a version that it found for new, and used older weights too long.
+    // Guards against a restarted router that treats a listed version as just announced and
+    // so uses older weights for too long.
     void testListedVersionAllowsNoOlderWeights()
     {
         m_state->onList(ObjectKind::Weights, {object("m", "m 3")}, false, Start);
@@ -151,7 +153,7 @@
         change(ObjectKind::Upstreams, object("e", "p ready 10 1", 2));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, m_state->upstreams().at(base::UpstreamId("e")).models.begin()->second.value);
         change(ObjectKind::Upstreams, object("e", "p ready 11 1", 3));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("a new life starts with what it says", std::uint64_t{1},
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("a new incarnation starts with the weights of its entry", std::uint64_t{1},
                                      m_state->upstreams().at(base::UpstreamId("e")).models.begin()->second.value);
     }
 
@@ -166,7 +168,7 @@
         CPPUNIT_ASSERT(m_state->view()->routerEndpoints[0] == peers);
         CPPUNIT_ASSERT_EQUAL(std::string("router.b"), m_state->routerAt(peers)->name);
         CPPUNIT_ASSERT(m_state->routerAt(base::Endpoint{"10.0.0.1", 7340}) == nullptr);
-        // A removal may bear the revision of the change before it; an older one changes nothing.
+        // A removal can have the same revision as the change before it; an older removal is ignored.
         change(ObjectKind::Coordination, StoredObject{"router.b", {}, 0, true});
         CPPUNIT_ASSERT_EQUAL(2U, m_state->view()->routers);
         change(ObjectKind::Coordination, StoredObject{"router.b", {}, 1, true});
--- a/carawaylatch/gateway/testing/gatewaysettingstest.cpp
+++ b/carawaylatch/gateway/testing/gatewaysettingstest.cpp
@@ -1,4 +1,5 @@
-// Settings of the gateway: every key, every kind of mistake, and the page.
+// Tests the gateway's settings: all keys, each kind of error, derived values, the
+// deployment template and the documentation page.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -75,7 +76,8 @@
         }
     }
 
-    // Requests with a key end before the bound, readiness before that, a watch in good order before both.
+    // The age limit for requests with a key is below the configured one, the limit for
+    // readiness below that, and the duration of two watches below both.
     void testDerivedLimitsStayBelowSettings()
     {
         const GatewaySettings settings = parseGatewaySettings(text(), "f").value();
@@ -87,7 +89,7 @@
         CPPUNIT_ASSERT(control.rollout.takeoverDelay >= base::fromSeconds(settings.leaseMs / 1000));
     }
 
-    // A key that the settings refuse would keep every process from starting.
+    // An unknown key in the template would keep every process from starting.
     void testTemplateHasKnownKeys()
     {
         std::ifstream in(std::string(CARAWAYLATCH_SOURCE_DIR) + "/deploy/gateway.ini");
@@ -95,7 +97,7 @@
         std::string line;
         int keys = 0;
         while (std::getline(in, line)) {
-            // Tags of the template stand before a key, between braces.
+            // Template tags in double braces precede a key.
             while (line.starts_with("{{")) {
                 line.erase(0, line.find("}}") + 2);
             }
--- a/carawaylatch/gateway/testing/rollouttest.cpp
+++ b/carawaylatch/gateway/testing/rollouttest.cpp
@@ -1,4 +1,4 @@
-// The rollout of weights in virtual time, against engines that load.
+// Tests Rollout in virtual time against simulated engines.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -107,11 +107,12 @@
         m_dropsOrders = false;
     }
 
-    // New weights must be everywhere within 8 s, with two loads at once and half of the engines in service.
+    // All engines must have new weights within 8 s, with at most two concurrent loads and
+    // half of the engines in service.
     void testWholeFleetChangesWithinBounds()
     {
         step();
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("nothing is named", 0, m_orders);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("no order without target weights", 0, m_orders);
         announceVersion(2);
         const base::Duration duration = runUntilUpToDate(2);
         CPPUNIT_ASSERT(duration < base::seconds{8});
@@ -122,7 +123,8 @@
         CPPUNIT_ASSERT(m_rollout->changing().engines.empty());
     }
 
-    // Engines that loaded a replaced version waited for the time limit of their order.
+    // Guards against engines that load a replaced version and get the newer one only after
+    // the timeout of their order.
     void testNewerVersionReplacesPendingVersion()
     {
         announceVersion(2);
@@ -152,7 +154,7 @@
         while (m_orders == 0) {
             step();
         }
-        m_dropsOrders = false; // engines that are ordered from now on load
+        m_dropsOrders = false; // engines execute orders from now on
         m_rollout->onOrderRejected(m_now, engine(0));
         step();
         CPPUNIT_ASSERT(!m_loads.contains(engine(0)));
@@ -162,7 +164,7 @@
         CPPUNIT_ASSERT(m_loads.contains(engine(0)));
     }
 
-    // Orders of two holders to one engine keep the lease's time between them.
+    // Orders of two lease holders to one engine must be at least takeoverDelay apart.
     void testEnginesOfPreviousHolderGetNoOrders()
     {
         ChangingEngines inherited;
@@ -194,7 +196,7 @@
         for (int i = 0; i < 200; ++i) {
             step();
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("all others change, and it gets no order", Engines - 1, m_orders);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("all other engines change, and the leaving one gets no order", Engines - 1, m_orders);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RolloutTest);
