--- a/carawaylatch/fleet/loadslots.cpp
+++ b/carawaylatch/fleet/loadslots.cpp
@@ -1,6 +1,6 @@
-// Slot objects. The search looks at all slots before it takes one, so that an
-// engine whose slot was taken by a former holder of the lease, or by a write
-// whose answer was lost, is found again and never holds two.
+// acquire() reads all slots before it writes one: the engine may hold a slot already,
+// acquired by a previous lease holder or by a write whose response was lost, and must
+// not hold two.
 #include "carawaylatch/fleet/loadslots.h"
 
 #include <optional>
@@ -20,22 +20,22 @@
 
 } // namespace
 
-LoadSlots::LoadSlots(store::ObjectStore &store, base::Duration lapse)
+LoadSlots::LoadSlots(store::ObjectStore &store, base::Duration timeout)
     : m_store(store)
-    , m_lapse(lapse)
+    , m_timeout(timeout)
 {
 }
 
-bool LoadSlots::hasLapsed(base::TimePoint now, const store::Object &slot)
+bool LoadSlots::hasExpired(base::TimePoint now, const store::Object &slot)
 {
-    const auto [it, isNew] = m_seen.try_emplace(slot.name, Seen{slot.version, now});
+    const auto [it, isNew] = m_observations.try_emplace(slot.name, Observation{slot.version, now});
     if (!isNew && it->second.version != slot.version) {
-        it->second = Seen{slot.version, now};
+        it->second = Observation{slot.version, now};
     }
-    return now - it->second.since >= m_lapse;
+    return now - it->second.since >= m_timeout;
 }
 
-base::Result<void> LoadSlots::take(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine)
+base::Result<void> LoadSlots::acquire(base::TimePoint now, std::uint32_t slots, const base::UpstreamId &engine)
 {
     struct Free
     {
@@ -52,12 +52,12 @@
         if (object && object.value().value == engine.value()) {
             return base::ok();
         }
-        if (!free && (!object || hasLapsed(now, object.value()))) {
+        if (!free && (!object || hasExpired(now, object.value()))) {
             free = Free{name, object ? object.value().version : store::Version{}};
         }
     }
     if (!free) {
-        return base::fail(ErrorKind::Overloaded, "all slots for loads of weights are taken; wait for a load to end", base::seconds{1});
+        return base::fail(ErrorKind::Overloaded, "all slots for loads of weights are in use; wait until a load has finished", base::seconds{1});
     }
     const auto written = m_store.write(free->name, engine.value(), free->version);
     if (!written) {
--- a/carawaylatch/gateway/gateway.h
+++ b/carawaylatch/gateway/gateway.h
@@ -1,8 +1,8 @@
-// One gateway process: a control thread, a traffic thread, signals.
+// A gateway process: a control thread, a traffic thread, and the handling of signals.
 //
-//     Gateway gateway(path, settings, log, makeParts);
+//     Gateway gateway(path, settings, log, makeComponents);
 //     BOOST_OUTCOME_TRY(gateway.start());
-//     return gateway.run();        // until SIGTERM has been carried out
+//     return gateway.run();        // returns when the stop after SIGTERM is complete
 #pragma once
 
 #include <functional>
@@ -23,25 +23,26 @@
 namespace carawaylatch::gateway
 {
 
-// What an adapter provides; made for the control thread's loop.
-struct GatewayParts
+// Platform-specific components; they run on the control thread's loop.
+struct GatewayComponents
 {
     std::unique_ptr<ObjectClientFactory> clients;
     std::unique_ptr<EngineClient> engines;
     std::unique_ptr<FleetDecoder> decoder;
     std::unique_ptr<proxy::Dialect> dialect;
 };
-using MakeGatewayParts = std::function<GatewayParts(boost::asio::io_context &controlLoop, const GatewaySettings &settings)>;
+using GatewayComponentsFactory = std::function<GatewayComponents(boost::asio::io_context &controlLoop, const GatewaySettings &settings)>;
 
 class Gateway : public proxy::TrafficObserver
 {
 public:
-    Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log, const MakeGatewayParts &makeParts);
+    Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log,
+            const GatewayComponentsFactory &makeComponents);
     ~Gateway() override;
 
-    // Binds the addresses. Unavailable if one is taken.
+    // Binds the addresses. Unavailable: an address is in use, or signals can't be handled.
     [[nodiscard]] base::Result<void> start();
-    // Serves until a stop signal has been carried out; returns the exit code.
+    // Serves until the stop after a signal is complete; returns the exit code.
     int run();
 
     void onWeightsSeen(const base::UpstreamId &upstream, base::WeightsVersion weights) override;
@@ -61,15 +62,15 @@
     TableAge m_tableAge;
     boost::asio::io_context m_controlLoop;
     boost::asio::io_context m_trafficLoop;
-    GatewayParts m_parts;
+    GatewayComponents m_components;
     std::unique_ptr<proxy::TrafficPlane> m_traffic;
     std::unique_ptr<ControlPlane> m_control;
-    boost::asio::signal_set m_signals; // on the traffic thread
+    boost::asio::signal_set m_signals; // handled on the traffic thread
     base::TimerService::Subscription m_stopTimer;
     base::TimerService::Subscription m_settingsTimer;
-    base::TimePoint m_stopBegan;
-    bool m_isLeaving = false; // the balancer sends nothing any more
-    std::string m_settingsText; // as last read
+    base::TimePoint m_stopStartedAt;
+    bool m_isDraining = false; // the load balancer sends no more connections
+    std::string m_settingsText; // content of the file as last read
 };
 
 } // namespace carawaylatch::gateway
--- a/carawaylatch/gateway/gatewaysettings.cpp
+++ b/carawaylatch/gateway/gatewaysettings.cpp
@@ -1,4 +1,4 @@
-// The table of keys, and what the settings come to for each plane.
+// The table of keys, the parser, and the settings derived for each plane.
 #include "carawaylatch/gateway/gatewaysettings.h"
 
 #include <algorithm>
@@ -43,7 +43,7 @@
     Key{"weights", "lease_ms", "number", "milliseconds between the last order of one holder and the first of another", false, nullptr, nullptr, &S::leaseMs},
 };
 
-base::Error wrongValue(std::string_view fileName, const config::IniEntry &entry, const std::string &problem)
+base::Error invalidValueError(std::string_view fileName, const config::IniEntry &entry, const std::string &problem)
 {
     return base::fail(base::ErrorKind::InvalidArgument, config::linePrefix(fileName, entry.line) + entry.key + ": " + problem);
 }
@@ -53,19 +53,19 @@
     if (key.text != nullptr) {
         const auto name = config::parseName(entry.value);
         if (!name) {
-            return wrongValue(fileName, entry, name.error().message);
+            return invalidValueError(fileName, entry, name.error().message);
         }
         settings.*key.text = name.value();
     } else if (key.endpoint != nullptr) {
         const auto endpoint = config::parseEndpoint(entry.value);
         if (!endpoint) {
-            return wrongValue(fileName, entry, endpoint.error().message);
+            return invalidValueError(fileName, entry, endpoint.error().message);
         }
         settings.*key.endpoint = endpoint.value();
     } else {
         const auto number = config::parseFraction(entry.value);
         if (!number) {
-            return wrongValue(fileName, entry, number.error().message);
+            return invalidValueError(fileName, entry, number.error().message);
         }
         settings.*key.number = number.value();
     }
@@ -74,23 +74,23 @@
 
 base::Result<void> checkRanges(const GatewaySettings &settings, std::string_view fileName)
 {
-    const auto tooSmall = [fileName](std::string_view key, std::string_view least) {
+    const auto belowMinimumError = [fileName](std::string_view key, std::string_view least) {
         return base::fail(base::ErrorKind::InvalidArgument, std::string(fileName) + ": " + std::string(key) + " must be " + std::string(least) + " or more");
     };
     if (settings.memoryMegabytes < 32) {
-        return tooSmall("memory_mb", "32");
+        return belowMinimumError("memory_mb", "32");
     }
     if (settings.graceSeconds < 1) {
-        return tooSmall("grace_seconds", "1");
+        return belowMinimumError("grace_seconds", "1");
     }
     if (settings.storeTimeoutMs < 10 || settings.watchWaitMs < 10) {
-        return tooSmall("timeout_ms and watch_ms", "10");
+        return belowMinimumError("timeout_ms and watch_ms", "10");
     }
     if (settings.leaveWithinMs < 100) {
-        return tooSmall("leave_within_ms", "100");
+        return belowMinimumError("leave_within_ms", "100");
     }
     if (settings.leaseMs < 100 || settings.changeWithinMs < 100) {
-        return tooSmall("lease_ms and change_within_ms", "100");
+        return belowMinimumError("lease_ms and change_within_ms", "100");
     }
     return base::ok();
 }
@@ -128,10 +128,10 @@
                 return it.section == section.name && it.name == entry.key;
             });
             if (key == Keys.end()) {
-                return wrongValue(fileName, entry, "no such key in [" + section.name + "]; docs/SETTINGS-gateway.md lists all");
+                return invalidValueError(fileName, entry, "no such key in [" + section.name + "]; docs/SETTINGS-gateway.md lists all");
             }
             if (!seen.insert(section.name + '.' + entry.key).second) {
-                return wrongValue(fileName, entry, "stands twice; remove one");
+                return invalidValueError(fileName, entry, "duplicate key; remove one of the two");
             }
             if (const auto assigned = assign(settings, *key, entry, fileName); !assigned) {
                 return assigned.error();
@@ -154,7 +154,7 @@
 {
     std::ifstream in(path, std::ios::binary);
     if (!in) {
-        return base::fail(base::ErrorKind::NotFound, path + ": can't be read; name a readable file");
+        return base::fail(base::ErrorKind::NotFound, path + ": can't open the settings file; check its path and permissions");
     }
     std::ostringstream text;
     text << in.rdbuf();
@@ -163,14 +163,15 @@
 
 proxy::TrafficSettings GatewaySettings::traffic() const
 {
-    // A request that is let in runs a moment later, and a confirmation is as old as
-    // the watch that gave it: both stay within the rest.
+    // The rest of the limit covers the time between admission and execution of a request,
+    // and the duration of the watch that confirms the configuration.
     constexpr double UsedAgeShare = 0.9;
-    // Above the age that a watch in good order reaches, so that readiness doesn't flap.
+    // Above the age that is reached between two successful watches, so that readiness
+    // doesn't flap.
     constexpr double ReadyAgeShare = 0.62;
-    constexpr double MaxBodiesShare = 0.125; // of the process's memory
-    constexpr double OldWeightsShare = 0.8; // the last requests on older weights are sent within it
-    constexpr double OldWeightsStartShare = 0.925; // and begin within this; the rest covers the way and late news
+    constexpr double MaxBodiesShare = 0.125; // request bodies' share of the process's memory
+    constexpr double OldWeightsShare = 0.8; // the last requests on older weights are sent within this share of the time
+    constexpr double OldWeightsStartShare = 0.925; // and start within this; the rest covers network delay and late notification
     proxy::TrafficSettings out;
     out.domain = base::FailureDomain(failureDomain);
     out.callers = callers;
@@ -190,19 +191,19 @@
 
 ControlSettings GatewaySettings::control() const
 {
-    constexpr double LeaseShare = 0.6; // the lease's own length; its holder believes for two thirds of it at most
-    // A successor leaves its predecessor's engines alone for so long: an order may take a
-    // while on its way after the predecessor has stopped believing.
-    constexpr double SettleShare = 1.2;
-    constexpr double UpstreamsPauseShare = 0.2; // of the time to leave; the rest covers a slow call and requests on their way
+    constexpr double LeaseShare = 0.6; // lease duration; the holder uses at most two thirds of it
+    // For so long a new holder sends no orders to engines of the previous one, whose last
+    // order may still be in flight after its lease has expired.
+    constexpr double TakeoverDelayShare = 1.2;
+    constexpr double UpstreamsPauseShare = 0.2; // of the time to leave; the rest covers a slow call and requests in flight
     ControlSettings out;
     out.upstreamsPause = base::fromMilliseconds(leaveWithinMs * UpstreamsPauseShare);
     out.router = base::RouterId(id);
     out.peers = peers;
-    out.lease.length = base::fromMilliseconds(leaseMs * LeaseShare);
+    out.lease.duration = base::fromMilliseconds(leaseMs * LeaseShare);
     out.lease.readInterval = base::fromMilliseconds(leaseMs * LeaseShare / 6);
-    out.lease.isRouterSingle = true;
-    out.rollout.settleTime = base::fromMilliseconds(leaseMs * SettleShare);
+    out.lease.isRouterIdUnique = true;
+    out.rollout.takeoverDelay = base::fromMilliseconds(leaseMs * TakeoverDelayShare);
     out.watchWait = base::fromMilliseconds(watchWaitMs);
     return out;
 }
--- a/carawaylatch/gateway/testing/gatewaysettingstest.cpp
+++ b/carawaylatch/gateway/testing/gatewaysettingstest.cpp
@@ -1,4 +1,5 @@
-// Settings of the gateway: every key, every kind of mistake, and the page.
+// Tests the gateway's settings: all keys, each kind of error, derived values, the
+// deployment template and the documentation page.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -15,9 +16,9 @@
 {
     CPPUNIT_TEST_SUITE(GatewaySettingsTest);
     CPPUNIT_TEST(testAllKeys);
-    CPPUNIT_TEST(testMistakesNameTheirKey);
+    CPPUNIT_TEST(testErrorsNameTheKey);
     CPPUNIT_TEST(testMissingKeys);
-    CPPUNIT_TEST(testBoundsFollow);
+    CPPUNIT_TEST(testDerivedLimitsStayBelowSettings);
     CPPUNIT_TEST(testTemplateHasKnownKeys);
     CPPUNIT_TEST(testPageIsUpToDate);
     CPPUNIT_TEST_SUITE_END();
@@ -40,9 +41,9 @@
         CPPUNIT_ASSERT_EQUAL(2000.0, settings.value().leaseMs);
     }
 
-    void testMistakesNameTheirKey()
+    void testErrorsNameTheKey()
     {
-        const std::pair<std::string, std::string> mistakes[] = {
+        const std::pair<std::string, std::string> invalidTexts[] = {
             {"[retries]\nshare = much\n", "share"},
             {"[retries]\nshares = 1\n", "shares"},
             {"[retry]\nshare = 1\n", "share"},
@@ -52,7 +53,7 @@
             {"[gateway]\nmemory_mb = 1\n", "memory_mb"},
             {"[store]\nwatch_ms = -3\n", "watch_ms"},
         };
-        for (const auto &[more, key] : mistakes) {
+        for (const auto &[more, key] : invalidTexts) {
             const auto settings = parseGatewaySettings(text(more), "f");
             CPPUNIT_ASSERT_MESSAGE(more, !settings.has_value());
             CPPUNIT_ASSERT_MESSAGE(settings.error().message, settings.error().message.find(key) != std::string::npos);
@@ -75,8 +76,9 @@
         }
     }
 
-    // Requests with a key end before the bound, readiness before that, a watch in good order before both.
-    void testBoundsFollow()
+    // The age limit for requests with a key is below the configured one, the limit for
+    // readiness below that, and the duration of two watches below both.
+    void testDerivedLimitsStayBelowSettings()
     {
         const GatewaySettings settings = parseGatewaySettings(text(), "f").value();
         const proxy::TrafficSettings traffic = settings.traffic();
@@ -84,10 +86,10 @@
         CPPUNIT_ASSERT(traffic.maxTableAge < base::seconds{5});
         CPPUNIT_ASSERT(traffic.readyTableAge < traffic.maxTableAge);
         CPPUNIT_ASSERT(control.watchWait * 2 < traffic.readyTableAge);
-        CPPUNIT_ASSERT(control.rollout.settleTime >= base::fromSeconds(settings.leaseMs / 1000));
+        CPPUNIT_ASSERT(control.rollout.takeoverDelay >= base::fromSeconds(settings.leaseMs / 1000));
     }
 
-    // A key that the settings refuse would keep every process from starting.
+    // An unknown key in the template would keep every process from starting.
     void testTemplateHasKnownKeys()
     {
         std::ifstream in(std::string(CARAWAYLATCH_SOURCE_DIR) + "/deploy/gateway.ini");
@@ -95,7 +97,7 @@
         std::string line;
         int keys = 0;
         while (std::getline(in, line)) {
-            // Tags of the template stand before a key, between braces.
+            // Template tags in double braces precede a key.
             while (line.starts_with("{{")) {
                 line.erase(0, line.find("}}") + 2);
             }
