--- a/carawaylatch/membership/member.cpp
+++ b/carawaylatch/membership/member.cpp
@@ -18,10 +18,10 @@
 
 bool supersedes(const MemberRecord &record, const MemberRecord &other)
 {
-    if (record.life != other.life) {
-        return record.life > other.life;
+    if (record.selfVersion != other.selfVersion) {
+        return record.selfVersion > other.selfVersion;
     }
-    return record.revival != other.revival ? record.revival > other.revival : record.state > other.state;
+    return record.revivalCount != other.revivalCount ? record.revivalCount > other.revivalCount : record.state > other.state;
 }
 
 std::size_t MembershipView::liveCount() const
--- a/carawaylatch/membership/member.h
+++ b/carawaylatch/membership/member.h
@@ -32,8 +32,8 @@
     base::FailureDomain domain;
     base::Endpoint endpoint; // of the router's peer port
     base::Incarnation incarnation; // of the process
-    std::uint64_t life = 0;
-    std::uint32_t revival = 0;
+    std::uint64_t selfVersion = 0;
+    std::uint32_t revivalCount = 0;
     MemberState state = MemberState::Alive;
 
     bool operator==(const MemberRecord &) const = default;
--- a/carawaylatch/membership/memberlist.cpp
+++ b/carawaylatch/membership/memberlist.cpp
@@ -35,7 +35,7 @@
     if (record.state == MemberState::Dead) {
         return 0;
     }
-    const auto version = base::combineHashes(record.life, static_cast<std::uint64_t>(record.state));
+    const auto version = base::combineHashes(record.selfVersion, static_cast<std::uint64_t>(record.state));
     return base::combineHashes(base::hash64(record.id.value()), version);
 }
 
@@ -44,9 +44,9 @@
     return {record.id, record.endpoint};
 }
 
-constexpr base::Duration CutMargin = base::seconds{30}; // deaths so long before a peer's may come of the same cut
-constexpr base::Duration Quarantine = base::seconds{20};
-constexpr std::ptrdiff_t MinCutDeaths = 2; // one death alone is no cut
+constexpr base::Duration PartitionMargin = base::seconds{30}; // deaths so long before a peer's may come of the same cut
+constexpr base::Duration DeathSuppression = base::seconds{20};
+constexpr std::ptrdiff_t MinPartitionDeaths = 2; // one death alone is no cut
 
 } // namespace
 
@@ -56,10 +56,10 @@
     , m_random(base::combineHashes(options.seed, base::hash64(m_self.id.value())))
     , m_digest{recordHash(m_self), 1}
     , m_nextHeartbeat(now + options.heartbeat * static_cast<std::int64_t>(m_random.below(16)) / 16)
-    , m_nextReshuffle(now + options.reshuffle)
+    , m_nextReshuffle(now + options.reshuffleInterval)
     , m_nextReconnect(now)
-    , m_syncAskedAt(now - options.repair)
-    , m_lastNewsAt(now)
+    , m_syncRequestedAt(now - options.syncInterval)
+    , m_lastChangeAt(now)
     , m_lastTick(now)
 {
     announce(m_self.id);
@@ -78,7 +78,7 @@
 void MemberList::onRecords(std::span<const MemberRecord> records, TimePoint now)
 {
     for (const auto &it : records) {
-        merge(it, Spread::No, now);
+        merge(it, Dissemination::No, now);
     }
 }
 
@@ -89,7 +89,7 @@
     }
     std::visit(
         [&](const auto &it) {
-            absorb(it.gossip, now);
+            mergeGossip(it.gossip, now);
             handle(it, now);
         },
         message);
@@ -104,21 +104,21 @@
 
 void MemberList::handle(const ProbeAck &message, TimePoint now)
 {
-    m_pending.erase(message.number);
-    if (const auto it = m_relayed.find(message.number); it != m_relayed.end()) {
-        send(it->second.asker, ProbeAck{it->second.number, message.subject, makeGossip(it->second.asker.id)});
-        m_relayed.erase(it);
+    m_pendingProbes.erase(message.number);
+    if (const auto it = m_relayedProbes.find(message.number); it != m_relayedProbes.end()) {
+        send(it->second.requester, ProbeAck{it->second.number, message.subject, makeGossip(it->second.requester.id)});
+        m_relayedProbes.erase(it);
     }
     syncWith(message.gossip, now);
 }
 
 void MemberList::handle(const IndirectProbe &message, TimePoint now)
 {
-    if (m_relayed.size() >= m_options.maxMembers) {
+    if (m_relayedProbes.size() >= m_options.maxMembers) {
         return;
     }
     const auto number = ++m_lastNumber;
-    m_relayed[number] = {message.number, recordAddress(message.gossip.self), now};
+    m_relayedProbes[number] = {message.number, recordAddress(message.gossip.self), now};
     send(recordAddress(message.target), Probe{number, makeGossip(message.target.id)});
 }
 
@@ -141,97 +141,97 @@
 
 void MemberList::handle(const TablePage &message, TimePoint now)
 {
-    if (m_healing && m_healing->peer == message.gossip.self.id) {
-        healByPage(message, now);
+    if (m_recovery && m_recovery->peer == message.gossip.self.id) {
+        recoverFromPage(message, now);
         return;
     }
-    const auto spread = isJoining(message.gossip.digest) ? Spread::No : Spread::Yes;
+    const auto dissemination = isJoining(message.gossip.digest) ? Dissemination::No : Dissemination::Yes;
     for (const auto &it : message.records) {
-        merge(it, spread, now);
+        merge(it, dissemination, now);
     }
-    pushUnknown(message);
+    announceMissing(message);
     m_syncCursor = message.cursor;
     if (!m_syncCursor.isEmpty() && isJoining(message.gossip.digest)) {
-        askPage(recordAddress(message.gossip.self), now);
+        requestPage(recordAddress(message.gossip.self), now);
     }
 }
 
-void MemberList::revive(Member &member, MemberState state, Spread spread, TimePoint now)
+void MemberList::revive(Member &member, MemberState state, Dissemination dissemination, TimePoint now)
 {
     auto record = member.record;
-    ++record.revival;
+    ++record.revivalCount;
     record.state = state;
-    store(member, record, spread, now);
+    store(member, record, dissemination, now);
 }
 
 // Begins to read the table of a router that was dead to this one, if others died with it.
-void MemberList::startHealing(const base::RouterId &peer, TimePoint deadSince, TimePoint now)
+void MemberList::startPartitionRecovery(const base::RouterId &peer, TimePoint deadSince, TimePoint now)
 {
-    const auto from = deadSince - CutMargin;
+    const auto from = deadSince - PartitionMargin;
     const auto deaths = 1 + std::count_if(m_members.begin(), m_members.end(), [from](const auto &it) {
                             return it.second.record.state == MemberState::Dead && it.second.since >= from;
                         });
-    if (!m_healing && deaths >= MinCutDeaths) {
-        m_healing = Healing{peer, from, {}, now - m_options.repair, 0};
-        m_quarantineUntil = now + Quarantine;
-        withdrawDeaths();
+    if (!m_recovery && deaths >= MinPartitionDeaths) {
+        m_recovery = PartitionRecovery{peer, from, {}, now - m_options.syncInterval, 0};
+        m_deathSuppressionEnd = now + DeathSuppression;
+        dropQueuedDeaths();
     }
 }
 
-bool MemberList::isQuarantined(MemberState state, TimePoint now) const
+bool MemberList::isSuppressed(MemberState state, TimePoint now) const
 {
-    return now < m_quarantineUntil && (state == MemberState::Suspect || state == MemberState::Dead);
+    return now < m_deathSuppressionEnd && (state == MemberState::Suspect || state == MemberState::Dead);
 }
 
 // Tells nobody any more of deaths and suspicions that are still under way.
-void MemberList::withdrawDeaths()
+void MemberList::dropQueuedDeaths()
 {
     std::erase_if(m_updates, [this](const base::RouterId &id) {
         const auto *record = find(id);
         const bool isDoubtful = record != nullptr && (record->state == MemberState::Suspect || record->state == MemberState::Dead);
         if (isDoubtful) {
-            m_sent.erase(id);
+            m_transmissions.erase(id);
         }
         return isDoubtful;
     });
 }
 
-void MemberList::continueHealing(TimePoint now)
+void MemberList::continuePartitionRecovery(TimePoint now)
 {
     constexpr std::uint32_t MaxUnanswered = 3;
-    if (!m_healing || now < m_healing->askedAt + m_options.repair) {
+    if (!m_recovery || now < m_recovery->requestedAt + m_options.syncInterval) {
         return;
     }
-    const auto *peer = find(m_healing->peer);
-    if (peer == nullptr || peer->state == MemberState::Dead || ++m_healing->unanswered > MaxUnanswered) {
-        m_healing.reset(); // the next router that speaks begins anew
+    const auto *peer = find(m_recovery->peer);
+    if (peer == nullptr || peer->state == MemberState::Dead || ++m_recovery->unanswered > MaxUnanswered) {
+        m_recovery.reset(); // the next router that speaks begins anew
         return;
     }
-    m_healing->askedAt = now;
-    send(recordAddress(*peer), TableRequest{m_healing->cursor, makeGossip(peer->id)});
+    m_recovery->requestedAt = now;
+    send(recordAddress(*peer), TableRequest{m_recovery->cursor, makeGossip(peer->id)});
 }
 
-void MemberList::healByPage(const TablePage &page, TimePoint now)
+void MemberList::recoverFromPage(const TablePage &page, TimePoint now)
 {
-    m_healing->unanswered = 0;
-    m_healing->cursor = page.cursor;
+    m_recovery->unanswered = 0;
+    m_recovery->cursor = page.cursor;
     for (const auto &it : page.records) {
         const auto held = m_members.find(it.id);
-        const bool isDoubtful = held != m_members.end() && held->second.record.state == MemberState::Dead && held->second.record.life == it.life
-                                && held->second.since >= m_healing->deadSince;
+        const bool isDoubtful = held != m_members.end() && held->second.record.state == MemberState::Dead && held->second.record.selfVersion == it.selfVersion
+                                && held->second.since >= m_recovery->deadSince;
         if (isDoubtful && it.state != MemberState::Dead) {
-            revive(held->second, it.state, Spread::No, now);
+            revive(held->second, it.state, Dissemination::No, now);
         } else {
-            merge(it, Spread::No, now);
+            merge(it, Dissemination::No, now);
         }
     }
     if (page.cursor.isEmpty()) {
-        m_healing.reset();
+        m_recovery.reset();
     }
 }
 
 // Spreads what a page's sender should have had in it.
-void MemberList::pushUnknown(const TablePage &page)
+void MemberList::announceMissing(const TablePage &page)
 {
     auto it = m_members.upper_bound(m_syncCursor);
     for (; it != m_members.end() && (page.cursor.isEmpty() || it->first <= page.cursor); ++it) {
@@ -245,19 +245,19 @@
     }
 }
 
-void MemberList::absorb(const Gossip &gossip, TimePoint now)
+void MemberList::mergeGossip(const Gossip &gossip, TimePoint now)
 {
     if (const auto it = m_members.find(gossip.self.id); it != m_members.end()) {
         const auto &held = it->second.record;
-        if (held.state == MemberState::Dead && gossip.self.life == held.life && gossip.self.state != MemberState::Dead) {
+        if (held.state == MemberState::Dead && gossip.self.selfVersion == held.selfVersion && gossip.self.state != MemberState::Dead) {
             const auto deadSince = it->second.since;
-            revive(it->second, gossip.self.state, Spread::Yes, now);
-            startHealing(gossip.self.id, deadSince, now);
+            revive(it->second, gossip.self.state, Dissemination::Yes, now);
+            startPartitionRecovery(gossip.self.id, deadSince, now);
         }
     }
-    merge(gossip.self, Spread::Yes, now);
+    merge(gossip.self, Dissemination::Yes, now);
     for (const auto &it : gossip.updates) {
-        merge(it, Spread::Yes, now);
+        merge(it, Dissemination::Yes, now);
     }
     if (const auto it = m_members.find(gossip.self.id); it != m_members.end()) {
         if (it->second.revision < gossip.revision) {
@@ -268,7 +268,7 @@
     }
 }
 
-void MemberList::merge(const MemberRecord &record, Spread spread, TimePoint now)
+void MemberList::merge(const MemberRecord &record, Dissemination dissemination, TimePoint now)
 {
     if (record.id == m_self.id) {
         mergeSelf(record, now);
@@ -277,11 +277,11 @@
     const auto it = m_members.find(record.id);
     if (it != m_members.end()) {
         const auto &held = it->second.record;
-        if (record.life == held.life && record.state == held.state) {
-            it->second.record.revival = std::max(record.revival, held.revival);
+        if (record.selfVersion == held.selfVersion && record.state == held.state) {
+            it->second.record.revivalCount = std::max(record.revivalCount, held.revivalCount);
         } else if (supersedes(record, held)) {
-            store(it->second, record, spread, now);
-        } else if (supersedes(it->second.record, record) && it->second.record.state != record.state && !isQuarantined(it->second.record.state, now)) {
+            store(it->second, record, dissemination, now);
+        } else if (supersedes(it->second.record, record) && it->second.record.state != record.state && !isSuppressed(it->second.record.state, now)) {
             announce(record.id);
         }
         return;
@@ -295,27 +295,27 @@
     if (m_members.size() < m_options.maxMembers) {
         auto &member = m_members[record.id];
         member.record.state = MemberState::Dead;
-        store(member, record, spread, now);
+        store(member, record, dissemination, now);
     }
 }
 
 // Hears what others say of this router, and goes beyond it if it is not so.
 void MemberList::mergeSelf(const MemberRecord &record, TimePoint now)
 {
-    const bool isOwn = record.incarnation == m_self.incarnation && record.life == m_self.life;
-    const bool isFalse = record.life > m_self.life || (record.life == m_self.life && (!isOwn || record.state > m_self.state));
+    const bool isOwn = record.incarnation == m_self.incarnation && record.selfVersion == m_self.selfVersion;
+    const bool isFalse = record.selfVersion > m_self.selfVersion || (record.selfVersion == m_self.selfVersion && (!isOwn || record.state > m_self.state));
     if (!isFalse || m_isDeparted) {
         return;
     }
     m_digest.hash ^= recordHash(m_self);
-    m_self.life = record.life + 1;
+    m_self.selfVersion = record.selfVersion + 1;
     m_digest.hash ^= recordHash(m_self);
-    m_lastNewsAt = now;
+    m_lastChangeAt = now;
     m_view.reset();
     announce(m_self.id);
 }
 
-void MemberList::store(Member &member, const MemberRecord &record, Spread spread, TimePoint now)
+void MemberList::store(Member &member, const MemberRecord &record, Dissemination dissemination, TimePoint now)
 {
     const bool wasGone = member.record.state == MemberState::Dead;
     const bool isGone = record.state == MemberState::Dead;
@@ -328,11 +328,11 @@
     m_digest.count += (wasGone ? 1U : 0U) - (isGone ? 1U : 0U);
     member.record = record;
     member.since = now;
-    m_isProbedStale = m_isProbedStale || wasGone != isGone;
-    m_lastNewsAt = now;
+    m_isTargetListStale = m_isTargetListStale || wasGone != isGone;
+    m_lastChangeAt = now;
     m_view.reset();
     m_actions.emplace_back(MemberChanged{record});
-    if (spread == Spread::Yes && !isQuarantined(record.state, now)) {
+    if (dissemination == Dissemination::Yes && !isSuppressed(record.state, now)) {
         announce(record.id);
     }
 }
@@ -341,7 +341,7 @@
 {
     auto record = member.record;
     record.state = state;
-    store(member, record, Spread::Yes, now);
+    store(member, record, Dissemination::Yes, now);
 }
 
 // Compares tables where digests differ: at once while this router joins, else only
@@ -352,15 +352,15 @@
     if (gossip.digest == own) {
         return;
     }
-    const bool isDue = isJoining(gossip.digest) || now >= m_lastNewsAt + m_options.quiet;
-    if (isDue && now >= m_syncAskedAt + m_options.repair) {
-        askPage(recordAddress(gossip.self), now);
+    const bool isDue = isJoining(gossip.digest) || now >= m_lastChangeAt + m_options.syncQuietTime;
+    if (isDue && now >= m_syncRequestedAt + m_options.syncInterval) {
+        requestPage(recordAddress(gossip.self), now);
     }
 }
 
-void MemberList::askPage(const MemberAddress &from, TimePoint now)
+void MemberList::requestPage(const MemberAddress &from, TimePoint now)
 {
-    m_syncAskedAt = now;
+    m_syncRequestedAt = now;
     send(from, TableRequest{m_syncCursor, makeGossip(from.id)});
 }
 
@@ -380,9 +380,9 @@
     if (m_self.state == MemberState::Alive) {
         m_digest.hash ^= recordHash(m_self);
         m_self.state = MemberState::Leaving;
-        ++m_self.life;
+        ++m_self.selfVersion;
         m_digest.hash ^= recordHash(m_self);
-        m_lastNewsAt = now;
+        m_lastChangeAt = now;
         m_view.reset();
         announce(m_self.id);
     }
@@ -395,10 +395,10 @@
     }
     m_digest.hash ^= recordHash(m_self);
     m_self.state = MemberState::Dead;
-    ++m_self.life;
-    m_lastNewsAt = now;
+    ++m_self.selfVersion;
+    m_lastChangeAt = now;
     announce(m_self.id);
-    for (const auto &it : m_probed) {
+    for (const auto &it : m_probeTargets) {
         if (const auto *record = find(it); record != nullptr) {
             send(recordAddress(*record), Probe{++m_lastNumber, makeGossip(it)});
         }
@@ -416,9 +416,9 @@
     return m_self;
 }
 
-std::vector<base::RouterId> MemberList::probed() const
+std::vector<base::RouterId> MemberList::probeTargets() const
 {
-    return m_probed;
+    return m_probeTargets;
 }
 
 std::optional<MemberState> MemberList::stateOf(const base::RouterId &id) const
@@ -479,7 +479,7 @@
 // Begins to tell others of a record, or begins again.
 void MemberList::announce(const base::RouterId &id)
 {
-    const auto [it, isNew] = m_sent.insert_or_assign(id, 0);
+    const auto [it, isNew] = m_transmissions.insert_or_assign(id, 0);
     if (isNew) {
         m_updates.push_front(id);
     }
--- a/carawaylatch/membership/memberlist.h
+++ b/carawaylatch/membership/memberlist.h
@@ -40,12 +40,12 @@
 {
     base::Duration heartbeat = base::milliseconds{500}; // one probe each
     base::Duration probeTimeout = base::milliseconds{200}; // until others are asked; below heartbeat
-    base::Duration suspicion = base::seconds{2}; // until a suspect is dead; grows with the logarithm of the members
-    base::Duration reshuffle = base::seconds{10}; // until one of the probed is exchanged
-    base::Duration reconnect = base::seconds{2}; // between probes of a dead member or seed
+    base::Duration suspicionTimeout = base::seconds{2}; // until a suspect is dead; grows with the logarithm of the members
+    base::Duration reshuffleInterval = base::seconds{10}; // until one of the probed is exchanged
+    base::Duration reconnectInterval = base::seconds{2}; // between probes of a dead member or seed
     base::Duration deadRetention = base::hours{2}; // then a dead member is forgotten
-    base::Duration repair = base::seconds{1}; // between pages asked for while tables differ
-    base::Duration quiet = base::seconds{10}; // without news until differing tables are compared
+    base::Duration syncInterval = base::seconds{1}; // between pages asked for while tables differ
+    base::Duration syncQuietTime = base::seconds{10}; // without news until differing tables are compared
     std::uint32_t ringProbes = 2; // next routers in hash order
     std::uint32_t randomProbes = 6;
     std::uint32_t indirectProbes = 3; // routers asked to probe another
@@ -135,7 +135,7 @@
     [[nodiscard]] std::shared_ptr<const MembershipView> view() const;
     [[nodiscard]] const MemberRecord &self() const;
     // Members that this router probes now.
-    [[nodiscard]] std::vector<base::RouterId> probed() const;
+    [[nodiscard]] std::vector<base::RouterId> probeTargets() const;
     // How another router is seen; nothing if it is unknown.
     [[nodiscard]] std::optional<MemberState> stateOf(const base::RouterId &id) const;
     // All records, dead ones included.
@@ -150,21 +150,21 @@
         base::TimePoint since; // of the state
     };
     // A probe without an answer yet.
-    struct Pending
+    struct PendingProbe
     {
         MemberAddress target;
         base::TimePoint sentAt;
         bool isIndirect = false; // others were asked
     };
     // A probe on behalf of another router.
-    struct Relayed
+    struct RelayedProbe
     {
         std::uint64_t number = 0; // of the asking router
-        MemberAddress asker;
+        MemberAddress requester;
         base::TimePoint sentAt;
     };
     // Whether a record taken over is told to others.
-    enum class Spread {
+    enum class Dissemination {
         Yes,
         No,
     };
@@ -174,14 +174,14 @@
     void handle(const IndirectProbe &message, base::TimePoint now);
     void handle(const TableRequest &message, base::TimePoint now);
     void handle(const TablePage &message, base::TimePoint now);
-    void absorb(const Gossip &gossip, base::TimePoint now);
-    void merge(const MemberRecord &record, Spread spread, base::TimePoint now);
+    void mergeGossip(const Gossip &gossip, base::TimePoint now);
+    void merge(const MemberRecord &record, Dissemination dissemination, base::TimePoint now);
     void mergeSelf(const MemberRecord &record, base::TimePoint now);
-    void store(Member &member, const MemberRecord &record, Spread spread, base::TimePoint now);
+    void store(Member &member, const MemberRecord &record, Dissemination dissemination, base::TimePoint now);
     void setState(Member &member, MemberState state, base::TimePoint now);
     void announce(const base::RouterId &id);
-    [[nodiscard]] bool isQuarantined(MemberState state, base::TimePoint now) const;
-    void withdrawDeaths();
+    [[nodiscard]] bool isSuppressed(MemberState state, base::TimePoint now) const;
+    void dropQueuedDeaths();
     void send(const MemberAddress &to, MemberMessage message);
     [[nodiscard]] Gossip makeGossip(const base::RouterId &to);
     [[nodiscard]] Gossip makeAnswer(const Gossip &received);
@@ -192,20 +192,20 @@
     void expireProbes(base::TimePoint now);
     void expireSuspects(base::TimePoint now);
     void forgetDead(base::TimePoint now);
-    void chooseProbed();
-    void exchangeProbed();
+    void chooseProbeTargets();
+    void replaceRandomTarget();
     void syncWith(const Gossip &gossip, base::TimePoint now);
-    void askPage(const MemberAddress &from, base::TimePoint now);
+    void requestPage(const MemberAddress &from, base::TimePoint now);
     [[nodiscard]] bool isJoining(const MemberDigest &other) const;
-    void pushUnknown(const TablePage &page);
-    void revive(Member &member, MemberState state, Spread spread, base::TimePoint now);
-    void startHealing(const base::RouterId &peer, base::TimePoint deadSince, base::TimePoint now);
-    void healByPage(const TablePage &page, base::TimePoint now);
-    void continueHealing(base::TimePoint now);
+    void announceMissing(const TablePage &page);
+    void revive(Member &member, MemberState state, Dissemination dissemination, base::TimePoint now);
+    void startPartitionRecovery(const base::RouterId &peer, base::TimePoint deadSince, base::TimePoint now);
+    void recoverFromPage(const TablePage &page, base::TimePoint now);
+    void continuePartitionRecovery(base::TimePoint now);
     [[nodiscard]] const MemberRecord *find(const base::RouterId &id) const;
-    void resumeAfterFreeze(base::TimePoint now);
+    void restartTimersAfterPause(base::TimePoint now);
     [[nodiscard]] base::Duration suspicionTime() const;
-    void askOthers(std::uint64_t number, const MemberRecord &target);
+    void requestIndirectProbes(std::uint64_t number, const MemberRecord &target);
     [[nodiscard]] MemberAddress addressOf(const base::RouterId &id) const;
     [[nodiscard]] bool isProbeable(const base::RouterId &id) const;
 
@@ -216,32 +216,32 @@
     std::map<base::RouterId, Member> m_members; // without this router; at most maxMembers
     MemberDigest m_digest; // of all records but dead ones, this router's included
     std::set<base::Endpoint> m_seeds; // that are no members
-    std::vector<base::RouterId> m_probed;
-    std::size_t m_nextProbed = 0;
-    bool m_isProbedStale = true; // members came or went since m_probed was chosen
-    std::map<std::uint64_t, Pending> m_pending; // by number; ends within two heartbeats
-    std::map<std::uint64_t, Relayed> m_relayed; // by own number; ends within two heartbeats
+    std::vector<base::RouterId> m_probeTargets;
+    std::size_t m_nextTarget = 0;
+    bool m_isTargetListStale = true; // members came or went since m_probeTargets was chosen
+    std::map<std::uint64_t, PendingProbe> m_pendingProbes; // by number; ends within two heartbeats
+    std::map<std::uint64_t, RelayedProbe> m_relayedProbes; // by own number; ends within two heartbeats
     std::uint64_t m_lastNumber = 0;
-    std::deque<base::RouterId> m_updates; // whose records go on messages next, the keys of m_sent
-    std::map<base::RouterId, std::uint32_t> m_sent; // how often each was sent
+    std::deque<base::RouterId> m_updates; // whose records go on messages next, the keys of m_transmissions
+    std::map<base::RouterId, std::uint32_t> m_transmissions; // how often each was sent
     base::TimePoint m_nextHeartbeat;
     base::TimePoint m_nextReshuffle;
     base::TimePoint m_nextReconnect;
     std::set<base::RouterId> m_suspects; // members in that state
     // A cut that heals: the table of a peer from its other side is read page by page.
-    struct Healing
+    struct PartitionRecovery
     {
         base::RouterId peer;
         base::TimePoint deadSince; // deaths from here on came of the cut
         base::RouterId cursor; // last id of the page read last
-        base::TimePoint askedAt;
+        base::TimePoint requestedAt;
         std::uint32_t unanswered = 0; // requests for one page
     };
-    std::optional<Healing> m_healing;
-    base::TimePoint m_quarantineUntil; // deaths are not told to others: they may come of a cut
+    std::optional<PartitionRecovery> m_recovery;
+    base::TimePoint m_deathSuppressionEnd; // deaths are not told to others: they may come of a cut
     base::RouterId m_syncCursor; // last id of the page compared last
-    base::TimePoint m_syncAskedAt; // when a page was asked for last
-    base::TimePoint m_lastNewsAt; // when a record changed last
+    base::TimePoint m_syncRequestedAt; // when a page was asked for last
+    base::TimePoint m_lastChangeAt; // when a record changed last
     base::TimePoint m_lastTick;
     bool m_isDeparted = false;
     std::vector<MemberAction> m_actions;
--- a/carawaylatch/membership/probing.cpp
+++ b/carawaylatch/membership/probing.cpp
@@ -22,7 +22,7 @@
 namespace
 {
 
-constexpr std::int64_t FrozenHeartbeats = 4; // ticks further apart mean that the process stood still
+constexpr std::int64_t MaxTickGapHeartbeats = 4; // ticks further apart mean that the process stood still
 constexpr std::uint32_t RetransmitFactor = 2; // messages that carry a record, for each doubling of members
 
 } // namespace
@@ -32,23 +32,23 @@
     if (m_isDeparted) {
         return;
     }
-    if (now > m_lastTick + m_options.heartbeat * FrozenHeartbeats) {
-        resumeAfterFreeze(now);
+    if (now > m_lastTick + m_options.heartbeat * MaxTickGapHeartbeats) {
+        restartTimersAfterPause(now);
     }
     m_lastTick = now;
     expireProbes(now);
     expireSuspects(now);
-    continueHealing(now);
-    if (m_isProbedStale) {
-        chooseProbed();
+    continuePartitionRecovery(now);
+    if (m_isTargetListStale) {
+        chooseProbeTargets();
     }
     if (now >= m_nextReshuffle) {
-        m_nextReshuffle = now + m_options.reshuffle;
-        exchangeProbed();
+        m_nextReshuffle = now + m_options.reshuffleInterval;
+        replaceRandomTarget();
         forgetDead(now);
     }
     if (now >= m_nextReconnect) {
-        m_nextReconnect = now + m_options.reconnect;
+        m_nextReconnect = now + m_options.reconnectInterval;
         reconnectNext(now);
     }
     if (now >= m_nextHeartbeat) {
@@ -60,16 +60,16 @@
 TimePoint MemberList::nextDeadline() const
 {
     auto next = std::min({m_nextHeartbeat, m_nextReshuffle, m_nextReconnect});
-    for (const auto &it : m_pending) {
+    for (const auto &it : m_pendingProbes) {
         next = std::min(next, it.second.sentAt + (it.second.isIndirect ? m_options.heartbeat : m_options.probeTimeout));
     }
     return next;
 }
 
-void MemberList::resumeAfterFreeze(TimePoint now)
+void MemberList::restartTimersAfterPause(TimePoint now)
 {
-    m_pending.clear();
-    m_relayed.clear();
+    m_pendingProbes.clear();
+    m_relayedProbes.clear();
     m_nextHeartbeat = now;
     for (const auto &it : m_suspects) {
         m_members.at(it).since = now;
@@ -78,8 +78,8 @@
 
 void MemberList::probeNext(TimePoint now)
 {
-    for (std::size_t i = 0; i < m_probed.size(); ++i) {
-        const auto &id = m_probed[m_nextProbed++ % m_probed.size()];
+    for (std::size_t i = 0; i < m_probeTargets.size(); ++i) {
+        const auto &id = m_probeTargets[m_nextTarget++ % m_probeTargets.size()];
         if (isProbeable(id)) {
             probe(addressOf(id), makeGossip(id), now);
             return;
@@ -90,7 +90,7 @@
 void MemberList::probe(const MemberAddress &target, Gossip gossip, TimePoint now)
 {
     const auto number = ++m_lastNumber;
-    m_pending[number] = {target, now, false};
+    m_pendingProbes[number] = {target, now, false};
     send(target, Probe{number, std::move(gossip)});
 }
 
@@ -118,10 +118,10 @@
 
 void MemberList::expireProbes(TimePoint now)
 {
-    std::erase_if(m_relayed, [&](const auto &it) {
+    std::erase_if(m_relayedProbes, [&](const auto &it) {
         return now >= it.second.sentAt + 2 * m_options.heartbeat;
     });
-    for (auto it = m_pending.begin(); it != m_pending.end();) {
+    for (auto it = m_pendingProbes.begin(); it != m_pendingProbes.end();) {
         auto &[number, pending] = *it;
         const auto member = m_members.find(pending.target.id);
         const bool isWatched = member != m_members.end() && member->second.record.state != MemberState::Dead;
@@ -129,25 +129,25 @@
             if (isWatched && member->second.record.state != MemberState::Suspect) {
                 setState(member->second, member->second.record.state == MemberState::Leaving ? MemberState::Dead : MemberState::Suspect, now);
             }
-            it = m_pending.erase(it);
+            it = m_pendingProbes.erase(it);
             continue;
         }
         if (isWatched && !pending.isIndirect && now >= pending.sentAt + m_options.probeTimeout) {
             pending.isIndirect = true;
-            askOthers(number, member->second.record);
+            requestIndirectProbes(number, member->second.record);
         }
         ++it;
     }
 }
 
-void MemberList::askOthers(std::uint64_t number, const MemberRecord &target)
+void MemberList::requestIndirectProbes(std::uint64_t number, const MemberRecord &target)
 {
-    std::uint32_t asked = 0;
-    const auto start = m_random.below(std::max<std::size_t>(m_probed.size(), 1));
-    for (std::size_t i = 0; i < m_probed.size() && asked < m_options.indirectProbes; ++i) {
-        const auto &id = m_probed[(start + i) % m_probed.size()];
+    std::uint32_t requested = 0;
+    const auto start = m_random.below(std::max<std::size_t>(m_probeTargets.size(), 1));
+    for (std::size_t i = 0; i < m_probeTargets.size() && requested < m_options.indirectProbes; ++i) {
+        const auto &id = m_probeTargets[(start + i) % m_probeTargets.size()];
         if (id != target.id && isProbeable(id)) {
-            ++asked;
+            ++requested;
             send(addressOf(id), IndirectProbe{number, target, makeGossip(id)});
         }
     }
@@ -156,7 +156,7 @@
 base::Duration MemberList::suspicionTime() const
 {
     const double factor = std::max(1.0, std::log10(static_cast<double>(m_members.size() + 1)));
-    return base::fromSeconds(base::toSeconds(m_options.suspicion) * factor);
+    return base::fromSeconds(base::toSeconds(m_options.suspicionTimeout) * factor);
 }
 
 void MemberList::expireSuspects(TimePoint now)
@@ -202,9 +202,9 @@
 }
 
 // Chooses the ring's next anew and keeps the random ones that still live.
-void MemberList::chooseProbed()
+void MemberList::chooseProbeTargets()
 {
-    m_isProbedStale = false;
+    m_isTargetListStale = false;
     const auto ownHash = base::hash64(m_self.id.value());
     std::vector<std::pair<std::uint64_t, base::RouterId>> ring; // by distance from this router
     for (const auto &it : m_members) {
@@ -224,7 +224,7 @@
             chosen.push_back(id);
         }
     };
-    for (const auto &it : m_probed) {
+    for (const auto &it : m_probeTargets) {
         if (isProbeable(it)) {
             add(it);
         }
@@ -232,15 +232,15 @@
     while (chosen.size() < wanted) {
         add(ring[m_random.below(ring.size())].second);
     }
-    m_probed = std::move(chosen);
+    m_probeTargets = std::move(chosen);
 }
 
-void MemberList::exchangeProbed()
+void MemberList::replaceRandomTarget()
 {
-    if (m_probed.size() > m_options.ringProbes && m_probed.size() < m_members.size()) {
-        const auto random = m_probed.size() - m_options.ringProbes;
-        m_probed.erase(m_probed.begin() + static_cast<std::ptrdiff_t>(m_options.ringProbes + m_random.below(random)));
-        chooseProbed();
+    if (m_probeTargets.size() > m_options.ringProbes && m_probeTargets.size() < m_members.size()) {
+        const auto random = m_probeTargets.size() - m_options.ringProbes;
+        m_probeTargets.erase(m_probeTargets.begin() + static_cast<std::ptrdiff_t>(m_options.ringProbes + m_random.below(random)));
+        chooseProbeTargets();
     }
 }
 
@@ -254,7 +254,7 @@
 {
     auto gossip = makeGossip(received.self.id);
     const auto *held = find(received.self.id);
-    if (held != nullptr && held->life > received.self.life) {
+    if (held != nullptr && held->selfVersion > received.self.selfVersion) {
         gossip.updates.push_back(*held);
     }
     return gossip;
@@ -272,8 +272,8 @@
         auto id = std::move(m_updates.front());
         m_updates.pop_front();
         const auto *record = find(id);
-        if (record == nullptr || ++m_sent[id] > limit) {
-            m_sent.erase(id);
+        if (record == nullptr || ++m_transmissions[id] > limit) {
+            m_transmissions.erase(id);
             continue;
         }
         if (record != &m_self) {
--- a/carawaylatch/membership/testing/memberlisttest.cpp
+++ b/carawaylatch/membership/testing/memberlisttest.cpp
@@ -25,7 +25,7 @@
     std::uint32_t domain = 0;
     std::unique_ptr<MemberList> list;
     bool isUp = true;
-    bool isFrozen = false;
+    bool isPaused = false;
     std::vector<std::function<void()>> waiting; // messages to a frozen node
 };
 
@@ -56,12 +56,13 @@
     }
 
     // Starts a life of a router; it knows only the first one's endpoint.
-    void start(std::uint32_t n, std::uint64_t life)
+    void start(std::uint32_t n, std::uint64_t selfVersion)
     {
         auto &node = m_nodes[n];
         node.domain = n % Domains;
         node.isUp = true;
-        MemberRecord self{idOf(n), base::FailureDomain("d" + std::to_string(node.domain)), endpointOf(n), {++m_incarnations}, life, 0, MemberState::Alive};
+        MemberRecord self{idOf(n),           base::FailureDomain("d" + std::to_string(node.domain)), endpointOf(n), {++m_incarnations}, selfVersion, 0,
+                          MemberState::Alive};
         MemberListOptions options;
         options.seed = ::carawaylatch::testing::seed();
         node.list = std::make_unique<MemberList>(options, self, m_network.now());
@@ -82,18 +83,18 @@
     {
         m_nodes[n].isUp = false;
     }
-    void freeze(std::uint32_t n)
+    void pause(std::uint32_t n)
     {
-        m_nodes[n].isFrozen = true;
+        m_nodes[n].isPaused = true;
     }
     void resume(std::uint32_t n)
     {
-        m_nodes[n].isFrozen = false;
+        m_nodes[n].isPaused = false;
         for (const auto &it : std::exchange(m_nodes[n].waiting, {})) {
             it();
         }
     }
-    void act(std::uint32_t n)
+    void performActions(std::uint32_t n)
     {
         for (auto &it : m_nodes[n].list->takeActions()) {
             if (auto *message = std::get_if<SendMember>(&it)) {
@@ -138,9 +139,9 @@
     void tick(std::uint32_t n)
     {
         auto &node = m_nodes[n];
-        if (node.isUp && !node.isFrozen) {
+        if (node.isUp && !node.isPaused) {
             node.list->onTick(m_network.now());
-            act(n);
+            performActions(n);
         }
         m_network.at(m_network.now() + base::milliseconds{50}, [this, n] {
             tick(n);
@@ -164,9 +165,9 @@
         }
         const auto handle = [this, n, message] {
             m_nodes[n].list->onMessage(message, m_network.now());
-            act(n);
+            performActions(n);
         };
-        if (node.isFrozen) {
+        if (node.isPaused) {
             node.waiting.emplace_back(handle);
         } else {
             handle();
@@ -185,16 +186,16 @@
 {
     CPPUNIT_TEST_SUITE(MemberListTest);
     CPPUNIT_TEST(testAllJoinThroughOneSeed);
-    CPPUNIT_TEST(testCrashIsNoticedAndReplacementTakesOver);
-    CPPUNIT_TEST(testCutAndHeal);
-    CPPUNIT_TEST(testLossesDontKill);
-    CPPUNIT_TEST(testFrozenRouterComesBackAndAccusesNobody);
-    CPPUNIT_TEST(testFreezeStartsSuspicionAnew);
-    CPPUNIT_TEST(testDeadRouterThatSpeaksIsRevived);
+    CPPUNIT_TEST(testCrashIsDetectedAndReplacementJoins);
+    CPPUNIT_TEST(testPartitionHeals);
+    CPPUNIT_TEST(testPacketLossCausesNoDeaths);
+    CPPUNIT_TEST(testPausedRouterRejoinsWithoutFalseDeaths);
+    CPPUNIT_TEST(testPauseRestartsSuspicionTimeout);
+    CPPUNIT_TEST(testMessageFromDeadMemberRevivesIt);
     CPPUNIT_TEST(testPlannedStop);
     CPPUNIT_TEST(testRestartWithClockSetBack);
     CPPUNIT_TEST(testMessagesAndConnectionsAreBounded);
-    CPPUNIT_TEST(testRankAgrees);
+    CPPUNIT_TEST(testRoutersAgreeOnRanking);
     CPPUNIT_TEST(testRecordOrder);
     CPPUNIT_TEST(testTableIsBounded);
     CPPUNIT_TEST_SUITE_END();
@@ -211,7 +212,7 @@
         }
     }
 
-    void testCrashIsNoticedAndReplacementTakesOver()
+    void testCrashIsDetectedAndReplacementJoins()
     {
         Fleet fleet(12);
         fleet.network().runFor(seconds{10});
@@ -223,7 +224,7 @@
         fleet.assertAll(MemberState::Alive, fleet.all(), "after the replacement");
     }
 
-    void testCutAndHeal()
+    void testPartitionHeals()
     {
         Fleet fleet(12);
         fleet.network().runFor(seconds{10});
@@ -237,7 +238,7 @@
         fleet.assertAll(MemberState::Alive, fleet.all(), "after the cut");
     }
 
-    void testLossesDontKill()
+    void testPacketLossCausesNoDeaths()
     {
         Fleet fleet(12, {0.05, 0.05, base::milliseconds{1}, base::milliseconds{30}});
         fleet.network().runFor(seconds{15});
@@ -249,11 +250,11 @@
         }
     }
 
-    void testFrozenRouterComesBackAndAccusesNobody()
+    void testPausedRouterRejoinsWithoutFalseDeaths()
     {
         Fleet fleet(8);
         fleet.network().runFor(seconds{10});
-        fleet.freeze(3);
+        fleet.pause(3);
         fleet.network().runFor(seconds{20});
         CPPUNIT_ASSERT(fleet.state(0, 3) == MemberState::Dead);
         fleet.resume(3);
@@ -266,7 +267,7 @@
     }
 
     // After a cut nobody has to refute its death: speaking is enough.
-    void testDeadRouterThatSpeaksIsRevived()
+    void testMessageFromDeadMemberRevivesIt()
     {
         const base::TimePoint now{base::hours{1}};
         MemberList list({}, {Fleet::idOf(0), base::FailureDomain("d"), Fleet::endpointOf(0), {1}, 1, 0, MemberState::Alive}, now);
@@ -279,15 +280,15 @@
         list.onMessage(Probe{1, {alive, {}, {}, {}}}, now);
         CPPUNIT_ASSERT(list.stateOf(alive.id) == MemberState::Alive);
         auto older = alive;
-        older.life = 4;
+        older.selfVersion = 4;
         list.onRecords({&record, 1}, now);
         CPPUNIT_ASSERT_MESSAGE("the death before the revival is old news", list.stateOf(alive.id) == MemberState::Alive);
         list.onMessage(Probe{2, {older, {}, {}, {}}}, now);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, list.records().at(1).life);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, list.records().at(1).selfVersion);
     }
 
     // A suspicion that ran out while the process stood still has not been answered yet.
-    void testFreezeStartsSuspicionAnew()
+    void testPauseRestartsSuspicionTimeout()
     {
         base::TimePoint now{base::hours{1}};
         MemberList list({}, {Fleet::idOf(0), base::FailureDomain("d"), Fleet::endpointOf(0), {1}, 1, 0, MemberState::Alive}, now);
@@ -312,7 +313,7 @@
         fleet.network().runFor(seconds{5});
         fleet.assertAll(MemberState::Leaving, {2}, "while leaving");
         fleet.list(2).depart(fleet.network().now());
-        fleet.act(2);
+        fleet.performActions(2);
         fleet.network().runFor(seconds{2});
         fleet.assertAll(MemberState::Dead, {2}, "after departing");
     }
@@ -326,7 +327,7 @@
         fleet.start(1, 1); // far below its life before
         fleet.network().runFor(seconds{10});
         fleet.assertAll(MemberState::Alive, {1}, "after a restart with a smaller life");
-        CPPUNIT_ASSERT(fleet.list(1).self().life > 1'001);
+        CPPUNIT_ASSERT(fleet.list(1).self().selfVersion > 1'001);
     }
 
     void testMessagesAndConnectionsAreBounded()
@@ -335,7 +336,7 @@
         fleet.network().runFor(seconds{30});
         const MemberListOptions options;
         for (const auto n : fleet.all()) {
-            CPPUNIT_ASSERT_EQUAL(std::size_t{options.ringProbes + options.randomProbes}, fleet.list(n).probed().size());
+            CPPUNIT_ASSERT_EQUAL(std::size_t{options.ringProbes + options.randomProbes}, fleet.list(n).probeTargets().size());
         }
         const auto before = fleet.network().messages();
         fleet.network().runFor(seconds{10});
@@ -355,7 +356,7 @@
         }
     }
 
-    void testRankAgrees()
+    void testRoutersAgreeOnRanking()
     {
         Fleet fleet(12);
         fleet.network().runFor(seconds{10});
@@ -374,9 +375,9 @@
                 first.state = states[i];
                 second.state = states[j];
                 CPPUNIT_ASSERT_EQUAL(i > j, supersedes(first, second));
-                first.revival = 1;
+                first.revivalCount = 1;
                 CPPUNIT_ASSERT(supersedes(first, second) && !supersedes(second, first));
-                second.life = 1;
+                second.selfVersion = 1;
                 CPPUNIT_ASSERT(supersedes(second, first) && !supersedes(first, second));
             }
         }
--- a/carawaylatch/peer/wirevalues.cpp
+++ b/carawaylatch/peer/wirevalues.cpp
@@ -81,8 +81,8 @@
     out.set_address(value.endpoint.address);
     out.set_port(value.endpoint.port);
     out.set_incarnation(value.incarnation.value);
-    out.set_life(value.life);
-    out.set_revival(value.revival);
+    out.set_life(value.selfVersion);
+    out.set_revival(value.revivalCount);
     out.set_state(static_cast<std::uint32_t>(value.state));
 }
 
--- a/carawaylatch/proxy/exchange.cpp
+++ b/carawaylatch/proxy/exchange.cpp
@@ -46,7 +46,7 @@
     if (!check()) {
         return;
     }
-    m_plane.budget(m_pool).noteRequest(m_plane.now());
+    m_plane.budget(m_pool).countRequest(m_plane.now());
     const base::Duration kept = std::min(m_route->timeout, m_request.patience.value_or(m_route->timeout) + DeadlineGrace);
     m_deadlineTimer = m_plane.timers().after(m_begun, kept, [weak = weak_from_this()](base::TimePoint) {
         if (const auto self = weak.lock()) {
--- a/carawaylatch/relay/attemptid.cpp
+++ b/carawaylatch/relay/attemptidgenerator.cpp
@@ -1,6 +1,6 @@
 // The mix is the finalizer of splitmix64 (Steele, Lea and Flood, 2014): a
 // bijection of 64-bit numbers, so ids of one router differ as its counters do.
-#include "carawaylatch/relay/attemptid.h"
+#include "carawaylatch/relay/attemptidgenerator.h"
 
 #include "carawaylatch/base/hash.h"
 
@@ -19,12 +19,12 @@
 
 } // namespace
 
-AttemptIds::AttemptIds(const base::RouterId &router, base::Incarnation incarnation)
+AttemptIdGenerator::AttemptIdGenerator(const base::RouterId &router, base::Incarnation incarnation)
     : m_base(base::combineHashes(base::hash64(router.value()), incarnation.value))
 {
 }
 
-base::AttemptId AttemptIds::next()
+base::AttemptId AttemptIdGenerator::next()
 {
     base::AttemptId id;
     while (id.value == 0) {
--- a/carawaylatch/relay/attemptid.h
+++ b/carawaylatch/relay/attemptidgenerator.h
@@ -13,10 +13,10 @@
 {
 
 // Makes attempt ids; safe for use from any thread.
-class AttemptIds
+class AttemptIdGenerator
 {
 public:
-    AttemptIds(const base::RouterId &router, base::Incarnation incarnation);
+    AttemptIdGenerator(const base::RouterId &router, base::Incarnation incarnation);
 
     // Returns an id that was never returned before; never zero.
     [[nodiscard]] base::AttemptId next();
--- a/carawaylatch/relay/hedgedelay.cpp
+++ b/carawaylatch/relay/hedgedelay.cpp
@@ -13,7 +13,7 @@
     const double ms = std::max(1.0, base::toSeconds(firstToken) * 1000);
     const auto bucket = std::min(BucketCount - 1, static_cast<std::size_t>(std::ceil(4 * std::log2(ms))));
     ++m_counts[bucket];
-    if (++m_total < FullCount) {
+    if (++m_total < HalvingThreshold) {
         return;
     }
     m_total = 0;
@@ -23,12 +23,12 @@
     }
 }
 
-std::optional<base::Duration> FirstTokenQuantile::quantile(double share) const
+std::optional<base::Duration> FirstTokenQuantile::quantile(double probability) const
 {
-    if (m_total < MinCount) {
+    if (m_total < MinSamples) {
         return std::nullopt;
     }
-    const double wanted = share * m_total;
+    const double wanted = probability * m_total;
     std::uint64_t sum = 0;
     for (std::size_t i = 0; i < BucketCount; ++i) {
         sum += m_counts[i];
--- a/carawaylatch/relay/hedgedelay.h
+++ b/carawaylatch/relay/hedgedelay.h
@@ -1,7 +1,7 @@
 // How long to wait for a first token before a hedge is sent.
 //
 // Times to first token are counted in buckets that double every four steps; at
-// FullCount samples all counts are halved, so old samples fade. The delay is the
+// HalvingThreshold samples all counts are halved, so old samples fade. The delay is the
 // bucket bound at the wanted quantile: with 0.95, about one request in twenty
 // asks for a hedge, and the retry budget bounds what it gets.
 #pragma once
@@ -23,13 +23,13 @@
 {
 public:
     void add(base::Duration firstToken);
-    // Returns the quantile (0 to 1), or nothing before MinCount samples.
-    [[nodiscard]] std::optional<base::Duration> quantile(double share) const;
+    // Returns the quantile (0 to 1), or nothing before MinSamples samples.
+    [[nodiscard]] std::optional<base::Duration> quantile(double probability) const;
 
 private:
     static constexpr std::size_t BucketCount = 80; // 1 ms times 2^(i/4): up to 880 s
-    static constexpr std::uint32_t MinCount = 20;
-    static constexpr std::uint32_t FullCount = 2000;
+    static constexpr std::uint32_t MinSamples = 20;
+    static constexpr std::uint32_t HalvingThreshold = 2000;
     std::array<std::uint32_t, BucketCount> m_counts{};
     std::uint32_t m_total = 0;
 };
--- a/carawaylatch/relay/openrequest.cpp
+++ b/carawaylatch/relay/openrequest.cpp
@@ -91,7 +91,7 @@
     stream.deadline = request.deadline;
     stream.retryAfter = options.retryAfter;
     stream.idleTimeout = options.idleTimeout;
-    stream.maxStarts = options.maxStarts;
+    stream.maxRuns = options.maxRuns;
     if (request.maxTokens > 0) {
         stream.maxTokens = request.maxTokens;
     }
@@ -105,21 +105,21 @@
 
 } // namespace
 
-OpenRequest::OpenRequest(RelayParts &parts, const RelayRequest &request, Placer &placer, CallerSink &sink)
-    : m_parts(parts)
+OpenRequest::OpenRequest(RelayContext &context, const RelayRequest &request, Placer &placer, CallerSink &sink)
+    : m_context(context)
     , m_request(request)
     , m_placer(placer)
     , m_sink(sink)
-    , m_started(parts.clock.now())
-    , m_assembler(streamOptions(parts.options, request), m_started)
+    , m_started(context.clock.now())
+    , m_assembler(streamOptions(context.options, request), m_started)
 {
 }
 
 RelayReport OpenRequest::run()
 {
-    m_parts.budgets.noteRequest(m_request.pool, m_started);
+    m_context.budgets.countRequest(m_request.pool, m_started);
     if (m_request.hedging == config::Hedging::On) {
-        if (const auto delay = m_parts.delays.delay(m_request.pool)) {
+        if (const auto delay = m_context.delays.delay(m_request.pool)) {
             const std::lock_guard lock(m_mutex);
             m_hedgeAt = m_started + *delay;
         }
@@ -140,7 +140,7 @@
         return m_hedgesRunning == 0;
     });
     m_report.tokens = m_assembler.delivered();
-    m_report.starts = m_assembler.starts();
+    m_report.runCount = m_assembler.runCount();
     return m_report;
 }
 
@@ -213,17 +213,17 @@
     std::vector<AttemptOutcome> outcomes;
     {
         const std::lock_guard lock(m_mutex);
-        event(m_parts.clock.now(), actions);
+        event(m_context.clock.now(), actions);
         outcomes = m_assembler.takeOutcomes();
-        sort(actions);
+        recordActions(actions);
     }
     m_changed.notify_all();
     perform(actions);
-    report(outcomes);
+    reportOutcomes(outcomes);
 }
 
 // Notes actions that other threads carry out or wait for; m_mutex is held.
-void OpenRequest::sort(const Actions &actions)
+void OpenRequest::recordActions(const Actions &actions)
 {
     for (const Action &it : actions) {
         switch (it.kind) {
@@ -264,9 +264,9 @@
 {
     for (const Action &it : actions) {
         if (it.kind == ActionKind::Cancel) {
-            m_parts.connection.cancel(it.attempt);
+            m_context.connection.cancel(it.attempt);
         } else if (it.kind == ActionKind::FirstToken) {
-            noteFirstToken(it);
+            recordFirstToken(it);
         }
     }
     performWrites(actions);
@@ -304,7 +304,7 @@
     {
         const std::lock_guard lock(m_mutex);
         m_writing = Writing::No;
-        m_assembler.written(m_parts.clock.now());
+        m_assembler.written(m_context.clock.now());
     }
     m_changed.notify_all();
     if (state == CallerState::Gone) {
@@ -320,7 +320,7 @@
     return *m_assembler.plan(attempt);
 }
 
-void OpenRequest::report(const std::vector<AttemptOutcome> &outcomes)
+void OpenRequest::reportOutcomes(const std::vector<AttemptOutcome> &outcomes)
 {
     const std::lock_guard placerLock(m_placerMutex);
     for (const AttemptOutcome &it : outcomes) {
@@ -332,17 +332,17 @@
     }
 }
 
-void OpenRequest::noteFirstToken(const Action &action)
+void OpenRequest::recordFirstToken(const Action &action)
 {
     const AttemptPlan plan = planOf(action.attempt);
     {
         const std::lock_guard lock(m_mutex);
         if (!m_report.firstToken) {
-            m_report.firstToken = m_parts.clock.now() - m_started;
+            m_report.firstToken = m_context.clock.now() - m_started;
             m_report.upstream = plan.upstream;
             // From the request's start: a hedge that won stands above the delay
             // after which it was sent, so hedging does not lower its own delay.
-            m_parts.delays.add(m_request.pool, *m_report.firstToken);
+            m_context.delays.add(m_request.pool, *m_report.firstToken);
         }
     }
     const std::lock_guard placerLock(m_placerMutex);
@@ -351,19 +351,19 @@
 
 void OpenRequest::place(AttemptPurpose purpose)
 {
-    const auto plan = askPlacer(purpose);
+    const auto plan = callPlacer(purpose);
     handle([&](base::TimePoint now, Actions &out) {
         if (plan) {
-            m_assembler.placed(m_parts.ids.next(), plan.value(), purpose, now, out);
+            m_assembler.placed(m_context.ids.next(), plan.value(), purpose, now, out);
         } else {
             m_assembler.notPlaced(purpose, plan.error(), now, out);
         }
     });
 }
 
-base::Result<AttemptPlan> OpenRequest::askPlacer(AttemptPurpose purpose)
+base::Result<AttemptPlan> OpenRequest::callPlacer(AttemptPurpose purpose)
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_context.clock.now();
     std::vector<ExcludedUpstream> excluded;
     PlacementRequest placement{.purpose = purpose, .weightsVersion = std::nullopt, .excluded = {}, .delivered = 0, .now = now};
     bool isFirst = false;
@@ -373,12 +373,12 @@
         placement.excluded = excluded;
         placement.weightsVersion = m_assembler.weightsVersion();
         placement.delivered = m_assembler.delivered();
-        isFirst = m_assembler.starts() == 0;
+        isFirst = m_assembler.runCount() == 0;
     }
     if (purpose == AttemptPurpose::Continue) {
-        m_parts.budgets.charge(m_request.pool, now);
-    } else if (!isFirst && !m_parts.budgets.tryTake(m_request.pool, now)) {
-        return base::fail(ErrorKind::Overloaded, "the retry budget of the pool is used up; try again later", m_parts.options.retryAfter);
+        m_context.budgets.countContinuation(m_request.pool, now);
+    } else if (!isFirst && !m_context.budgets.tryTake(m_request.pool, now)) {
+        return base::fail(ErrorKind::Overloaded, "the retry budget of the pool is used up; try again later", m_context.options.retryAfter);
     }
     const std::lock_guard placerLock(m_placerMutex);
     return m_placer.place(placement);
@@ -396,7 +396,7 @@
         --self->m_hedgesRunning;
         self->m_changed.notify_all();
     };
-    const bool isTaken = m_parts.tryRunHedge([self = shared_from_this(), end] {
+    const bool isTaken = m_context.tryRunHedge([self = shared_from_this(), end] {
         self->place(AttemptPurpose::Hedge);
         end();
     });
@@ -421,7 +421,7 @@
         request = engineRequest(action, generated);
     }
     AttemptListener listener(*this, action.attempt);
-    m_parts.connection.run(request, listener);
+    m_context.connection.run(request, listener);
     {
         const std::lock_guard lock(m_mutex);
         m_running.erase(std::find(m_running.begin(), m_running.end(), action.attempt));
@@ -434,7 +434,7 @@
 EngineRequest OpenRequest::engineRequest(const Action &action, std::string &generated) const
 {
     const AttemptPlan &plan = *m_assembler.plan(action.attempt);
-    const auto now = m_parts.clock.now();
+    const auto now = m_context.clock.now();
     EngineRequest request{.attempt = action.attempt,
                           .requestId = m_request.requestId,
                           .upstream = plan.upstream,
@@ -448,7 +448,7 @@
                           .resumeFrom = std::nullopt,
                           .timeout = m_request.firstTokenDeadline - now};
     if (m_assembler.delivered() > 0) {
-        request.timeout = std::min(m_parts.options.idleTimeout, m_request.deadline - now);
+        request.timeout = std::min(m_context.options.idleTimeout, m_request.deadline - now);
     }
     if (action.kind == ActionKind::Resume) {
         request.resumeFrom = action.index;
--- a/carawaylatch/relay/openrequest.h
+++ b/carawaylatch/relay/openrequest.h
@@ -20,11 +20,11 @@
 {
 
 // What all requests of one driver share.
-struct RelayParts
+struct RelayContext
 {
     EngineConnection &connection;
     const base::Clock &clock;
-    AttemptIds &ids;
+    AttemptIdGenerator &ids;
     RetryBudgets &budgets;
     HedgeDelays &delays;
     RelayOptions options;
@@ -34,7 +34,7 @@
 class OpenRequest : public std::enable_shared_from_this<OpenRequest>
 {
 public:
-    OpenRequest(RelayParts &parts, const RelayRequest &request, Placer &placer, CallerSink &sink);
+    OpenRequest(RelayContext &context, const RelayRequest &request, Placer &placer, CallerSink &sink);
 
     // Runs on the calling thread until the answer ended and no attempt runs.
     RelayReport run();
@@ -55,14 +55,14 @@
 
     void watch();
     void handle(const Event &event);
-    void sort(const Actions &actions);
+    void recordActions(const Actions &actions);
     void perform(const Actions &actions);
     void performWrites(const Actions &actions);
-    void report(const std::vector<AttemptOutcome> &outcomes);
+    void reportOutcomes(const std::vector<AttemptOutcome> &outcomes);
     AttemptPlan planOf(base::AttemptId attempt) const;
-    void noteFirstToken(const Action &action);
+    void recordFirstToken(const Action &action);
     void place(AttemptPurpose purpose);
-    base::Result<AttemptPlan> askPlacer(AttemptPurpose purpose);
+    base::Result<AttemptPlan> callPlacer(AttemptPurpose purpose);
     void startHedge();
     void runAttempt(const Action &action);
     EngineRequest engineRequest(const Action &action, std::string &generated) const;
@@ -70,7 +70,7 @@
     bool hasReadyWork() const;
     std::optional<Action> nextWork();
 
-    RelayParts &m_parts;
+    RelayContext &m_context;
     const RelayRequest &m_request;
     Placer &m_placer;
     CallerSink &m_sink;
--- a/carawaylatch/relay/relaydriver.cpp
+++ b/carawaylatch/relay/relaydriver.cpp
@@ -63,14 +63,14 @@
 class RelayDriver::Impl
 {
 public:
-    explicit Impl(const RelayParts &relayParts)
-        : parts(relayParts)
-        , hedges(relayParts.options.hedgeThreads)
+    explicit Impl(const RelayContext &relayContext)
+        : context(relayContext)
+        , hedges(relayContext.options.hedgeThreads)
     {
-        parts.tryRunHedge = [this](std::function<void()> task) {
+        context.tryRunHedge = [this](std::function<void()> task) {
             return hedges.tryRun(std::move(task));
         };
-        if (parts.options.watchInterval > base::Duration::zero()) {
+        if (context.options.watchInterval > base::Duration::zero()) {
             watcher = std::thread([this] {
                 watchLoop();
             });
@@ -107,7 +107,7 @@
     void watchLoop()
     {
         std::unique_lock lock(mutex);
-        while (!stopping.wait_for(lock, parts.options.watchInterval, [this] {
+        while (!stopping.wait_for(lock, context.options.watchInterval, [this] {
             return isStopping;
         })) {
             lock.unlock();
@@ -116,7 +116,7 @@
         }
     }
 
-    RelayParts parts;
+    RelayContext context;
     mutable std::mutex mutex; // guards open and isStopping
     std::condition_variable stopping;
     std::set<std::shared_ptr<OpenRequest>> open;
@@ -125,9 +125,9 @@
     std::thread watcher;
 };
 
-RelayDriver::RelayDriver(EngineConnection &connection, const base::Clock &clock, AttemptIds &ids, RetryBudgets &budgets, HedgeDelays &delays,
+RelayDriver::RelayDriver(EngineConnection &connection, const base::Clock &clock, AttemptIdGenerator &ids, RetryBudgets &budgets, HedgeDelays &delays,
                          const RelayOptions &options)
-    : m_impl(std::make_unique<Impl>(RelayParts{connection, clock, ids, budgets, delays, options, {}}))
+    : m_impl(std::make_unique<Impl>(RelayContext{connection, clock, ids, budgets, delays, options, {}}))
 {
 }
 
@@ -135,7 +135,7 @@
 
 RelayReport RelayDriver::run(const RelayRequest &request, Placer &placer, CallerSink &sink)
 {
-    const auto open = std::make_shared<OpenRequest>(m_impl->parts, request, placer, sink);
+    const auto open = std::make_shared<OpenRequest>(m_impl->context, request, placer, sink);
     {
         const std::lock_guard lock(m_impl->mutex);
         m_impl->open.insert(open);
--- a/carawaylatch/relay/relaydriver.h
+++ b/carawaylatch/relay/relaydriver.h
@@ -19,7 +19,7 @@
 #include "carawaylatch/base/ids.h"
 #include "carawaylatch/base/time.h"
 #include "carawaylatch/config/tables.h"
-#include "carawaylatch/relay/attemptid.h"
+#include "carawaylatch/relay/attemptidgenerator.h"
 #include "carawaylatch/relay/attemptplan.h"
 #include "carawaylatch/relay/engineconnection.h"
 #include "carawaylatch/relay/hedgedelay.h"
@@ -89,7 +89,7 @@
 struct RelayReport
 {
     std::uint64_t tokens = 0;
-    std::uint32_t starts = 0; // runs of attempts, resumes included
+    std::uint32_t runCount = 0; // runs of attempts, resumes included
     std::uint32_t hedges = 0;
     std::uint32_t resumes = 0;
     std::uint32_t continuations = 0;
@@ -106,7 +106,7 @@
     base::Duration watchInterval = base::milliseconds{10};
     std::size_t hedgeThreads = 8;
     base::Duration idleTimeout = base::seconds{10}; // between two events of an engine
-    std::uint32_t maxStarts = 6;
+    std::uint32_t maxRuns = 6;
     base::Duration retryAfter = base::seconds{1};
 };
 
@@ -114,7 +114,7 @@
 {
 public:
     // All references must outlive the driver.
-    RelayDriver(EngineConnection &connection, const base::Clock &clock, AttemptIds &ids, RetryBudgets &budgets, HedgeDelays &delays,
+    RelayDriver(EngineConnection &connection, const base::Clock &clock, AttemptIdGenerator &ids, RetryBudgets &budgets, HedgeDelays &delays,
                 const RelayOptions &options = {});
     ~RelayDriver();
     RelayDriver(const RelayDriver &) = delete;
--- a/carawaylatch/relay/retrybudget.cpp
+++ b/carawaylatch/relay/retrybudget.cpp
@@ -39,12 +39,12 @@
     return slot;
 }
 
-void RetryBudget::noteRequest(base::TimePoint now)
+void RetryBudget::countRequest(base::TimePoint now)
 {
     ++slotAt(now).requests;
 }
 
-void RetryBudget::charge(base::TimePoint now)
+void RetryBudget::countContinuation(base::TimePoint now)
 {
     ++slotAt(now).taken;
 }
@@ -87,16 +87,16 @@
     return m_budgets.try_emplace(isFull ? base::PoolName{} : pool, m_options).first->second;
 }
 
-void RetryBudgets::noteRequest(const base::PoolName &pool, base::TimePoint now)
+void RetryBudgets::countRequest(const base::PoolName &pool, base::TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    budgetOf(pool).noteRequest(now);
+    budgetOf(pool).countRequest(now);
 }
 
-void RetryBudgets::charge(const base::PoolName &pool, base::TimePoint now)
+void RetryBudgets::countContinuation(const base::PoolName &pool, base::TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    budgetOf(pool).charge(now);
+    budgetOf(pool).countContinuation(now);
 }
 
 bool RetryBudgets::tryTake(const base::PoolName &pool, base::TimePoint now)
--- a/carawaylatch/relay/retrybudget.h
+++ b/carawaylatch/relay/retrybudget.h
@@ -4,7 +4,7 @@
 // budget must have room (RetryBudget): retries and hedges together stay under a
 // share of recent requests, so that a failing pool is not buried under retries.
 // Continuations of streams that a caller already holds a part of are counted but
-// not refused: their number is bounded by the open streams and maxStarts.
+// not refused: their number is bounded by the open streams and maxRuns.
 #pragma once
 
 #include <array>
@@ -42,9 +42,9 @@
     explicit RetryBudget(RetryBudgetOptions options = {});
     // Takes new options; what was counted stays.
     void setOptions(RetryBudgetOptions options);
-    void noteRequest(base::TimePoint now);
+    void countRequest(base::TimePoint now);
     // Counts a continuation, which a delivered part makes necessary.
-    void charge(base::TimePoint now);
+    void countContinuation(base::TimePoint now);
     // Takes one retry or hedge out of the budget; false if it is used up.
     [[nodiscard]] bool tryTake(base::TimePoint now);
     // Tells whether tryTake() would succeed.
@@ -71,8 +71,8 @@
 public:
     static constexpr std::size_t MaxPools = 1024;
     explicit RetryBudgets(RetryBudgetOptions options = {});
-    void noteRequest(const base::PoolName &pool, base::TimePoint now);
-    void charge(const base::PoolName &pool, base::TimePoint now);
+    void countRequest(const base::PoolName &pool, base::TimePoint now);
+    void countContinuation(const base::PoolName &pool, base::TimePoint now);
     [[nodiscard]] bool tryTake(const base::PoolName &pool, base::TimePoint now);
 
 private:
--- a/carawaylatch/relay/streamassembler.cpp
+++ b/carawaylatch/relay/streamassembler.cpp
@@ -63,45 +63,45 @@
 
 void StreamAssembler::start(base::TimePoint now, Actions &out)
 {
-    if (!m_over && m_starts == 0 && !deadlinePassed(now, out)) {
-        requestPlace(now, out);
+    if (!m_isOver && m_runCount == 0 && !deadlinePassed(now, out)) {
+        requestPlacement(now, out);
     }
 }
 
 void StreamAssembler::placed(base::AttemptId attempt, const AttemptPlan &plan, AttemptPurpose purpose, base::TimePoint now, Actions &out)
 {
-    const bool isAsked = purpose == AttemptPurpose::Hedge ? m_placingHedge : m_placing == purpose;
+    const bool isAsked = purpose == AttemptPurpose::Hedge ? m_isHedgePlacementPending : m_pendingPlacement == purpose;
     if (!isAsked || find(attempt) != nullptr) {
         return;
     }
     if (purpose == AttemptPurpose::Hedge) {
-        m_placingHedge = false;
+        m_isHedgePlacementPending = false;
     } else {
-        m_placing.reset();
+        m_pendingPlacement.reset();
     }
     Attempt candidate{.id = attempt, .plan = plan, .purpose = purpose, .state = AttemptState::Connecting, .started = now};
-    if (m_over || deadlinePassed(now, out)) {
-        end(candidate, AttemptResult::Cancelled, std::nullopt);
+    if (m_isOver || deadlinePassed(now, out)) {
+        endAttempt(candidate, AttemptResult::Cancelled, std::nullopt);
         return;
     }
     if (!isAcceptable(plan, purpose)) {
-        end(candidate, AttemptResult::Cancelled, std::nullopt);
+        endAttempt(candidate, AttemptResult::Cancelled, std::nullopt);
         notPlaced(purpose, base::fail(ErrorKind::Unavailable, "the placement offered an upstream that may not go on; try again later", m_options.retryAfter),
                   now, out);
         return;
     }
-    const bool isTooLate = (m_origin && purpose != AttemptPurpose::Continue) || m_starts >= m_options.maxStarts;
+    const bool isTooLate = (m_firstTokenPlan && purpose != AttemptPurpose::Continue) || m_runCount >= m_options.maxRuns;
     if (isTooLate) {
-        end(candidate, AttemptResult::Cancelled, std::nullopt);
+        endAttempt(candidate, AttemptResult::Cancelled, std::nullopt);
         if (!anyLive()) {
-            requestPlace(now, out);
+            requestPlacement(now, out);
         }
         return;
     }
     if (purpose == AttemptPurpose::Continue) {
         m_winner = attempt;
     }
-    ++m_starts;
+    ++m_runCount;
     m_lastProgress = now;
     m_attempts.push_back(std::move(candidate));
     out.push_back({.kind = ActionKind::Start, .attempt = attempt, .purpose = purpose, .index = m_delivered});
@@ -109,16 +109,16 @@
 
 void StreamAssembler::notPlaced(AttemptPurpose purpose, const base::Error &error, base::TimePoint now, Actions &out)
 {
-    if (m_over || deadlinePassed(now, out)) {
+    if (m_isOver || deadlinePassed(now, out)) {
         return;
     }
     if (purpose == AttemptPurpose::Hedge) {
-        m_placingHedge = false;
+        m_isHedgePlacementPending = false;
     } else {
-        m_placing.reset();
+        m_pendingPlacement.reset();
         m_lastError = error;
     }
-    settle(out);
+    abortIfNoneActive(out);
 }
 
 void StreamAssembler::sent(base::AttemptId attempt, base::TimePoint now, Actions &out)
@@ -146,8 +146,8 @@
         echo.attempt == attempt && echo.incarnation == plan.incarnation && echo.weightsVersion == plan.weightsVersion && echo.salt == plan.salt;
     if (!isExpected) {
         recover(*it, BreakKind::Malformed,
-                base::fail(ErrorKind::StaleState, "the engine's echo differs from the placement; try again later", m_options.retryAfter), Recovery::Elsewhere,
-                now, out);
+                base::fail(ErrorKind::StaleState, "the engine's echo differs from the placement; try again later", m_options.retryAfter),
+                Recovery::AnotherEngine, now, out);
         return;
     }
     if (it->state == AttemptState::Connecting || it->state == AttemptState::Sent) {
@@ -170,13 +170,13 @@
     if (!isVerified || event.index > m_delivered || isTooMuch) {
         recover(*it, BreakKind::Malformed,
                 base::fail(ErrorKind::Truncated, "the engine's tokens came without a head, with a gap or past a bound; try again later", m_options.retryAfter),
-                Recovery::Elsewhere, now, out);
+                Recovery::AnotherEngine, now, out);
         return;
     }
     if (it->state == AttemptState::FirstByte) {
         it->state = AttemptState::Streaming;
     }
-    win(*it, now, out);
+    selectWinner(*it, now, out);
     it->resumes = 0;
     ++it->tokens;
     m_lastProgress = now;
@@ -196,14 +196,14 @@
         if (!deadlinePassed(now, out)) {
             recover(*it, BreakKind::Malformed,
                     base::fail(ErrorKind::Truncated, "the engine's count differs from the tokens that came; try again later", m_options.retryAfter),
-                    Recovery::Elsewhere, now, out);
+                    Recovery::AnotherEngine, now, out);
         }
         return;
     }
-    win(*it, now, out);
-    end(*it, AttemptResult::Finished, std::nullopt);
+    selectWinner(*it, now, out);
+    endAttempt(*it, AttemptResult::Finished, std::nullopt);
     m_outcomes.back().usage = event.usage;
-    m_over = true;
+    m_isOver = true;
     out.push_back({.kind = ActionKind::Finish, .attempt = attempt, .index = m_delivered});
 }
 
@@ -218,7 +218,7 @@
 
 void StreamAssembler::callerGone(base::TimePoint, Actions &out)
 {
-    if (!m_over) {
+    if (!m_isOver) {
         abort(base::fail(ErrorKind::Cancelled, "the caller left; its work was cancelled"), out);
     }
 }
@@ -234,32 +234,32 @@
     if (it == nullptr || now - m_lastProgress < m_options.idleTimeout || deadlinePassed(now, out)) {
         return;
     }
-    recover(*it, BreakKind::Lost, base::fail(ErrorKind::Truncated, "the engine fell silent; try again later", m_options.retryAfter), Recovery::Elsewhere, now,
-            out);
+    recover(*it, BreakKind::Lost, base::fail(ErrorKind::Truncated, "the engine fell silent; try again later", m_options.retryAfter), Recovery::AnotherEngine,
+            now, out);
 }
 
 void StreamAssembler::tick(base::TimePoint now, Actions &out)
 {
-    if (!m_over) {
+    if (!m_isOver) {
         (void)deadlinePassed(now, out);
     }
 }
 
 void StreamAssembler::hedgeDue(base::TimePoint now, Actions &out)
 {
-    const bool isAllowed =
-        !m_over && !m_hedged && m_winner.value == 0 && anyLive() && m_starts < m_options.maxStarts && m_options.idempotency == config::Idempotency::Idempotent;
+    const bool isAllowed = !m_isOver && !m_isHedgeRequested && m_winner.value == 0 && anyLive() && m_runCount < m_options.maxRuns
+                           && m_options.idempotency == config::Idempotency::Idempotent;
     if (!isAllowed || deadlinePassed(now, out)) {
         return;
     }
-    m_hedged = true;
-    m_placingHedge = true;
+    m_isHedgeRequested = true;
+    m_isHedgePlacementPending = true;
     out.push_back({.kind = ActionKind::Place, .purpose = AttemptPurpose::Hedge});
 }
 
 bool StreamAssembler::isOver() const
 {
-    return m_over;
+    return m_isOver;
 }
 
 std::uint64_t StreamAssembler::delivered() const
@@ -274,7 +274,7 @@
 
 std::optional<base::WeightsVersion> StreamAssembler::weightsVersion() const
 {
-    return m_origin ? std::optional(m_origin->weightsVersion) : std::nullopt;
+    return m_firstTokenPlan ? std::optional(m_firstTokenPlan->weightsVersion) : std::nullopt;
 }
 
 std::vector<ExcludedUpstream> StreamAssembler::excluded(AttemptPurpose purpose) const
@@ -305,9 +305,9 @@
     return std::exchange(m_outcomes, {});
 }
 
-std::uint32_t StreamAssembler::starts() const
+std::uint32_t StreamAssembler::runCount() const
 {
-    return m_starts;
+    return m_runCount;
 }
 
 const StreamAssembler::Attempt *StreamAssembler::find(base::AttemptId id) const
@@ -322,7 +322,7 @@
 {
     for (Attempt &it : m_attempts) {
         if (it.id == id) {
-            return !m_over && isLive(it) ? &it : nullptr;
+            return !m_isOver && isLive(it) ? &it : nullptr;
         }
     }
     return nullptr;
@@ -351,7 +351,7 @@
 
 bool StreamAssembler::isAcceptable(const AttemptPlan &plan, AttemptPurpose purpose) const
 {
-    if (m_origin && (plan.weightsVersion != m_origin->weightsVersion || plan.salt != m_origin->salt)) {
+    if (m_firstTokenPlan && (plan.weightsVersion != m_firstTokenPlan->weightsVersion || plan.salt != m_firstTokenPlan->salt)) {
         return false;
     }
     const auto avoid = excluded(purpose);
@@ -363,17 +363,17 @@
     return m_delivered > 0 ? AttemptPurpose::Continue : AttemptPurpose::Fresh;
 }
 
-void StreamAssembler::requestPlace(base::TimePoint, Actions &out)
+void StreamAssembler::requestPlacement(base::TimePoint, Actions &out)
 {
-    if (m_placing) {
+    if (m_pendingPlacement) {
         return;
     }
-    if (m_starts >= m_options.maxStarts) {
-        settle(out);
+    if (m_runCount >= m_options.maxRuns) {
+        abortIfNoneActive(out);
         return;
     }
-    m_placing = neededPurpose();
-    out.push_back({.kind = ActionKind::Place, .purpose = *m_placing});
+    m_pendingPlacement = neededPurpose();
+    out.push_back({.kind = ActionKind::Place, .purpose = *m_pendingPlacement});
 }
 
 void StreamAssembler::recover(Attempt &attempt, BreakKind kind, const base::Error &error, Recovery recovery, base::TimePoint now, Actions &out)
@@ -384,12 +384,12 @@
     if (recovery == Recovery::ResumeFirst && tryResume(attempt, kind, out)) {
         return;
     }
-    if (recovery == Recovery::Elsewhere) {
+    if (recovery == Recovery::AnotherEngine) {
         out.push_back({.kind = ActionKind::Cancel, .attempt = attempt.id});
     }
     const bool isStale = error.kind == ErrorKind::StaleState;
-    end(attempt, isStale ? AttemptResult::Stale : AttemptResult::Broken, kind);
-    if (anyLive() || m_placing) {
+    endAttempt(attempt, isStale ? AttemptResult::Stale : AttemptResult::Broken, kind);
+    if (anyLive() || m_pendingPlacement) {
         return; // another attempt may still answer
     }
     // What counts for a repeat is whether any run of this attempt may have begun.
@@ -397,7 +397,7 @@
     const auto verdict = mayRetry(m_options.idempotency, effective, m_delivered);
     const bool mayContinue = verdict == RetryVerdict::AlreadyDelivered && m_options.idempotency == config::Idempotency::Idempotent;
     if (verdict == RetryVerdict::Allowed || mayContinue) {
-        requestPlace(now, out);
+        requestPlacement(now, out);
         return;
     }
     abort(error, out);
@@ -407,22 +407,22 @@
 {
     const bool isHeldByEngine = kind == BreakKind::Lost || kind == BreakKind::Malformed;
     const bool isAlone = std::count_if(m_attempts.begin(), m_attempts.end(), isLive) == 1;
-    if (!isHeldByEngine || !isAlone || attempt.resumes >= m_options.maxResumes || m_starts >= m_options.maxStarts) {
+    if (!isHeldByEngine || !isAlone || attempt.resumes >= m_options.maxResumes || m_runCount >= m_options.maxRuns) {
         return false;
     }
     ++attempt.resumes;
-    ++m_starts;
+    ++m_runCount;
     attempt.state = AttemptState::Connecting; // the echo is checked anew
     out.push_back({.kind = ActionKind::Resume, .attempt = attempt.id, .purpose = attempt.purpose, .index = m_delivered});
     return true;
 }
 
-void StreamAssembler::win(Attempt &attempt, base::TimePoint now, Actions &out)
+void StreamAssembler::selectWinner(Attempt &attempt, base::TimePoint now, Actions &out)
 {
-    const bool isFirst = !m_origin;
+    const bool isFirst = !m_firstTokenPlan;
     if (isFirst) {
         m_winner = attempt.id;
-        m_origin = attempt.plan;
+        m_firstTokenPlan = attempt.plan;
         cancelOthers(&attempt, out);
     }
     if (!attempt.firstToken) {
@@ -434,7 +434,7 @@
     }
 }
 
-void StreamAssembler::end(Attempt &attempt, AttemptResult result, std::optional<BreakKind> kind)
+void StreamAssembler::endAttempt(Attempt &attempt, AttemptResult result, std::optional<BreakKind> kind)
 {
     attempt.state = result == AttemptResult::Finished ? AttemptState::Done : AttemptState::Failed;
     m_outcomes.push_back({.attempt = attempt.id,
@@ -453,21 +453,21 @@
     for (Attempt &it : m_attempts) {
         if (&it != keep && isLive(it)) {
             out.push_back({.kind = ActionKind::Cancel, .attempt = it.id});
-            end(it, AttemptResult::Cancelled, std::nullopt);
+            endAttempt(it, AttemptResult::Cancelled, std::nullopt);
         }
     }
 }
 
-void StreamAssembler::settle(Actions &out)
+void StreamAssembler::abortIfNoneActive(Actions &out)
 {
-    if (!anyLive() && !m_placing && !m_placingHedge) {
+    if (!anyLive() && !m_pendingPlacement && !m_isHedgePlacementPending) {
         abort(m_lastError, out);
     }
 }
 
 void StreamAssembler::abort(base::Error error, Actions &out)
 {
-    m_over = true;
+    m_isOver = true;
     cancelOthers(nullptr, out);
     out.push_back({.kind = ActionKind::Abort, .index = m_delivered, .error = finalError(std::move(error))});
 }
--- a/carawaylatch/relay/streamassembler.h
+++ b/carawaylatch/relay/streamassembler.h
@@ -83,7 +83,7 @@
     base::TimePoint deadline; // for the whole answer
     base::Duration retryAfter = base::seconds{1}; // said where no better figure is known
     base::Duration idleTimeout = base::seconds{10}; // between two tokens
-    std::uint32_t maxStarts = 6; // runs of all attempts together, resumes included
+    std::uint32_t maxRuns = 6; // runs of all attempts together, resumes included
     std::uint32_t maxResumes = 2; // of one attempt without a new token in between
     std::uint64_t maxTokens = 1'000'000; // more are a malformed answer
     std::size_t maxTokenBytes = 65'536; // a longer token is a malformed answer
@@ -129,7 +129,7 @@
     [[nodiscard]] const AttemptPlan *plan(base::AttemptId attempt) const;
     // Returns outcomes of attempts that ended since the last call.
     [[nodiscard]] std::vector<AttemptOutcome> takeOutcomes();
-    [[nodiscard]] std::uint32_t starts() const;
+    [[nodiscard]] std::uint32_t runCount() const;
 
 private:
     struct Attempt
@@ -148,7 +148,7 @@
     // What follows when a run ends early.
     enum class Recovery {
         ResumeFirst, // the connection is gone, the engine may hold the stream
-        Elsewhere, // the run has to be cancelled, the stream is not to be trusted
+        AnotherEngine, // the run has to be cancelled, the stream is not to be trusted
     };
 
     Attempt *findLive(base::AttemptId id);
@@ -158,31 +158,31 @@
     bool deadlinePassed(base::TimePoint now, Actions &out);
     bool isAcceptable(const AttemptPlan &plan, AttemptPurpose purpose) const;
     AttemptPurpose neededPurpose() const;
-    void requestPlace(base::TimePoint now, Actions &out);
+    void requestPlacement(base::TimePoint now, Actions &out);
     void recover(Attempt &attempt, BreakKind kind, const base::Error &error, Recovery recovery, base::TimePoint now, Actions &out);
     bool tryResume(Attempt &attempt, BreakKind kind, Actions &out);
-    void win(Attempt &attempt, base::TimePoint now, Actions &out);
-    void end(Attempt &attempt, AttemptResult result, std::optional<BreakKind> kind);
+    void selectWinner(Attempt &attempt, base::TimePoint now, Actions &out);
+    void endAttempt(Attempt &attempt, AttemptResult result, std::optional<BreakKind> kind);
     void cancelOthers(const Attempt *keep, Actions &out);
-    void settle(Actions &out);
+    void abortIfNoneActive(Actions &out);
     void abort(base::Error error, Actions &out);
     base::Error finalError(base::Error error) const;
 
     StreamOptions m_options;
-    // At most maxStarts; ended attempts stay, so that late events are recognised.
+    // At most maxRuns; ended attempts stay, so that late events are recognised.
     std::vector<Attempt> m_attempts;
     std::vector<AttemptOutcome> m_outcomes;
     // The attempt whose tokens are delivered. Set before the first token is
     // delivered and changed only by a continuation.
     base::AttemptId m_winner;
-    std::optional<AttemptPurpose> m_placing; // Fresh or Continue asked for, not answered
-    bool m_placingHedge = false;
-    bool m_hedged = false; // a hedge was asked for; there is one at most
-    bool m_over = false; // Finish or Abort went out
-    std::uint32_t m_starts = 0; // at most maxStarts
+    std::optional<AttemptPurpose> m_pendingPlacement; // Fresh or Continue asked for, not answered
+    bool m_isHedgePlacementPending = false;
+    bool m_isHedgeRequested = false; // a hedge was asked for; there is one at most
+    bool m_isOver = false; // Finish or Abort went out
+    std::uint32_t m_runCount = 0; // at most maxRuns
     std::uint64_t m_delivered = 0; // the next index to deliver
     std::string m_text; // of tokens 0 to m_delivered - 1
-    std::optional<AttemptPlan> m_origin; // plan of the first token; fixes version and salt
+    std::optional<AttemptPlan> m_firstTokenPlan; // plan of the first token; fixes version and salt
     base::TimePoint m_lastProgress;
     base::Error m_lastError;
 };
--- a/carawaylatch/relay/testing/fakeengine.cpp
+++ b/carawaylatch/relay/testing/fakeengine.cpp
@@ -76,7 +76,7 @@
         hang(request.attempt);
         listener.onBroken(BreakKind::Cancelled, base::fail(base::ErrorKind::Cancelled, "cancelled"));
         return;
-    case Fault::LateAfterCancel:
+    case Fault::AnswerAfterCancel:
         hang(request.attempt);
         answer(request, listener, Fault::None);
         return;
@@ -92,7 +92,7 @@
 void FakeEngine::answer(const EngineRequest &request, EngineListener &listener, Fault fault)
 {
     EngineHead head{request.attempt, {FakeIncarnation}, {FakeVersion}, request.salt};
-    head.attempt.value += fault == Fault::CrossedHead ? 1 : 0;
+    head.attempt.value += fault == Fault::OtherAttempt ? 1 : 0;
     head.incarnation.value -= fault == Fault::OldIncarnation ? 1 : 0;
     head.weightsVersion.value -= fault == Fault::OldVersion ? 1 : 0;
     head.salt.value += fault == Fault::OtherSalt ? 1 : 0;
--- a/carawaylatch/relay/testing/fakeengine.h
+++ b/carawaylatch/relay/testing/fakeengine.h
@@ -37,18 +37,18 @@
     DuplicateTokens, // every token twice
     Gap, // leaves one token out
     WrongCount,
-    CrossedHead, // another attempt's answer
+    OtherAttempt, // another attempt's answer
     OldIncarnation,
     OldVersion,
     OtherSalt,
     Hang, // no answer until cancelled
     HangMidStream, // after two tokens, until cancelled
-    LateAfterCancel, // hangs, then answers all the same when cancelled
+    AnswerAfterCancel, // hangs, then answers all the same when cancelled
 };
 inline constexpr std::array AllFaults = {
-    Fault::None,         Fault::NotSent,         Fault::Refused, Fault::LostBeforeHead, Fault::LostMidStream,  Fault::MalformedMidStream,
-    Fault::SilentReturn, Fault::DuplicateTokens, Fault::Gap,     Fault::WrongCount,     Fault::CrossedHead,    Fault::OldIncarnation,
-    Fault::OldVersion,   Fault::OtherSalt,       Fault::Hang,    Fault::HangMidStream,  Fault::LateAfterCancel};
+    Fault::None,         Fault::NotSent,         Fault::Refused, Fault::LostBeforeHead, Fault::LostMidStream,    Fault::MalformedMidStream,
+    Fault::SilentReturn, Fault::DuplicateTokens, Fault::Gap,     Fault::WrongCount,     Fault::OtherAttempt,     Fault::OldIncarnation,
+    Fault::OldVersion,   Fault::OtherSalt,       Fault::Hang,    Fault::HangMidStream,  Fault::AnswerAfterCancel};
 
 // Text of the whole answer.
 [[nodiscard]] std::string fakeAnswer();
--- a/carawaylatch/relay/testing/relaydrivertest.cpp
+++ b/carawaylatch/relay/testing/relaydrivertest.cpp
@@ -28,7 +28,7 @@
 {
     FakeEngine engine;
     SharedClock clock;
-    AttemptIds ids{base::RouterId("r1"), {1}};
+    AttemptIdGenerator ids{base::RouterId("r1"), {1}};
     RetryBudgets budgets;
     HedgeDelays delays;
     RelayDriver driver{engine, clock, ids, budgets, delays, {.watchInterval = {}, .hedgeThreads = 2}};
@@ -78,23 +78,23 @@
 class RelayDriverTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RelayDriverTest);
-    CPPUNIT_TEST(testEveryFaultOnEveryRun);
-    CPPUNIT_TEST(testAllUpstreamsGone);
+    CPPUNIT_TEST(testFaultPairs);
+    CPPUNIT_TEST(testAllUpstreamsUnreachable);
     CPPUNIT_TEST(testContinuationCarriesText);
     CPPUNIT_TEST(testCallerLeavesMidStream);
     CPPUNIT_TEST(testCallerLeavesWhileWaiting);
-    CPPUNIT_TEST(testDeadlineAnswersAtOnce);
-    CPPUNIT_TEST(testSilentEngineIsLeft);
+    CPPUNIT_TEST(testDeadlineEndsRequest);
+    CPPUNIT_TEST(testSilentEngineIsReplaced);
     CPPUNIT_TEST(testHedgeWins);
     CPPUNIT_TEST(testHedgeLosesAndIsCancelled);
-    CPPUNIT_TEST(testEndWaitsForAWrite);
+    CPPUNIT_TEST(testEndWaitsForWrite);
     CPPUNIT_TEST(testRetryBudget);
     CPPUNIT_TEST(testConcurrentStreams);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Pairs of faults: the first run has one, the second another, then all is well.
-    void testEveryFaultOnEveryRun()
+    void testFaultPairs()
     {
         for (const Fault first : AllFaults) {
             for (const Fault second : AllFaults) {
@@ -115,7 +115,7 @@
         }
     }
 
-    void testAllUpstreamsGone()
+    void testAllUpstreamsUnreachable()
     {
         Fixture fixture;
         for (const char *it : {"e1", "e2", "e3", "e4"}) {
@@ -164,9 +164,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fixture.engine.requests().size());
     }
 
-    void testDeadlineAnswersAtOnce()
+    void testDeadlineEndsRequest()
     {
-        for (const Fault fault : {Fault::Hang, Fault::LateAfterCancel}) {
+        for (const Fault fault : {Fault::Hang, Fault::AnswerAfterCancel}) {
             Fixture fixture;
             fixture.engine.script("e1", {fault});
             const RelayReport report = runWhile(fixture, fixture.request(), [&] {
@@ -181,7 +181,7 @@
         }
     }
 
-    void testSilentEngineIsLeft()
+    void testSilentEngineIsReplaced()
     {
         Fixture fixture;
         fixture.engine.script("e1", {Fault::HangMidStream});
@@ -204,7 +204,7 @@
             }
             Fixture fixture;
             fixture.fillDelays();
-            fixture.engine.script("e1", {Fault::LateAfterCancel});
+            fixture.engine.script("e1", {Fault::AnswerAfterCancel});
             fixture.engine.script("e2", {hedgeFault, hedgeFault});
             const std::string where = "hedge with fault " + std::to_string(static_cast<int>(hedgeFault));
             const RelayReport report = runWhile(fixture, fixture.request(config::Hedging::On), [&] {
@@ -214,7 +214,7 @@
                 while (fixture.driver.openRequests() > 0 && fixture.clock.now() < base::TimePoint{base::hours{2}}) {
                     // A hedge that failed leaves the first attempt; the deadline ends it.
                     std::this_thread::yield();
-                    if (isUseless(hedgeFault)) {
+                    if (yieldsNoToken(hedgeFault)) {
                         fixture.clock.advance(base::seconds{11});
                         fixture.driver.watch();
                     }
@@ -222,7 +222,7 @@
             });
             CPPUNIT_ASSERT_EQUAL_MESSAGE(where, std::string(), fixture.caller.violation);
             CPPUNIT_ASSERT_MESSAGE(where, fixture.caller.done.has_value() != fixture.caller.error.has_value());
-            CPPUNIT_ASSERT_MESSAGE(where, fixture.caller.done.has_value() || isUseless(hedgeFault));
+            CPPUNIT_ASSERT_MESSAGE(where, fixture.caller.done.has_value() || yieldsNoToken(hedgeFault));
             CPPUNIT_ASSERT_MESSAGE(where, report.hedges <= 1);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(where, fixture.placer.placed.size(), fixture.placer.outcomes.size());
         }
@@ -250,16 +250,16 @@
 
     // The caller leaves while a hedge's thread is in a blocked write: the calling
     // thread ends the answer only after the write.
-    void testEndWaitsForAWrite()
+    void testEndWaitsForWrite()
     {
         Fixture fixture;
         fixture.fillDelays();
         fixture.engine.script("e1", {Fault::Hang});
         std::promise<void> isWriting;
-        std::promise<void> mayGoOn;
+        std::promise<void> mayContinue;
         fixture.caller.onFirstToken = [&] {
             isWriting.set_value();
-            mayGoOn.get_future().wait();
+            mayContinue.get_future().wait();
         };
         const RelayReport report = runWhile(fixture, fixture.request(config::Hedging::On), [&] {
             fixture.engine.awaitHanging(1);
@@ -269,7 +269,7 @@
             fixture.caller.isGone = true;
             fixture.driver.watch();
             std::this_thread::sleep_for(base::milliseconds{20}); // room for a wrong abort
-            mayGoOn.set_value();
+            mayContinue.set_value();
         });
         CPPUNIT_ASSERT_EQUAL(std::string(), fixture.caller.violation);
         CPPUNIT_ASSERT(report.error->kind == base::ErrorKind::Cancelled);
@@ -280,7 +280,7 @@
         RetryBudget budget({.share = 0.1, .reserve = 2});
         const auto start = base::TimePoint{base::hours{1}};
         for (int i = 0; i < 100; ++i) {
-            budget.noteRequest(start);
+            budget.countRequest(start);
         }
         int taken = 0;
         while (budget.tryTake(start) && taken < 100) {
@@ -307,7 +307,7 @@
     {
         FakeEngine engine;
         const base::SteadyClock clock;
-        AttemptIds ids(base::RouterId("r1"), {1});
+        AttemptIdGenerator ids(base::RouterId("r1"), {1});
         RetryBudgets budgets({.share = 1, .reserve = 1000});
         HedgeDelays delays;
         for (int i = 0; i < 100; ++i) {
@@ -345,12 +345,12 @@
 private:
     static bool isHanging(Fault fault)
     {
-        return fault == Fault::Hang || fault == Fault::HangMidStream || fault == Fault::LateAfterCancel;
+        return fault == Fault::Hang || fault == Fault::HangMidStream || fault == Fault::AnswerAfterCancel;
     }
     // A hedge with such a fault gives no token, so the first attempt decides.
-    static bool isUseless(Fault fault)
+    static bool yieldsNoToken(Fault fault)
     {
-        return fault == Fault::NotSent || fault == Fault::Refused || fault == Fault::LostBeforeHead || fault == Fault::CrossedHead
+        return fault == Fault::NotSent || fault == Fault::Refused || fault == Fault::LostBeforeHead || fault == Fault::OtherAttempt
                || fault == Fault::OldIncarnation || fault == Fault::OldVersion || fault == Fault::OtherSalt;
     }
 };
--- a/carawaylatch/relay/testing/streamassemblertest.cpp
+++ b/carawaylatch/relay/testing/streamassemblertest.cpp
@@ -133,7 +133,7 @@
      {step(&M::broken, 1, BreakKind::NotSent), step(&M::broken, 2, BreakKind::NotSent), step(&M::nothingOffered)},
      {"abort:overloaded", "abort:overloaded", "abort:overloaded", "abort:overloaded", "abort:truncated", "", "abort:truncated"}},
     {"placement offers a used upstream",
-     {step(&M::broken, 1, BreakKind::NotSent), step(&M::offerUsed)},
+     {step(&M::broken, 1, BreakKind::NotSent), step(&M::offerExcludedUpstream)},
      {"start:50", "abort:unavailable", "abort:truncated", "abort:truncated", "abort:truncated", "", ""}},
     {"placement offers other weights",
      {step(&M::broken, 1, BreakKind::NotSent), step(&M::offerOtherWeights)},
@@ -173,7 +173,7 @@
         {"placed continue", step(&M::placed, 3, AttemptPurpose::Continue, 7)},
         {"placed continue of other weights", step(&M::placed, 4, AttemptPurpose::Continue, 8)},
         {"placed hedge", step(&M::placed, 2, AttemptPurpose::Hedge, 7)},
-        {"placed used", step(&M::offerUsed)},
+        {"placed used", step(&M::offerExcludedUpstream)},
         {"not placed", step(&M::notPlaced, AttemptPurpose::Fresh)},
         {"no hedge", step(&M::notPlaced, AttemptPurpose::Hedge)},
         {"caller gone", step(&M::callerGone)},
@@ -229,7 +229,7 @@
                 }
                 applyAll(model, row.inject);
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(where, std::string(row.expected[i]), model.lastActions());
-                model.finishHealthy();
+                model.finishWithHealthyEngine();
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(where, std::string(), model.violation());
                 CPPUNIT_ASSERT_MESSAGE(where + ": neither whole nor an error", model.isWhole() != model.error().has_value());
             }
@@ -303,7 +303,7 @@
             }
             CPPUNIT_ASSERT_EQUAL(std::string(), model.violation());
             CPPUNIT_ASSERT(model.error().has_value());
-            CPPUNIT_ASSERT_EQUAL(options().maxStarts, model.assembler().starts());
+            CPPUNIT_ASSERT_EQUAL(options().maxRuns, model.assembler().runCount());
         }
     }
 
@@ -319,7 +319,7 @@
             if (depth > 1) {
                 explore(model, depth - 1, here, visited);
             } else {
-                model.finishHealthy();
+                model.finishWithHealthyEngine();
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(here, std::string(), model.violation());
                 CPPUNIT_ASSERT_MESSAGE(here, model.isWhole() != model.error().has_value());
             }
--- a/carawaylatch/relay/testing/streammodel.cpp
+++ b/carawaylatch/relay/testing/streammodel.cpp
@@ -81,7 +81,7 @@
 
 void StreamModel::start()
 {
-    give(&StreamAssembler::start);
+    applyEvent(&StreamAssembler::start);
 }
 
 void StreamModel::placed(std::uint64_t id, AttemptPurpose purpose, std::uint64_t version)
@@ -94,7 +94,7 @@
     return m_received > 0 ? AttemptPurpose::Continue : AttemptPurpose::Fresh;
 }
 
-void StreamModel::offerUsed()
+void StreamModel::offerExcludedUpstream()
 {
     place(50, planOn(1), needed());
 }
@@ -115,26 +115,26 @@
         return;
     }
     if (purpose == AttemptPurpose::Hedge) {
-        m_hedgeAsked = false;
-    } else if (m_asked == purpose) {
-        m_asked.reset();
+        m_isHedgeRequested = false;
+    } else if (m_requestedPlacement == purpose) {
+        m_requestedPlacement.reset();
     }
-    give(&StreamAssembler::placed, base::AttemptId{id}, plan, purpose);
+    applyEvent(&StreamAssembler::placed, base::AttemptId{id}, plan, purpose);
 }
 
 void StreamModel::notPlaced(AttemptPurpose purpose)
 {
     if (purpose == AttemptPurpose::Hedge) {
-        m_hedgeAsked = false;
+        m_isHedgeRequested = false;
     } else {
-        m_asked.reset();
+        m_requestedPlacement.reset();
     }
-    give(&StreamAssembler::notPlaced, purpose, base::fail(base::ErrorKind::Overloaded, "no upstream"));
+    applyEvent(&StreamAssembler::notPlaced, purpose, base::fail(base::ErrorKind::Overloaded, "no upstream"));
 }
 
 void StreamModel::sent(std::uint64_t id)
 {
-    give(&StreamAssembler::sent, base::AttemptId{id});
+    applyEvent(&StreamAssembler::sent, base::AttemptId{id});
 }
 
 void StreamModel::echo(std::uint64_t id, const EngineHead &echo)
@@ -144,7 +144,7 @@
         it->second.isVerified = echo.attempt == expected.attempt && echo.incarnation == expected.incarnation && echo.weightsVersion == expected.weightsVersion
                                 && echo.salt == expected.salt;
     }
-    give(&StreamAssembler::head, base::AttemptId{id}, echo);
+    applyEvent(&StreamAssembler::head, base::AttemptId{id}, echo);
 }
 
 void StreamModel::head(std::uint64_t id)
@@ -155,34 +155,34 @@
 
 void StreamModel::token(std::uint64_t id, std::uint64_t index)
 {
-    give(&StreamAssembler::token, base::AttemptId{id}, TokenEvent{index, tokenText(index)});
+    applyEvent(&StreamAssembler::token, base::AttemptId{id}, TokenEvent{index, tokenText(index)});
 }
 
 void StreamModel::tokenAhead(std::uint64_t id, std::uint64_t ahead, std::size_t padding)
 {
     const std::uint64_t index = m_received + ahead;
-    give(&StreamAssembler::token, base::AttemptId{id}, TokenEvent{index, tokenText(index) + std::string(padding, ' ')});
+    applyEvent(&StreamAssembler::token, base::AttemptId{id}, TokenEvent{index, tokenText(index) + std::string(padding, ' ')});
 }
 
 void StreamModel::done(std::uint64_t id, std::uint64_t count)
 {
-    give(&StreamAssembler::done, base::AttemptId{id}, DoneEvent{.count = count, .finishReason = "stop", .usage = {}});
+    applyEvent(&StreamAssembler::done, base::AttemptId{id}, DoneEvent{.count = count, .finishReason = "stop", .usage = {}});
 }
 
 void StreamModel::broken(std::uint64_t id, BreakKind kind)
 {
-    give(&StreamAssembler::broken, base::AttemptId{id}, kind, base::fail(base::ErrorKind::Unavailable, "broken"));
+    applyEvent(&StreamAssembler::broken, base::AttemptId{id}, kind, base::fail(base::ErrorKind::Unavailable, "broken"));
 }
 
 void StreamModel::callerGone()
 {
-    give(&StreamAssembler::callerGone);
+    applyEvent(&StreamAssembler::callerGone);
 }
 
 void StreamModel::tickAt(base::TimePoint time)
 {
     m_now = time;
-    give(&StreamAssembler::tick);
+    applyEvent(&StreamAssembler::tick);
 }
 
 void StreamModel::idle()
@@ -197,16 +197,16 @@
 
 void StreamModel::hedgeDue()
 {
-    give(&StreamAssembler::hedgeDue);
+    applyEvent(&StreamAssembler::hedgeDue);
 }
 
-void StreamModel::finishHealthy()
+void StreamModel::finishWithHealthyEngine()
 {
     for (int steps = 0; steps < 64 && !isOver() && m_violation.empty(); ++steps) {
-        if (m_hedgeAsked) {
+        if (m_isHedgeRequested) {
             notPlaced(AttemptPurpose::Hedge);
-        } else if (m_asked) {
-            placed(++m_lastId, *m_asked, 7);
+        } else if (m_requestedPlacement) {
+            placed(++m_lastId, *m_requestedPlacement, 7);
         } else {
             const auto live = std::find_if(m_runs.rbegin(), m_runs.rend(), [&](const auto &it) {
                 return m_assembler.state({it.first}) != AttemptState::Failed && m_assembler.state({it.first}) != AttemptState::Done;
@@ -267,7 +267,7 @@
         checkOne(it);
     }
     require(m_assembler.isOver() == isOver(), "the end is told");
-    require(m_assembler.starts() <= options().maxStarts, "runs are bounded");
+    require(m_assembler.runCount() <= options().maxRuns, "runs are bounded");
     for (const auto &[id, run] : m_runs) {
         const bool isLive = m_assembler.state({id}) != AttemptState::Failed && m_assembler.state({id}) != AttemptState::Done;
         require(!isLive || (!isOver() && !run.isCancelled), "no attempt lives on after the end or its cancellation");
@@ -280,12 +280,12 @@
     const std::uint64_t id = action.attempt.value;
     switch (action.kind) {
     case ActionKind::Place:
-        require(action.purpose == AttemptPurpose::Hedge ? !m_hedgeAsked : !m_asked, "one placement is asked for at a time");
+        require(action.purpose == AttemptPurpose::Hedge ? !m_isHedgeRequested : !m_requestedPlacement, "one placement is asked for at a time");
         require((action.purpose == AttemptPurpose::Continue) == (m_received > 0), "a continuation follows delivered tokens only");
         if (action.purpose == AttemptPurpose::Hedge) {
-            m_hedgeAsked = true;
+            m_isHedgeRequested = true;
         } else {
-            m_asked = action.purpose;
+            m_requestedPlacement = action.purpose;
         }
         break;
     case ActionKind::Start:
--- a/carawaylatch/relay/testing/streammodel.h
+++ b/carawaylatch/relay/testing/streammodel.h
@@ -34,7 +34,7 @@
     void start();
     void placed(std::uint64_t id, AttemptPurpose purpose, std::uint64_t version);
     // The placement offers the upstream of attempt 1 once more, as attempt 50.
-    void offerUsed();
+    void offerExcludedUpstream();
     // The placement offers an upstream of weights version 8, as attempt 50.
     void offerOtherWeights();
     void nothingOffered();
@@ -52,7 +52,7 @@
     void idle();
     void hedgeDue();
     // Answers everything that is asked with a healthy engine until the end comes.
-    void finishHealthy();
+    void finishWithHealthyEngine();
 
     [[nodiscard]] const std::string &violation() const; // empty if none
     [[nodiscard]] const std::string &lastActions() const; // such as "cancel:1 place:fresh"
@@ -72,7 +72,7 @@
 
     // Gives one event to the assembler and checks the actions.
     template <typename... Params, typename... Args>
-    void give(void (StreamAssembler::*event)(Params...), const Args &...args)
+    void applyEvent(void (StreamAssembler::*event)(Params...), const Args &...args)
     {
         Actions out;
         (m_assembler.*event)(args..., m_now, out);
@@ -87,9 +87,9 @@
     StreamAssembler m_assembler;
     base::TimePoint m_now = Start;
     std::map<std::uint64_t, Run> m_runs;
-    std::uint64_t m_lastId = 100; // of attempts that finishHealthy() starts
-    std::optional<AttemptPurpose> m_asked;
-    bool m_hedgeAsked = false;
+    std::uint64_t m_lastId = 100; // of attempts that finishWithHealthyEngine() starts
+    std::optional<AttemptPurpose> m_requestedPlacement;
+    bool m_isHedgeRequested = false;
     std::optional<base::WeightsVersion> m_version;
     bool m_hasBegun = false;
     std::uint64_t m_received = 0;
--- a/carawaylatch/router/membercontroller.cpp
+++ b/carawaylatch/router/membercontroller.cpp
@@ -21,7 +21,7 @@
 {
     membership::MemberListOptions options;
     options.heartbeat = settings.timings.heartbeat;
-    options.suspicion = settings.timings.suspicion;
+    options.suspicionTimeout = settings.timings.suspicion;
     options.seed = base::combineHashes(settings.routing.seed, incarnation.value);
     return options;
 }
@@ -34,7 +34,7 @@
     self.endpoint = endpoint;
     self.incarnation = incarnation;
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
-    self.life = static_cast<std::uint64_t>(std::chrono::duration_cast<base::milliseconds>(wall).count());
+    self.selfVersion = static_cast<std::uint64_t>(std::chrono::duration_cast<base::milliseconds>(wall).count());
     return self;
 }
 
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -168,7 +168,7 @@
 
     // Traffic.
     admission::Gate m_gate;
-    relay::AttemptIds m_attemptIds;
+    relay::AttemptIdGenerator m_attemptIds;
     relay::RetryBudgets m_budgets;
     relay::HedgeDelays m_hedgeDelays;
     http::EngineClient m_engineClient;
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -257,7 +257,7 @@
         metrics.countRefusal(report.error->kind);
     }
     metrics.countWastedTokens(wastedTokens);
-    for (std::uint32_t i = 1; i + report.hedges < report.starts; ++i) {
+    for (std::uint32_t i = 1; i + report.hedges < report.runCount; ++i) {
         metrics.countRetry();
     }
     for (std::uint32_t i = 0; i < report.hedges; ++i) {
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -27,7 +27,7 @@
     relay::RelayDriver &relay;
     orders::OrderDesk &desk;
     orders::ServiceConnection &services;
-    relay::AttemptIds &attemptIds;
+    relay::AttemptIdGenerator &attemptIds;
     telemetry::Metrics &metrics;
     base::Duration serviceTimeout; // of an idempotent call to a service
 };
