--- a/carawaylatch/membership/member.cpp
+++ b/carawaylatch/membership/member.cpp
@@ -1,4 +1,4 @@
-// Order of records and the ranked views made of them.
+// Precedence of member records, and rendezvous ranking of members in a view.
 #include "carawaylatch/membership/member.h"
 
 #include <algorithm>
--- a/carawaylatch/membership/member.h
+++ b/carawaylatch/membership/member.h
@@ -1,4 +1,4 @@
-// What routers know of each other: records and the messages that carry them.
+// Member records of the failure detector and the messages that carry them.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,19 @@
 
 enum class MemberState {
     Alive,
-    Suspect, // missed a probe; dead unless it says otherwise in time
-    Leaving, // on a planned stop: finishes its streams, takes no more duties
+    Suspect, // didn't answer a probe; declared dead unless it refutes this in time
+    Leaving, // planned stop: finishes its streams, takes no more duties
     Dead,
 };
 
-// Returns the state's name as it stands in logs and status pages, such as "suspect".
+// Returns the state's name used in logs and status pages, such as "suspect".
 [[nodiscard]] std::string_view memberStateName(MemberState state);
 
-// What is said of one router. Only the router itself raises its life: at every
-// start, to refute a false suspicion and when it leaves. Others raise the revival,
-// when a router that they held for dead speaks to them. Of two records of one
-// router that of the greater life counts, then of the greater revival, then of the
-// later state in MemberState.
+// State of one router. Only the router itself raises `selfVersion`: at every start,
+// to refute a false suspicion and when it leaves. Other routers raise
+// `revivalCount` when they receive a message from a router that they had declared
+// dead. Of two records of one router, the one with the greater selfVersion takes
+// precedence, then the greater revivalCount, then the later state in MemberState.
 struct MemberRecord
 {
     base::RouterId id;
@@ -39,10 +39,10 @@
     bool operator==(const MemberRecord &) const = default;
 };
 
-// Returns true if `record` says more than `other` of the same router.
+// Returns true if `record` takes precedence over `other` of the same router.
 [[nodiscard]] bool supersedes(const MemberRecord &record, const MemberRecord &other);
 
-// Order-free hash and count of a table of members; equal for equal tables.
+// Order-independent hash and count of a member table; equal for equal tables.
 struct MemberDigest
 {
     std::uint64_t hash = 0;
@@ -51,7 +51,7 @@
     bool operator==(const MemberDigest &) const = default;
 };
 
-// Fields of every message between routers that probe.
+// Fields that every membership message carries.
 struct Gossip
 {
     MemberRecord self; // the sender
@@ -60,14 +60,15 @@
     std::vector<MemberRecord> updates; // bounded by MemberListOptions
 };
 
-// "Are you there?" The receiver answers with the same number.
+// Liveness probe. The receiver answers with a ProbeAck of the same number.
 struct Probe
 {
     std::uint64_t number = 0;
     Gossip gossip;
 };
 
-// "I am", or on behalf of `subject`: "it is".
+// Confirms that `subject` is alive: the sender itself, or the target of an
+// indirect probe.
 struct ProbeAck
 {
     std::uint64_t number = 0;
@@ -75,7 +76,7 @@
     Gossip gossip;
 };
 
-// "Probe `target` for me."
+// Asks the receiver to probe `target` and to forward its answer.
 struct IndirectProbe
 {
     std::uint64_t number = 0;
@@ -83,18 +84,17 @@
     Gossip gossip;
 };
 
-// "Send me your table from `cursor` on", in order of id.
+// Asks for a page of the receiver's table: records with ids above `cursor`, ordered by id.
 struct TableRequest
 {
-    base::RouterId cursor; // the last id already held, empty for the start
+    base::RouterId cursor; // last id of the page before; empty for the first page
     Gossip gossip;
 };
 
-// A page of the table.
 struct TablePage
 {
     std::vector<MemberRecord> records;
-    base::RouterId cursor; // to ask on from; empty at the end
+    base::RouterId cursor; // for the request of the next page; empty on the last page
     Gossip gossip;
 };
 
--- a/carawaylatch/membership/memberlist.cpp
+++ b/carawaylatch/membership/memberlist.cpp
@@ -1,22 +1,24 @@
-// Events of the member list: what arrives, and what follows from it.
+// The member list: handling of messages and of changes of state.
 //
-// News travel as records on probes and answers, each record on a few times the
-// logarithm of the number of members messages, as in SWIM. Every message names
-// its sender's own record and, if the receiver is thought suspect or dead, the
-// receiver's, so that a router hears at once what it has to refute.
+// Changed records are piggybacked on probes and acknowledgements, as in SWIM: each
+// record on RetransmitFactor x log2(members) messages. Every message carries its
+// sender's own record and, if the sender suspects the receiver, the receiver's, so
+// that a router learns at once what it has to refute.
 //
-// A death is a judgement of those on one side of a cut. When a router that was held
-// for dead speaks, its hearer revives it, and if others died with it reads that
-// router's table and revives those that are alive there, page by page, so that
-// thousands of members need not be told one by one that they are thought dead.
-// For a while after that it tells nobody of deaths, and the first probe across a
-// cut carries no news, so that the judgements of one side don't spread on the
-// other, where each of them would have to be refuted.
+// A network partition makes each side declare the other dead. When a router that
+// was declared dead sends a message, the receiver revives it. If other members were
+// declared dead at the same time, the receiver also reads that router's table page
+// by page and revives the members that are alive there, so that thousands of them
+// need not refute their deaths one by one. For DeathSuppression after that it
+// announces no suspicions or deaths, and a probe across a partition carries no
+// updates: false deaths from one side would otherwise spread on the other, where
+// each would have to be refuted.
 //
-// Tables that still differ after news have settled are compared page by page.
-// Dead members don't count there: how long they are remembered differs from
-// router to router, and old ones must not come back by comparison. Who is told a
-// record that its own supersedes says so again, so that a death gets everywhere.
+// Tables that still differ once updates have stopped are compared page by page
+// (anti-entropy). Dead members are left out: routers forget them at different
+// times, and a comparison must not bring forgotten ones back. A router that
+// receives a record older than its own announces its own again, so that a death
+// reaches all members.
 #include "carawaylatch/membership/memberlist.h"
 
 #include <algorithm>
@@ -44,9 +46,9 @@
     return {record.id, record.endpoint};
 }
 
-constexpr base::Duration PartitionMargin = base::seconds{30}; // deaths so long before a peer's may come of the same cut
+constexpr base::Duration PartitionMargin = base::seconds{30}; // deaths up to this long before the peer's may have the same cause
 constexpr base::Duration DeathSuppression = base::seconds{20};
-constexpr std::ptrdiff_t MinPartitionDeaths = 2; // one death alone is no cut
+constexpr std::ptrdiff_t MinPartitionDeaths = 2; // a single death is not treated as a partition
 
 } // namespace
 
@@ -164,7 +166,7 @@
     store(member, record, dissemination, now);
 }
 
-// Begins to read the table of a router that was dead to this one, if others died with it.
+// Starts to read the table of a revived router, if other members were declared dead with it.
 void MemberList::startPartitionRecovery(const base::RouterId &peer, TimePoint deadSince, TimePoint now)
 {
     const auto from = deadSince - PartitionMargin;
@@ -183,7 +185,7 @@
     return now < m_deathSuppressionEnd && (state == MemberState::Suspect || state == MemberState::Dead);
 }
 
-// Tells nobody any more of deaths and suspicions that are still under way.
+// Removes suspicions and deaths from the queue of updates.
 void MemberList::dropQueuedDeaths()
 {
     std::erase_if(m_updates, [this](const base::RouterId &id) {
@@ -204,7 +206,7 @@
     }
     const auto *peer = find(m_recovery->peer);
     if (peer == nullptr || peer->state == MemberState::Dead || ++m_recovery->unanswered > MaxUnanswered) {
-        m_recovery.reset(); // the next router that speaks begins anew
+        m_recovery.reset(); // the next message from a dead member starts it again
         return;
     }
     m_recovery->requestedAt = now;
@@ -230,7 +232,7 @@
     }
 }
 
-// Spreads what a page's sender should have had in it.
+// Announces the members that are missing in a page of another router.
 void MemberList::announceMissing(const TablePage &page)
 {
     auto it = m_members.upper_bound(m_syncCursor);
@@ -287,7 +289,7 @@
         return;
     }
     if (record.state == MemberState::Dead || record.id.isEmpty()) {
-        return; // nothing to forget
+        return; // an unknown member need not be stored as dead
     }
     if (m_members.size() >= m_options.maxMembers) {
         forgetDead(now);
@@ -299,7 +301,7 @@
     }
 }
 
-// Hears what others say of this router, and goes beyond it if it is not so.
+// Refutes a record of this router that is false by raising selfVersion above it.
 void MemberList::mergeSelf(const MemberRecord &record, TimePoint now)
 {
     const bool isOwn = record.incarnation == m_self.incarnation && record.selfVersion == m_self.selfVersion;
@@ -344,8 +346,9 @@
     store(member, record, Dissemination::Yes, now);
 }
 
-// Compares tables where digests differ: at once while this router joins, else only
-// after news have settled, since news under way make digests differ all the time.
+// Compares tables if digests differ: at once while this router joins, otherwise
+// only after syncQuietTime without changes, since digests always differ while
+// updates are being disseminated.
 void MemberList::syncWith(const Gossip &gossip, TimePoint now)
 {
     const auto own = digest();
@@ -476,7 +479,7 @@
     return it == m_members.end() ? nullptr : &it->second.record;
 }
 
-// Begins to tell others of a record, or begins again.
+// Queues a member's record for dissemination, or restarts its count of transmissions.
 void MemberList::announce(const base::RouterId &id)
 {
     const auto [it, isNew] = m_transmissions.insert_or_assign(id, 0);
--- a/carawaylatch/membership/probing.cpp
+++ b/carawaylatch/membership/probing.cpp
@@ -1,14 +1,14 @@
-// Timed part of the member list: probes, suspicion, whom to probe, and what
-// rides on a message.
+// Timers of the member list: probes, suspicion, choice of probe targets, and the
+// updates piggybacked on a message.
 //
-// The probed set is small and changes slowly, so that connections are few and
-// stay open: the next routers on a ring in hash order, by which every router is
-// watched by as many others, and some random ones, by which news reach everybody
-// in a logarithmic number of steps. One random one is exchanged now and then.
-// With few routers the set is all of them.
+// The set of probe targets is small and changes slowly, so that connections are
+// few and stay open. It holds the next routers on a ring in hash order, so that
+// each router is probed by as many others, and random ones, so that updates reach
+// all routers in a logarithmic number of steps. One random target is replaced
+// every reshuffleInterval. With few routers the set holds all of them.
 //
-// A process that was frozen finds all its timers run out. It starts them anew
-// instead of declaring everybody else dead.
+// After a pause of the process, such as a suspended VM, all its timers have
+// expired. They are restarted, or the router would declare all others dead.
 #include "carawaylatch/membership/memberlist.h"
 
 #include <algorithm>
@@ -22,8 +22,8 @@
 namespace
 {
 
-constexpr std::int64_t MaxTickGapHeartbeats = 4; // ticks further apart mean that the process stood still
-constexpr std::uint32_t RetransmitFactor = 2; // messages that carry a record, for each doubling of members
+constexpr std::int64_t MaxTickGapHeartbeats = 4; // a longer gap between ticks means that the process was paused
+constexpr std::uint32_t RetransmitFactor = 2; // messages that carry a record, for each doubling of the members
 
 } // namespace
 
@@ -94,7 +94,8 @@
     send(target, Probe{number, std::move(gossip)});
 }
 
-// Tries a dead member or a seed, so that a cut is noticed to be healed.
+// Probes a dead member or a seed, to detect the end of a partition. The probe carries
+// no updates, see memberlist.cpp.
 void MemberList::reconnectNext(TimePoint now)
 {
     for (const auto &it : m_members) {
@@ -201,12 +202,12 @@
     return {id, m_members.at(id).record.endpoint};
 }
 
-// Chooses the ring's next anew and keeps the random ones that still live.
+// Recomputes the ring targets and keeps the random targets that are not dead.
 void MemberList::chooseProbeTargets()
 {
     m_isTargetListStale = false;
     const auto ownHash = base::hash64(m_self.id.value());
-    std::vector<std::pair<std::uint64_t, base::RouterId>> ring; // by distance from this router
+    std::vector<std::pair<std::uint64_t, base::RouterId>> ring; // by hash distance from this router
     for (const auto &it : m_members) {
         if (it.second.record.state != MemberState::Dead) {
             ring.emplace_back(base::hash64(it.first.value()) - ownHash, it.first);
@@ -249,7 +250,8 @@
     return RetransmitFactor * static_cast<std::uint32_t>(std::ceil(std::log2(static_cast<double>(m_members.size() + 2))));
 }
 
-// Answers a message; a sender whose life is behind what is known of it is told.
+// Makes the gossip of a reply. It includes the sender's own record if this router
+// holds a greater selfVersion of it.
 Gossip MemberList::makeAnswer(const Gossip &received)
 {
     auto gossip = makeGossip(received.self.id);
