--- a/carawaylatch/membership/testing/memberlisttest.cpp
+++ b/carawaylatch/membership/testing/memberlisttest.cpp
@@ -1,4 +1,5 @@
-// The member list in virtual time: joins, crashes, cuts, losses, freezes, stops.
+// The member list in virtual time: joins, crashes, network partitions, packet loss,
+// paused processes and planned stops.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -26,7 +27,7 @@
     std::unique_ptr<MemberList> list;
     bool isUp = true;
     bool isPaused = false;
-    std::vector<std::function<void()>> waiting; // messages to a frozen node
+    std::vector<std::function<void()>> waiting; // messages to a paused node
 };
 
 // Routers in three failure domains over a virtual network.
@@ -55,7 +56,7 @@
         return {"10.0." + std::to_string(n / 200) + '.' + std::to_string(n % 200 + 1), 7000};
     }
 
-    // Starts a life of a router; it knows only the first one's endpoint.
+    // Starts or restarts a router; its seeds are the first two routers.
     void start(std::uint32_t n, std::uint64_t selfVersion)
     {
         auto &node = m_nodes[n];
@@ -103,7 +104,7 @@
         }
     }
 
-    // Returns how router `n` sees router `other`, Dead if not at all.
+    // Returns the state of `other` in the list of router `n`; Dead if it is unknown there.
     MemberState state(std::uint32_t n, std::uint32_t other)
     {
         const auto records = list(n).records();
@@ -113,7 +114,7 @@
         return it == records.end() ? MemberState::Dead : it->state;
     }
 
-    // Asserts that every router that is up sees `others` in the state.
+    // Asserts that every running router holds `others` in the expected state.
     void assertAll(MemberState expected, const std::vector<std::uint32_t> &others, const std::string &label)
     {
         for (std::uint32_t n = 0; n < m_nodes.size(); ++n) {
@@ -235,7 +236,7 @@
         CPPUNIT_ASSERT(fleet.state(0, 3) == MemberState::Alive && fleet.state(1, 2) == MemberState::Alive);
         fleet.network().heal();
         fleet.network().runFor(seconds{30});
-        fleet.assertAll(MemberState::Alive, fleet.all(), "after the cut");
+        fleet.assertAll(MemberState::Alive, fleet.all(), "after the partition");
     }
 
     void testPacketLossCausesNoDeaths()
@@ -260,13 +261,14 @@
         fleet.resume(3);
         fleet.network().runFor(base::milliseconds{300});
         for (const auto n : fleet.all()) {
-            CPPUNIT_ASSERT_MESSAGE("the resumed router declared r" + std::to_string(n) + " dead", fleet.state(3, n) != MemberState::Dead);
+            CPPUNIT_ASSERT_MESSAGE("after its pause the router declared r" + std::to_string(n) + " dead", fleet.state(3, n) != MemberState::Dead);
         }
         fleet.network().runFor(seconds{10});
-        fleet.assertAll(MemberState::Alive, fleet.all(), "after the freeze");
+        fleet.assertAll(MemberState::Alive, fleet.all(), "after the pause");
     }
 
-    // After a cut nobody has to refute its death: speaking is enough.
+    // After a partition a message from a member that was declared dead revives it;
+    // it need not refute its death first.
     void testMessageFromDeadMemberRevivesIt()
     {
         const base::TimePoint now{base::hours{1}};
@@ -282,12 +284,13 @@
         auto older = alive;
         older.selfVersion = 4;
         list.onRecords({&record, 1}, now);
-        CPPUNIT_ASSERT_MESSAGE("the death before the revival is old news", list.stateOf(alive.id) == MemberState::Alive);
+        CPPUNIT_ASSERT_MESSAGE("a death from before the revival is ignored", list.stateOf(alive.id) == MemberState::Alive);
         list.onMessage(Probe{2, {older, {}, {}, {}}}, now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, list.records().at(1).selfVersion);
     }
 
-    // A suspicion that ran out while the process stood still has not been answered yet.
+    // A suspicion that expired during a pause of this process starts again, since the
+    // suspect's refutation may still be unread.
     void testPauseRestartsSuspicionTimeout()
     {
         base::TimePoint now{base::hours{1}};
@@ -302,7 +305,7 @@
             now += base::milliseconds{50};
             list.onTick(now);
         }
-        CPPUNIT_ASSERT_MESSAGE("the suspicion ends in the usual time", list.stateOf(Fleet::idOf(1)) == MemberState::Dead);
+        CPPUNIT_ASSERT_MESSAGE("the restarted suspicion expires after its usual time", list.stateOf(Fleet::idOf(1)) == MemberState::Dead);
     }
 
     void testPlannedStop()
@@ -324,9 +327,9 @@
         fleet.network().runFor(seconds{10});
         fleet.kill(1);
         fleet.network().runFor(seconds{10});
-        fleet.start(1, 1); // far below its life before
+        fleet.start(1, 1); // far below its earlier selfVersion
         fleet.network().runFor(seconds{10});
-        fleet.assertAll(MemberState::Alive, {1}, "after a restart with a smaller life");
+        fleet.assertAll(MemberState::Alive, {1}, "after a restart with a smaller selfVersion");
         CPPUNIT_ASSERT(fleet.list(1).self().selfVersion > 1'001);
     }
 
@@ -398,7 +401,7 @@
             CPPUNIT_ASSERT(list.records().size() <= options.maxMembers + 1);
         }
         const auto records = list.records();
-        CPPUNIT_ASSERT_MESSAGE("the dead one makes room", std::none_of(records.begin(), records.end(), [](const MemberRecord &it) {
+        CPPUNIT_ASSERT_MESSAGE("a dead member is forgotten when the table is full", std::none_of(records.begin(), records.end(), [](const MemberRecord &it) {
                                    return it.id == Fleet::idOf(3);
                                }));
     }
