--- a/carawaylatch/relay/attemptidgenerator.cpp
+++ b/carawaylatch/relay/attemptidgenerator.cpp
@@ -1,5 +1,5 @@
-// The mix is the finalizer of splitmix64 (Steele, Lea and Flood, 2014): a
-// bijection of 64-bit numbers, so ids of one router differ as its counters do.
+// mix() is the finalizer of splitmix64 (Steele, Lea and Flood, 2014), a bijection
+// of 64-bit numbers: different counters of one router give different ids.
 #include "carawaylatch/relay/attemptidgenerator.h"
 
 #include "carawaylatch/base/hash.h"
--- a/carawaylatch/relay/attemptidgenerator.h
+++ b/carawaylatch/relay/attemptidgenerator.h
@@ -1,8 +1,8 @@
-// Attempt ids that are unique over all routers.
+// Attempt ids that are unique across all routers.
 //
-// An id is a bijective mix of a counter, shifted by a hash of the router's name
-// and incarnation: one router never repeats an id, and two routers (or two lives
-// of one) collide only if their 64-bit sequences meet by chance.
+// An id is a bijective mix of a counter, XORed with a hash of the router's name
+// and incarnation. One process never repeats an id; ids of two routers, or of two
+// incarnations of one, can only be equal by a random 64-bit collision.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,7 @@
 namespace carawaylatch::relay
 {
 
-// Makes attempt ids; safe for use from any thread.
+// Generates attempt ids. Thread-safe.
 class AttemptIdGenerator
 {
 public:
--- a/carawaylatch/relay/attemptplan.cpp
+++ b/carawaylatch/relay/attemptplan.cpp
@@ -1,4 +1,4 @@
-// Names of attempt results.
+// Names of attempt results, as used in metrics.
 #include "carawaylatch/relay/attemptplan.h"
 
 namespace carawaylatch::relay
--- a/carawaylatch/relay/attemptplan.h
+++ b/carawaylatch/relay/attemptplan.h
@@ -1,4 +1,5 @@
-// Where one attempt runs and what its answer has to echo.
+// The placement of one attempt, its outcome, and the interface that chooses the
+// placement.
 #pragma once
 
 #include <optional>
@@ -15,13 +16,13 @@
 {
 
 enum class AttemptPurpose {
-    Fresh, // the first try, or another one while nothing was delivered
-    Continue, // goes on elsewhere from prompt plus the tokens delivered
-    Hedge, // a second try beside a slow one, while nothing was delivered
+    Fresh, // first attempt, or a retry before any token was delivered
+    Continue, // continues on another engine from the prompt plus the delivered tokens
+    Hedge, // parallel attempt to a slow one, before any token was delivered
 };
 
-// What the placement chose. The engine has to echo incarnation, weights version
-// and salt before any of its tokens is delivered.
+// The upstream chosen for an attempt. The engine must echo incarnation, weights
+// version and salt before any of its tokens is delivered.
 struct AttemptPlan
 {
     base::UpstreamId upstream;
@@ -31,7 +32,7 @@
     base::CacheSalt salt;
 };
 
-// One life of an upstream that already failed this request.
+// An incarnation of an upstream on which an attempt of this request already failed.
 struct ExcludedUpstream
 {
     base::UpstreamId upstream;
@@ -43,20 +44,20 @@
 struct PlacementRequest
 {
     AttemptPurpose purpose = AttemptPurpose::Fresh;
-    // Set once a token was delivered: only this version may go on.
+    // Set once a token was delivered: the answer may only continue with this version.
     std::optional<base::WeightsVersion> weightsVersion;
-    // A plan for one of these is refused. The same upstream under a new
-    // incarnation is allowed. Hedges exclude the attempt that they stand beside.
+    // A plan for one of these is rejected. The same upstream with a new incarnation
+    // is allowed. For a hedge, the upstream of the running attempt is included.
     std::span<const ExcludedUpstream> excluded;
     std::uint64_t delivered = 0; // tokens that the caller already has
     base::TimePoint now;
 };
 
 enum class AttemptResult {
-    Finished, // the whole answer came from this attempt, or its last part
+    Finished, // this attempt delivered the end of the answer
     Broken, // see breakKind
     Stale, // the echo differed from the plan; see head
-    Cancelled, // a hedge won, the caller left or the deadline passed
+    Cancelled, // another attempt was faster, the caller disconnected or the deadline passed
 };
 
 // How an attempt ended.
@@ -67,27 +68,28 @@
     AttemptPurpose purpose = AttemptPurpose::Fresh;
     AttemptResult result = AttemptResult::Broken;
     std::optional<BreakKind> breakKind;
-    std::optional<EngineHead> head; // the echo, if one came
-    std::optional<base::Duration> firstToken; // from the attempt's start
+    std::optional<EngineHead> head; // the echo, if one was received
+    std::optional<base::Duration> firstToken; // since the attempt's start
     std::uint64_t tokens = 0; // delivered from this attempt
     std::optional<TokenUsage> usage; // known when finished
 };
 
-// Chooses upstreams for one request and learns from its attempts. Calls of one
-// request come one at a time, from different threads, and must not block long.
+// Chooses upstreams for one request and is notified of the outcome of its attempts.
+// Calls for one request are serialized but come from different threads; they must
+// not block for long.
 class Placer
 {
 public:
     virtual ~Placer() = default;
     // Returns the next upstream, or why there is none (with retryAfter).
     [[nodiscard]] virtual base::Result<AttemptPlan> place(const PlacementRequest &request) = 0;
-    // Called once for each attempt, when its first token came.
+    // Called once per attempt, when its first token arrived.
     virtual void firstToken(const AttemptPlan &plan, base::Duration sinceStart) = 0;
-    // Called once for each placed attempt, when it ended.
+    // Called once per placed attempt, when it ended.
     virtual void ended(const AttemptOutcome &outcome) = 0;
 };
 
-// Returns the name of an attempt's result as it stands in metrics.
+// Returns the name of an attempt's result, as used in metrics.
 [[nodiscard]] std::string_view attemptResultName(AttemptResult result);
 
 } // namespace carawaylatch::relay
--- a/carawaylatch/relay/engineconnection.h
+++ b/carawaylatch/relay/engineconnection.h
@@ -1,10 +1,10 @@
-// What the relay needs from a connection to a model engine; http/ implements it
-// over the wire of docs/design/wire.md, tests implement it with fakes.
+// Interface of a connection to a model engine. http/ implements it with the protocol
+// of docs/design/wire.md, tests implement it with fakes.
 //
-// run() blocks its thread for the whole attempt and reports to the listener
-// from that thread: at most one onHead, then tokens, then exactly one of onDone
-// and onBroken. cancel() may be called from any thread, ends the attempt early
-// and tells the engine to stop the work.
+// run() blocks its thread for the whole attempt and calls the listener on that
+// thread: at most one onHead, then tokens, then exactly one of onDone and
+// onBroken. cancel() may be called from any thread; it ends the attempt early and
+// tells the engine to stop working on it.
 #pragma once
 
 #include <cstdint>
@@ -19,10 +19,10 @@
 namespace carawaylatch::relay
 {
 
-// Work that goes on where another attempt ended.
+// The part of an answer that earlier attempts delivered.
 struct Continuation
 {
-    std::uint64_t firstIndex = 0; // index of the first token still missing
+    std::uint64_t firstIndex = 0; // index of the first missing token
     std::string_view generated; // text of all tokens before it
 };
 
@@ -35,15 +35,15 @@
     base::ModelId model;
     base::CacheSalt salt;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    std::string_view prompt; // outlives the attempt
+    std::string_view prompt; // must outlive the attempt
     std::uint32_t maxTokens = 0;
     std::optional<Continuation> continuation;
-    // Set to take up the attempt's own stream again after its connection broke.
+    // Set to resume the attempt's stream at this token after its connection broke.
     std::optional<std::uint64_t> resumeFrom;
-    base::Duration timeout{}; // until the first byte, and between two events
+    base::Duration timeout{}; // until the first byte and between two events
 };
 
-// The engine's echo, checked before any token is delivered.
+// Head of the engine's response: the echo that is checked before any token is delivered.
 struct EngineHead
 {
     base::AttemptId attempt;
@@ -67,16 +67,16 @@
 
 struct DoneEvent
 {
-    std::uint64_t count = 0; // tokens of the whole answer, continuation included
+    std::uint64_t count = 0; // tokens of the whole answer, including those of earlier attempts
     std::string finishReason;
     TokenUsage usage;
 };
 
 enum class BreakKind {
-    NotSent, // no byte of the request left; the engine ran nothing
-    Refused, // the engine said that it will not run this attempt
+    NotSent, // no byte of the request was sent; the engine ran nothing
+    Refused, // the engine rejected the attempt without running it
     Lost, // the connection broke or timed out after the request was sent
-    Malformed, // the answer could not be understood
+    Malformed, // the response could not be parsed
     Cancelled,
 };
 
@@ -84,7 +84,7 @@
 {
 public:
     virtual ~EngineListener() = default;
-    // Optional: the whole request left. Where it is not reported, a head implies it.
+    // The whole request was sent. Optional: onHead implies it.
     virtual void onSent()
     {
     }
--- a/carawaylatch/relay/hedgedelay.cpp
+++ b/carawaylatch/relay/hedgedelay.cpp
@@ -1,5 +1,5 @@
-// Geometric buckets: bucket i ends at 1 ms x 2^(i/4), an error of at most 19%.
-// That is enough for a delay, and a pool costs 320 bytes.
+// Geometric buckets: bucket i ends at 1 ms x 2^(i/4), a relative error of at most
+// 19%, which is precise enough for a delay. The buckets of a pool take 320 bytes.
 #include "carawaylatch/relay/hedgedelay.h"
 
 #include <algorithm>
--- a/carawaylatch/relay/hedgedelay.h
+++ b/carawaylatch/relay/hedgedelay.h
@@ -1,9 +1,10 @@
-// How long to wait for a first token before a hedge is sent.
+// Time to wait for a first token before a hedge is sent.
 //
-// Times to first token are counted in buckets that double every four steps; at
-// HalvingThreshold samples all counts are halved, so old samples fade. The delay is the
-// bucket bound at the wanted quantile: with 0.95, about one request in twenty
-// asks for a hedge, and the retry budget bounds what it gets.
+// Times to first token are counted in a histogram with four buckets per doubling.
+// At HalvingThreshold samples all counts are halved, so that old samples lose
+// weight. The delay is the bucket bound at the configured quantile: with 0.95,
+// about one request in twenty asks for a hedge; the retry budget limits how many
+// are sent.
 #pragma once
 
 #include <array>
@@ -23,19 +24,19 @@
 {
 public:
     void add(base::Duration firstToken);
-    // Returns the quantile (0 to 1), or nothing before MinSamples samples.
+    // Returns the quantile for a probability (0 to 1), or nothing before MinSamples samples.
     [[nodiscard]] std::optional<base::Duration> quantile(double probability) const;
 
 private:
-    static constexpr std::size_t BucketCount = 80; // 1 ms times 2^(i/4): up to 880 s
+    static constexpr std::size_t BucketCount = 80; // 1 ms x 2^(i/4): up to 880 s
     static constexpr std::uint32_t MinSamples = 20;
     static constexpr std::uint32_t HalvingThreshold = 2000;
     std::array<std::uint32_t, BucketCount> m_counts{};
     std::uint32_t m_total = 0;
 };
 
-// Hedge delays of all pools; safe for use from any thread. Pools past MaxPools
-// are not hedged.
+// Hedge delays of all pools. Thread-safe. Requests of pools beyond MaxPools are not
+// hedged.
 class HedgeDelays
 {
 public:
--- a/carawaylatch/relay/hedgepool.cpp
+++ b/carawaylatch/relay/hedgepool.cpp
@@ -1,5 +1,5 @@
-// A thread counts as idle from before it waits until it took a task, so a task is
-// accepted only if there are more idle threads than tasks already accepted.
+// A thread counts as idle until it takes a task off the queue. A task is accepted
+// only if there are more idle threads than queued tasks.
 #include "carawaylatch/relay/hedgepool.h"
 
 #include <utility>
--- a/carawaylatch/relay/hedgepool.h
+++ b/carawaylatch/relay/hedgepool.h
@@ -1,5 +1,5 @@
-// A few threads that run hedges. A task is taken only when a thread is free at
-// that moment: a hedge that would wait is of no use.
+// Thread pool for hedges. A task is accepted only if a thread is free at that
+// moment: a hedge that waits for a thread would not reduce latency.
 #pragma once
 
 #include <condition_variable>
@@ -13,7 +13,7 @@
 namespace carawaylatch::relay
 {
 
-// Safe for use from any thread. The destructor waits for running tasks.
+// Thread-safe. The destructor waits for running tasks.
 class HedgePool
 {
 public:
@@ -36,7 +36,7 @@
     std::mutex m_mutex;
     std::condition_variable m_changed;
     std::deque<std::function<void()>> m_tasks; // never more than m_idle
-    std::size_t m_idle = 0; // threads that wait or are about to
+    std::size_t m_idle = 0; // threads without a task
     Phase m_phase = Phase::Running;
     std::vector<std::thread> m_threads;
 };
--- a/carawaylatch/relay/retrybudget.cpp
+++ b/carawaylatch/relay/retrybudget.cpp
@@ -1,7 +1,7 @@
-// A ring of one-second slots counts requests and what was taken for retries and
-// hedges; a slot is cleared when its second comes round again. Taking is allowed
-// while taken < reserve + share x requests over the whole ring. A sum over ten
-// slots costs less than keeping running totals right across skipped seconds.
+// A ring buffer of one-second slots counts requests and the retries, hedges and
+// continuations taken; a slot is cleared when the ring comes back to it. One more is
+// allowed if taken + 1 <= reserve + share x requests over the window. Summing ten
+// slots costs less than running totals that stay correct across skipped seconds.
 #include "carawaylatch/relay/retrybudget.h"
 
 namespace carawaylatch::relay
--- a/carawaylatch/relay/retrybudget.h
+++ b/carawaylatch/relay/retrybudget.h
@@ -1,10 +1,10 @@
-// When another attempt is allowed.
+// Decides whether another attempt is allowed.
 //
-// Two rules, both needed: the call must bear it (mayRetry), and the pool's
-// budget must have room (RetryBudget): retries and hedges together stay under a
-// share of recent requests, so that a failing pool is not buried under retries.
-// Continuations of streams that a caller already holds a part of are counted but
-// not refused: their number is bounded by the open streams and maxRuns.
+// Two conditions must hold: the call is safe to repeat (mayRetry), and the pool has
+// retry budget left (RetryBudget). The budget limits retries and hedges together to
+// a share of the recent requests, so that retries don't overload a failing pool.
+// Continuations of partly delivered streams are counted but never refused; their
+// number is bounded by the open streams and maxRuns.
 #pragma once
 
 #include <array>
@@ -22,36 +22,36 @@
 
 enum class RetryVerdict {
     Allowed,
-    AlreadyDelivered, // only a resume or a continuation may follow
-    MayHaveRun, // not idempotent and not provably unsent
+    AlreadyDelivered, // tokens were delivered: only a resume or a continuation may follow
+    MayHaveRun, // not idempotent, and the engine may have run it
 };
 
-// Says whether a call may be tried afresh after a break.
+// Returns whether a call may be retried from the start after a failed attempt.
 [[nodiscard]] RetryVerdict mayRetry(config::Idempotency idempotency, BreakKind kind, std::uint64_t delivered);
 
 struct RetryBudgetOptions
 {
-    double share = 0.1; // retries and hedges for each recent request
-    std::uint32_t reserve = 10; // allowed in each window at any load
+    double share = 0.1; // retries and hedges allowed per request of the window
+    std::uint32_t reserve = 10; // retries and hedges allowed per window in addition
 };
 
-// The budget of one pool: counts in a ring of one-second slots.
+// Budget of one pool over a sliding window of WindowSlots seconds.
 class RetryBudget
 {
 public:
     explicit RetryBudget(RetryBudgetOptions options = {});
-    // Takes new options; what was counted stays.
+    // Replaces the options; the counts are kept.
     void setOptions(RetryBudgetOptions options);
     void countRequest(base::TimePoint now);
-    // Counts a continuation, which a delivered part makes necessary.
+    // Counts a continuation against the budget without checking the limit.
     void countContinuation(base::TimePoint now);
-    // Takes one retry or hedge out of the budget; false if it is used up.
+    // Takes one retry or hedge from the budget; returns false if it is exhausted.
     [[nodiscard]] bool tryTake(base::TimePoint now);
-    // Tells whether tryTake() would succeed.
+    // Returns true if tryTake() would succeed.
     [[nodiscard]] bool mayTake(base::TimePoint now);
 
 private:
-    static constexpr std::size_t WindowSlots = 10; // of one second each
+    static constexpr std::size_t WindowSlots = 10; // one second each
     struct Slot
     {
         std::int64_t second = -1;
@@ -64,8 +64,8 @@
     std::array<Slot, WindowSlots> m_slots;
 };
 
-// Budgets of all pools; safe for use from any thread. At most MaxPools pools
-// have their own budget, the rest share one.
+// Budgets of all pools. Thread-safe. At most MaxPools pools have their own budget,
+// the others share one.
 class RetryBudgets
 {
 public:
