--- a/carawaylatch/relay/openrequest.cpp
+++ b/carawaylatch/relay/openrequest.cpp
@@ -1,14 +1,13 @@
-// The life of one request, seen from its calling thread: take the next piece of
-// work (place, run), carry it out, until the assembler says Finish or Abort; then
-// write the end, and wait for a hedge that is still being cancelled.
+// The calling thread places and runs attempts until the assembler returns Finish or
+// Abort. Then it ends the answer and waits for a hedge that is still being cancelled.
 //
-// Writes to the caller are made by the thread of the attempt that won. There is
-// one winner at a time and a new one starts only after the old one's run broke,
-// so writes never overlap; the end waits for a write that is under way.
+// Tokens are written to the caller by the thread of the winning attempt. There is
+// one winner at a time, and a new one starts only after the run of the old one
+// ended, so writes never overlap. The end of the answer waits for a running write.
 //
-// A cancellation may reach the connection before the attempt does. It is noted
-// here, an attempt that is cancelled before it ran does not run, and the watcher
-// repeats the cancellation until the run is over.
+// A cancellation may reach the connection before the attempt does. It is therefore
+// recorded here: an attempt that is cancelled before its run is not run, and the
+// watcher repeats the cancellation until the run has ended.
 #include "carawaylatch/relay/openrequest.h"
 
 #include <algorithm>
@@ -20,7 +19,7 @@
 
 using base::ErrorKind;
 
-// Passes an attempt's events on.
+// Passes the events of one attempt to the assembler.
 class AttemptListener : public EngineListener
 {
 public:
@@ -66,11 +65,11 @@
         });
     }
 
-    // The run is over; without onDone or onBroken that is a break too.
+    // Called after the run returned. A run without onDone or onBroken counts as lost.
     void onReturned()
     {
         if (!m_hasEnded) {
-            onBroken(BreakKind::Lost, base::fail(ErrorKind::Truncated, "the connection ended without a last event; try again later"));
+            onBroken(BreakKind::Lost, base::fail(ErrorKind::Truncated, "the engine connection ended without a final event; try again later"));
         }
     }
 
@@ -144,14 +143,14 @@
     return m_report;
 }
 
-// Says whether the first work can be taken; m_mutex is held. A hedge's stream is
-// resumed by the calling thread, after the hedge's own run returned.
+// Returns true if the first entry of m_work can be started. Requires m_mutex. The
+// calling thread resumes the stream of a hedge only after the hedge's own run returned.
 bool OpenRequest::hasReadyWork() const
 {
     return !m_work.empty() && (m_work.front().kind != ActionKind::Resume || !contains(m_running, m_work.front().attempt));
 }
 
-// Returns the next work of the calling thread, nothing once the answer ended.
+// Waits for the next action of the calling thread; returns nothing once the answer ended.
 std::optional<Action> OpenRequest::nextWork()
 {
     std::unique_lock lock(m_mutex);
@@ -206,7 +205,7 @@
     });
 }
 
-// Gives one event to the assembler and carries its actions out.
+// Passes one event to the assembler and carries out the resulting actions.
 void OpenRequest::handle(const Event &event)
 {
     Actions actions;
@@ -222,7 +221,7 @@
     reportOutcomes(outcomes);
 }
 
-// Notes actions that other threads carry out or wait for; m_mutex is held.
+// Records the actions that other threads carry out or wait for. Requires m_mutex.
 void OpenRequest::recordActions(const Actions &actions)
 {
     for (const Action &it : actions) {
@@ -340,8 +339,8 @@
         if (!m_report.firstToken) {
             m_report.firstToken = m_context.clock.now() - m_started;
             m_report.upstream = plan.upstream;
-            // From the request's start: a hedge that won stands above the delay
-            // after which it was sent, so hedging does not lower its own delay.
+            // Measured from the request's start: the sample of a winning hedge is
+            // longer than the hedge delay, so hedging does not lower its own delay.
             m_context.delays.add(m_request.pool, *m_report.firstToken);
         }
     }
@@ -384,7 +383,7 @@
     return m_placer.place(placement);
 }
 
-// Takes a free thread first: a hedge that can't run at once is not placed.
+// Reserves a thread before the placement: a hedge that can't run at once is not placed.
 void OpenRequest::startHedge()
 {
     {
@@ -430,7 +429,7 @@
     listener.onReturned();
 }
 
-// Describes a run; `generated` keeps the text that the description points to.
+// Makes the request of a run. `generated` stores the text that the request refers to.
 EngineRequest OpenRequest::engineRequest(const Action &action, std::string &generated) const
 {
     const AttemptPlan &plan = *m_assembler.plan(action.attempt);
--- a/carawaylatch/relay/openrequest.h
+++ b/carawaylatch/relay/openrequest.h
@@ -1,9 +1,10 @@
-// One request while it runs: the assembler, its lock, and who does what.
+// State of one request while it is processed: its stream assembler and the lock.
 //
-// Events come from attempts' threads and from the watcher. Each is given to the
-// assembler under the lock; its actions are then carried out by the thread that
-// brought the event, without the lock, except for two kinds that belong to the
-// calling thread: runs (other than a hedge's first) and the end of the answer.
+// Events come from the threads of attempts and from the watcher thread. Each event
+// is passed to the assembler under the lock. Its actions are then carried out
+// without the lock by the thread that passed the event, except for two kinds that
+// the calling thread of run() carries out: runs of attempts (other than a hedge's
+// first) and the end of the answer.
 #pragma once
 
 #include <condition_variable>
@@ -19,7 +20,7 @@
 namespace carawaylatch::relay
 {
 
-// What all requests of one driver share.
+// Objects and options that all requests of one driver share.
 struct RelayContext
 {
     EngineConnection &connection;
@@ -36,13 +37,13 @@
 public:
     OpenRequest(RelayContext &context, const RelayRequest &request, Placer &placer, CallerSink &sink);
 
-    // Runs on the calling thread until the answer ended and no attempt runs.
+    // Blocks until the answer ended and no attempt is running.
     RelayReport run();
-    // A look of the watcher: deadlines, silence, hedge, caller. Does nothing once
-    // close() was called.
+    // Called periodically by the watcher: checks deadlines, the idle timeout, the
+    // hedge delay and the caller's connection. Does nothing once close() was called.
     void watchIfOpen();
-    // Waits for a look that is under way; after it, request, placer and sink are
-    // not used any more.
+    // Waits for a running watchIfOpen(). Afterwards request, placer and sink are no
+    // longer used.
     void close();
 
 private:
@@ -75,21 +76,21 @@
     Placer &m_placer;
     CallerSink &m_sink;
     const base::TimePoint m_started;
-    std::mutex m_placerMutex; // calls of the placer, one at a time
-    std::mutex m_watchMutex; // held during a look; guards m_isClosed
+    std::mutex m_placerMutex; // serializes calls of the placer
+    std::mutex m_watchMutex; // held during watchIfOpen(); guards m_isClosed
     bool m_isClosed = false;
 
-    mutable std::mutex m_mutex; // guards all below
+    mutable std::mutex m_mutex; // guards all members below
     std::condition_variable m_changed;
     StreamAssembler m_assembler;
     std::vector<Action> m_work; // Place, Start and Resume for the calling thread
-    std::optional<Action> m_end; // Finish or Abort, not carried out yet
-    std::vector<base::AttemptId> m_running; // in EngineConnection::run now
-    std::vector<base::AttemptId> m_cancelled; // cancelled; repeated while running
-    Writing m_writing = Writing::No; // a thread is in the sink
+    std::optional<Action> m_end; // Finish or Abort, once the assembler decided it
+    std::vector<base::AttemptId> m_running; // currently in EngineConnection::run()
+    std::vector<base::AttemptId> m_cancelled; // the watcher repeats these while they run
+    Writing m_writing = Writing::No; // whether a thread is writing to the sink
     std::uint32_t m_hedgesRunning = 0;
     std::optional<base::TimePoint> m_hedgeAt;
-    std::optional<DoneEvent> m_done; // of the attempt that finished the answer
+    std::optional<DoneEvent> m_done; // from the attempt that finished the answer
     RelayReport m_report;
 };
 
--- a/carawaylatch/relay/relaydriver.cpp
+++ b/carawaylatch/relay/relaydriver.cpp
@@ -1,9 +1,9 @@
-// The driver keeps the list of open requests for the watcher and the threads for
-// hedges; what happens to one request is in openrequest.cpp.
+// The driver holds the open requests, the watcher thread and the hedge threads.
+// openrequest.cpp processes each request.
 //
-// The watcher looks at all open requests every watchInterval. At 290 open streams
-// that is 290 short locks in 10 ms; a timer for each deadline would save little
-// and would still have to poll the callers' connections.
+// The watcher checks all open requests every watchInterval. With 290 open streams
+// that is 290 short locks every 10 ms. A timer per deadline would save little and
+// would still have to poll the callers' connections.
 #include "carawaylatch/relay/relaydriver.h"
 
 #include <condition_variable>
--- a/carawaylatch/relay/relaydriver.h
+++ b/carawaylatch/relay/relaydriver.h
@@ -1,12 +1,12 @@
-// Runs requests: a thread for each stream, the decisions in StreamAssembler.
+// Runs requests with one thread per stream; StreamAssembler makes the decisions.
 //
-// run() uses the calling thread for the first attempt and all that follow it;
-// only hedges run on threads of a small pool, and if none is free there is no
-// hedge. A write to the caller blocks the attempt's thread, which stops reading
-// from the engine: so a slow caller holds one token here and the rest stays in
-// the engine and the TCP windows. One watcher thread looks after all open
-// requests: deadlines, hedge delays and callers that left. When a request is
-// given up its attempts are cancelled and the caller gets the answer at once.
+// run() uses the calling thread for the first attempt and all that follow it. Only
+// hedges run on the threads of a small pool; if none is free, no hedge is sent. A
+// write to the caller blocks the attempt's thread, which then stops reading from
+// the engine: with a slow caller, at most one token is buffered here and the rest
+// stays in the engine and the TCP windows. One watcher thread checks deadlines,
+// hedge delays and disconnected callers for all open requests. When a request is
+// aborted, its attempts are cancelled and the caller gets the error at once.
 #pragma once
 
 #include <cstdint>
@@ -33,9 +33,9 @@
     Gone,
 };
 
-// Where an answer goes. All calls but state() come one at a time: begin once,
-// tokens, then exactly one of finish and abort. abort may come without begin;
-// then nothing was written and a plain refusal can be. Calls may block.
+// Receives an answer. All calls except state() are serialized: begin once, tokens,
+// then exactly one of finish and abort. abort may come without begin; nothing was
+// written then, and an ordinary error response is possible. Calls may block.
 class CallerSink
 {
 public:
@@ -43,14 +43,14 @@
     [[nodiscard]] virtual CallerState begin(const AttemptPlan &plan) = 0;
     [[nodiscard]] virtual CallerState token(std::uint64_t index, std::string_view text) = 0;
     virtual void finish(const DoneEvent &done) = 0;
-    // The answer ends here and is not whole: an error event, then a transfer that
-    // visibly breaks off.
+    // Ends an incomplete answer: writes an error event and terminates the transfer so
+    // that the caller can detect the truncation.
     virtual void abort(const base::Error &error) = 0;
-    // Says whether the caller is still connected; called from the watcher.
+    // Returns whether the caller is still connected. Called from the watcher thread.
     [[nodiscard]] virtual CallerState state() const = 0;
 };
 
-// Keeps the whole answer in memory, for requests that don't stream.
+// Collects the whole answer in memory, for requests without streaming.
 class CollectingSink : public CallerSink
 {
 public:
@@ -58,7 +58,7 @@
     [[nodiscard]] CallerState token(std::uint64_t index, std::string_view text) override;
     void finish(const DoneEvent &done) override;
     void abort(const base::Error &error) override;
-    // Override to report a caller that left.
+    // Override to report a disconnected caller.
     [[nodiscard]] CallerState state() const override;
 
     [[nodiscard]] const std::string &text() const;
@@ -77,7 +77,7 @@
     base::PoolName pool;
     base::ModelId model;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    std::string_view prompt; // outlives run()
+    std::string_view prompt; // must outlive run()
     std::uint32_t maxTokens = 0;
     config::Idempotency idempotency = config::Idempotency::Idempotent;
     config::Hedging hedging = config::Hedging::Off;
@@ -85,24 +85,24 @@
     base::TimePoint deadline; // for the whole answer
 };
 
-// What happened, for metrics and the access log.
+// Summary of a request for metrics and the access log.
 struct RelayReport
 {
     std::uint64_t tokens = 0;
-    std::uint32_t runCount = 0; // runs of attempts, resumes included
+    std::uint32_t runCount = 0; // runs of all attempts, including resumes
     std::uint32_t hedges = 0;
     std::uint32_t resumes = 0;
     std::uint32_t continuations = 0;
-    std::uint32_t staleAnswers = 0; // discarded by the echo check
-    std::optional<base::Duration> firstToken; // from run()'s start
-    std::optional<base::UpstreamId> upstream; // that gave the first token
-    std::optional<DoneEvent> done; // set if the answer is whole
+    std::uint32_t staleAnswers = 0; // discarded since the echo differed from the plan
+    std::optional<base::Duration> firstToken; // since the start of run()
+    std::optional<base::UpstreamId> upstream; // source of the first token
+    std::optional<DoneEvent> done; // set if the answer is complete
     std::optional<base::Error> error; // set otherwise
 };
 
 struct RelayOptions
 {
-    // Between two looks of the watcher; zero for none (tests call watch()).
+    // Interval of the watcher thread; zero starts no thread (tests call watch()).
     base::Duration watchInterval = base::milliseconds{10};
     std::size_t hedgeThreads = 8;
     base::Duration idleTimeout = base::seconds{10}; // between two events of an engine
@@ -120,9 +120,9 @@
     RelayDriver(const RelayDriver &) = delete;
     RelayDriver &operator=(const RelayDriver &) = delete;
 
-    // Runs one request to its end; safe for use from many threads.
+    // Runs one request to its end. Thread-safe.
     RelayReport run(const RelayRequest &request, Placer &placer, CallerSink &sink);
-    // One look of the watcher over all open requests.
+    // Checks all open requests once, as the watcher thread does every watchInterval.
     void watch();
     [[nodiscard]] std::size_t openRequests() const;
 
--- a/carawaylatch/relay/streamassembler.cpp
+++ b/carawaylatch/relay/streamassembler.cpp
@@ -1,24 +1,25 @@
-// The request has one position, m_delivered: the index of the next token that the
-// caller gets. Attempts are compared with it, never with each other. A token
-// below it is a duplicate, one above it shows a gap, and only the winner's token
-// at it is delivered; so order and exactly-once follow from one comparison.
+// The request has one position, m_delivered: the index of the next token to
+// deliver. Tokens of all attempts are compared with it, never with each other. A
+// token below it is a duplicate, one above it shows a gap, and only the winner's
+// token at it is delivered, so this comparison ensures order and exactly-once
+// delivery.
 //
-// Before an attempt may win, its echo has to equal its plan in all four parts.
-// The list of upstreams lags and answers may cross; this check is the last one
-// and needs nothing but the answer itself.
+// An attempt can only win if its echo equals its plan in attempt id, incarnation,
+// weights version and salt. The list of upstreams may be out of date and answers may
+// be misrouted; this final check depends only on the answer itself.
 //
-// When a run ends early there are three ways on, tried in this order:
-//   resume        same attempt, same incarnation, from m_delivered; it costs the
-//                 engine nothing, so it comes first whenever the connection broke
-//                 after the request left
-//   continuation  another engine, same weights version and salt, prompt plus the
-//                 text delivered; for calls that may be repeated
-//   retry         a fresh attempt, while nothing was delivered
-// Resumes are bounded for each attempt and runs for the request; the deadline
-// ends all of them. What is left is Abort, with the reason.
+// When a run ends early, recovery is tried in this order:
+//   resume        same attempt and incarnation, from m_delivered. Tried first if the
+//                 connection broke after the request was sent, since it costs the
+//                 engine nothing.
+//   continuation  another engine with the same weights version and salt, from the
+//                 prompt plus the delivered text; only for idempotent calls
+//   retry         a fresh attempt, only if nothing was delivered
+// Resumes are limited per attempt, runs per request; the deadlines apply to all of
+// them. If nothing is left to try, the request ends with Abort and the reason.
 //
-// A hedge is a second attempt while nothing was delivered. The first token
-// decides, and the other attempt is cancelled; its later events find it ended.
+// A hedge is a parallel attempt before any token was delivered. The attempt with
+// the first token wins and the other is cancelled; its late events are ignored.
 #include "carawaylatch/relay/streamassembler.h"
 
 #include <algorithm>
@@ -86,7 +87,8 @@
     }
     if (!isAcceptable(plan, purpose)) {
         endAttempt(candidate, AttemptResult::Cancelled, std::nullopt);
-        notPlaced(purpose, base::fail(ErrorKind::Unavailable, "the placement offered an upstream that may not go on; try again later", m_options.retryAfter),
+        notPlaced(purpose,
+                  base::fail(ErrorKind::Unavailable, "the placement returned an upstream that this answer can't use; try again later", m_options.retryAfter),
                   now, out);
         return;
     }
@@ -169,7 +171,7 @@
     }
     if (!isVerified || event.index > m_delivered || isTooMuch) {
         recover(*it, BreakKind::Malformed,
-                base::fail(ErrorKind::Truncated, "the engine's tokens came without a head, with a gap or past a bound; try again later", m_options.retryAfter),
+                base::fail(ErrorKind::Truncated, "the engine sent a token without a head, out of order or over a limit; try again later", m_options.retryAfter),
                 Recovery::AnotherEngine, now, out);
         return;
     }
@@ -195,7 +197,7 @@
     if (!isVerified || event.count != m_delivered) {
         if (!deadlinePassed(now, out)) {
             recover(*it, BreakKind::Malformed,
-                    base::fail(ErrorKind::Truncated, "the engine's count differs from the tokens that came; try again later", m_options.retryAfter),
+                    base::fail(ErrorKind::Truncated, "the engine's token count differs from the tokens received; try again later", m_options.retryAfter),
                     Recovery::AnotherEngine, now, out);
         }
         return;
@@ -219,7 +221,7 @@
 void StreamAssembler::callerGone(base::TimePoint, Actions &out)
 {
     if (!m_isOver) {
-        abort(base::fail(ErrorKind::Cancelled, "the caller left; its work was cancelled"), out);
+        abort(base::fail(ErrorKind::Cancelled, "the caller disconnected; its request was cancelled"), out);
     }
 }
 
@@ -234,8 +236,8 @@
     if (it == nullptr || now - m_lastProgress < m_options.idleTimeout || deadlinePassed(now, out)) {
         return;
     }
-    recover(*it, BreakKind::Lost, base::fail(ErrorKind::Truncated, "the engine fell silent; try again later", m_options.retryAfter), Recovery::AnotherEngine,
-            now, out);
+    recover(*it, BreakKind::Lost, base::fail(ErrorKind::Truncated, "the engine sent no token within the idle timeout; try again later", m_options.retryAfter),
+            Recovery::AnotherEngine, now, out);
 }
 
 void StreamAssembler::tick(base::TimePoint now, Actions &out)
@@ -344,7 +346,7 @@
     if (!isFirstLate && now < m_options.deadline) {
         return false;
     }
-    abort(base::fail(ErrorKind::Overloaded, "the deadline passed before the answer was there; try again later or set a later deadline", m_options.retryAfter),
+    abort(base::fail(ErrorKind::Overloaded, "the deadline passed before the answer was ready; try again later or set a later deadline", m_options.retryAfter),
           out);
     return true;
 }
@@ -392,7 +394,7 @@
     if (anyLive() || m_pendingPlacement) {
         return; // another attempt may still answer
     }
-    // What counts for a repeat is whether any run of this attempt may have begun.
+    // The retry rule depends on whether any run of this attempt may have started, not only the last one.
     const BreakKind effective = attempt.mayHaveRun ? BreakKind::Lost : kind;
     const auto verdict = mayRetry(m_options.idempotency, effective, m_delivered);
     const bool mayContinue = verdict == RetryVerdict::AlreadyDelivered && m_options.idempotency == config::Idempotency::Idempotent;
@@ -412,7 +414,7 @@
     }
     ++attempt.resumes;
     ++m_runCount;
-    attempt.state = AttemptState::Connecting; // the echo is checked anew
+    attempt.state = AttemptState::Connecting; // the echo is checked again
     out.push_back({.kind = ActionKind::Resume, .attempt = attempt.id, .purpose = attempt.purpose, .index = m_delivered});
     return true;
 }
@@ -481,9 +483,9 @@
         return it.mayHaveRun;
     });
     if (mayHaveRun && m_options.idempotency == config::Idempotency::AtMostOnce) {
-        return base::fail(ErrorKind::Unclear, "the call may have run: " + error.message + "; don't repeat it unseen");
+        return base::fail(ErrorKind::Unclear, "the call may have run: " + error.message + "; check its outcome before repeating it");
     }
-    // Unavailable would say that nothing took effect.
+    // Unavailable would mean that the call had no effect.
     if (m_delivered > 0 || (mayHaveRun && error.kind == ErrorKind::Unavailable)) {
         error.kind = ErrorKind::Truncated;
     }
--- a/carawaylatch/relay/streamassembler.h
+++ b/carawaylatch/relay/streamassembler.h
@@ -1,11 +1,12 @@
-// One request's stream, put together from one or more attempts.
+// Assembles the token stream of one request from one or more attempts.
 //
-// The assembler is a state machine: events of attempts, of the caller and of
-// time go in, actions come out. It does no I/O and reads no clock. Its promise:
-// the caller is given tokens 0, 1, 2, ... each exactly once, from attempts that
-// echoed what was placed, all of one weights version; Finish comes only when the
-// count of the last event equals what was delivered; in every other case Abort
-// comes with the reason. One of the two always comes, exactly once.
+// The assembler is a state machine without I/O or clock: events of attempts, the
+// caller and timers go in, actions come out. It guarantees:
+// - Tokens 0, 1, 2, ... are delivered in order, each exactly once, only from attempts
+//   whose echo matched their plan, and all from one weights version.
+// - Finish is returned only if the token count in the final event equals the number
+//   of delivered tokens; in every other case Abort is returned with the reason.
+// - Exactly one of the two is returned, exactly once.
 //
 //     StreamAssembler stream(options, now);
 //     stream.start(now, actions);                  // -> Place{Fresh}
@@ -14,10 +15,10 @@
 //     stream.token(id, event, now, actions);       // -> Begin, Deliver
 //     stream.done(id, event, now, actions);        // -> Finish
 //
-// After a break the assembler first takes up the attempt's own stream again on
-// the same incarnation (Resume); when that fails it places a continuation on
-// another engine (Place{Continue}). Events of attempts that are over, late,
-// crossed or duplicated, are discarded.
+// After a broken connection the assembler first resumes the attempt's stream on the
+// same incarnation (Resume); if that fails it places a continuation on another
+// engine (Place{Continue}). Late, misrouted and duplicate events of ended attempts
+// are discarded.
 #pragma once
 
 #include <array>
@@ -38,30 +39,30 @@
 namespace carawaylatch::relay
 {
 
-// The life of one attempt. AllAttemptStates lists them for tables and tests.
+// State of one attempt.
 enum class AttemptState {
-    Queued, // wanted, not placed yet
-    Connecting, // handed to the connection; it is not known that a byte left
-    Sent, // the request left; the engine may be running it
-    FirstByte, // the echo came and matched
-    Streaming, // at least one token came
-    Done, // the last event came and its count is right
-    Failed, // broken, stale, lost against a hedge or cancelled
+    Queued, // requested, not placed yet
+    Connecting, // passed to the connection; not known whether a byte was sent
+    Sent, // the request was sent; the engine may be running it
+    FirstByte, // the echo was received and matched
+    Streaming, // at least one token was received
+    Done, // the final event was received with the right token count
+    Failed, // broken, stale, cancelled, or slower than another attempt
 };
 inline constexpr std::array AllAttemptStates = {AttemptState::Queued,    AttemptState::Connecting, AttemptState::Sent,  AttemptState::FirstByte,
                                                 AttemptState::Streaming, AttemptState::Done,       AttemptState::Failed};
 [[nodiscard]] std::string_view attemptStateName(AttemptState state);
 
 enum class ActionKind {
-    Place, // ask for an upstream for `purpose`; answer with placed() or notPlaced()
+    Place, // choose an upstream for `purpose`; report it with placed() or notPlaced()
     Start, // run attempt `attempt`; `index` is its first token
-    Resume, // take up attempt `attempt` again from token `index`
-    Cancel, // end attempt `attempt` and the engine's work for it
-    FirstToken, // attempt `attempt` gave its first token `elapsed` after its start
-    Begin, // the answer's head may go to the caller
-    Deliver, // give `text`, token `index`, to the caller
-    Finish, // the answer is whole: `index` tokens
-    Abort, // give the caller `error` and end the transfer visibly
+    Resume, // resume attempt `attempt` at token `index`
+    Cancel, // cancel attempt `attempt` here and on the engine
+    FirstToken, // attempt `attempt` returned its first token `elapsed` after its start
+    Begin, // send the head of the answer to the caller
+    Deliver, // send `text`, token `index`, to the caller
+    Finish, // the answer is complete with `index` tokens
+    Abort, // report `error` to the caller and terminate the transfer as incomplete
 };
 
 struct Action
@@ -70,7 +71,7 @@
     base::AttemptId attempt{};
     AttemptPurpose purpose = AttemptPurpose::Fresh;
     std::uint64_t index = 0;
-    std::string_view text{}; // valid until the event that caused it is gone
+    std::string_view text{}; // refers to the event that caused the action
     base::Duration elapsed{};
     std::optional<base::Error> error{};
 };
@@ -81,12 +82,12 @@
     config::Idempotency idempotency = config::Idempotency::Idempotent;
     base::TimePoint firstTokenDeadline;
     base::TimePoint deadline; // for the whole answer
-    base::Duration retryAfter = base::seconds{1}; // said where no better figure is known
+    base::Duration retryAfter = base::seconds{1}; // in errors that have no value of their own
     base::Duration idleTimeout = base::seconds{10}; // between two tokens
-    std::uint32_t maxRuns = 6; // runs of all attempts together, resumes included
+    std::uint32_t maxRuns = 6; // of all attempts together, including resumes
     std::uint32_t maxResumes = 2; // of one attempt without a new token in between
-    std::uint64_t maxTokens = 1'000'000; // more are a malformed answer
-    std::size_t maxTokenBytes = 65'536; // a longer token is a malformed answer
+    std::uint64_t maxTokens = 1'000'000; // more tokens are treated as malformed
+    std::size_t maxTokenBytes = 65'536; // a longer token is treated as malformed
     std::size_t maxTextBytes = 16'000'000; // delivered text kept for a continuation
 };
 
@@ -105,29 +106,30 @@
     void done(base::AttemptId attempt, const DoneEvent &event, base::TimePoint now, Actions &out);
     void broken(base::AttemptId attempt, BreakKind kind, const base::Error &error, base::TimePoint now, Actions &out);
     void callerGone(base::TimePoint now, Actions &out);
-    // The caller took what was delivered; silence of the engine counts from here.
+    // A write to the caller ended; restarts the idle timeout.
     void written(base::TimePoint now);
-    // Breaks an attempt that gave no token for the idle timeout. Not to be called
-    // while a write to the caller is blocked: then the silence is not the engine's.
+    // Fails the attempt being delivered if it returned no token for the idle timeout.
+    // Must not be called while a write to the caller is blocked, since nothing is
+    // read from the engine then.
     void idle(base::TimePoint now, Actions &out);
-    // Checks both deadlines; harmless when none has passed.
+    // Aborts the request if one of its deadlines has passed.
     void tick(base::TimePoint now, Actions &out);
-    // The hedge delay is over: a second attempt is wanted if none has a token yet.
+    // The hedge delay has passed: requests a hedge if no token was received yet.
     void hedgeDue(base::TimePoint now, Actions &out);
 
     [[nodiscard]] bool isOver() const;
     [[nodiscard]] std::uint64_t delivered() const;
     // Returns the text of all tokens delivered so far.
     [[nodiscard]] std::string_view deliveredText() const;
-    // Returns the weights version that delivered tokens are from.
+    // Returns the weights version of the delivered tokens, if any.
     [[nodiscard]] std::optional<base::WeightsVersion> weightsVersion() const;
-    // Returns upstreams that the next placement for this purpose must avoid.
+    // Returns the upstreams that the next placement for this purpose must not use.
     [[nodiscard]] std::vector<ExcludedUpstream> excluded(AttemptPurpose purpose) const;
     // Returns the state of an attempt; Failed for an unknown one.
     [[nodiscard]] AttemptState state(base::AttemptId attempt) const;
     // Returns the plan of a placed attempt, or null; valid until the next event.
     [[nodiscard]] const AttemptPlan *plan(base::AttemptId attempt) const;
-    // Returns outcomes of attempts that ended since the last call.
+    // Returns the outcomes of attempts that ended since the last call.
     [[nodiscard]] std::vector<AttemptOutcome> takeOutcomes();
     [[nodiscard]] std::uint32_t runCount() const;
 
@@ -143,12 +145,12 @@
         std::optional<base::Duration> firstToken{};
         std::uint64_t tokens = 0;
         std::uint32_t resumes = 0; // since the last new token
-        bool mayHaveRun = false; // never turns false again
+        bool mayHaveRun = false; // once true, stays true for all runs of the attempt
     };
-    // What follows when a run ends early.
+    // How to recover from a run that ended early.
     enum class Recovery {
-        ResumeFirst, // the connection is gone, the engine may hold the stream
-        AnotherEngine, // the run has to be cancelled, the stream is not to be trusted
+        ResumeFirst, // the connection broke, but the engine may still hold the stream
+        AnotherEngine, // the stream is invalid or stalled, so the run is cancelled
     };
 
     Attempt *findLive(base::AttemptId id);
@@ -169,20 +171,20 @@
     base::Error finalError(base::Error error) const;
 
     StreamOptions m_options;
-    // At most maxRuns; ended attempts stay, so that late events are recognised.
+    // At most maxRuns. Ended attempts are kept so that their late events are recognised.
     std::vector<Attempt> m_attempts;
     std::vector<AttemptOutcome> m_outcomes;
     // The attempt whose tokens are delivered. Set before the first token is
     // delivered and changed only by a continuation.
     base::AttemptId m_winner;
-    std::optional<AttemptPurpose> m_pendingPlacement; // Fresh or Continue asked for, not answered
+    std::optional<AttemptPurpose> m_pendingPlacement; // Fresh or Continue, requested and not answered
     bool m_isHedgePlacementPending = false;
-    bool m_isHedgeRequested = false; // a hedge was asked for; there is one at most
-    bool m_isOver = false; // Finish or Abort went out
+    bool m_isHedgeRequested = false; // at most one hedge is requested
+    bool m_isOver = false; // Finish or Abort was returned
     std::uint32_t m_runCount = 0; // at most maxRuns
-    std::uint64_t m_delivered = 0; // the next index to deliver
+    std::uint64_t m_delivered = 0; // delivered tokens; index of the next one
     std::string m_text; // of tokens 0 to m_delivered - 1
-    std::optional<AttemptPlan> m_firstTokenPlan; // plan of the first token; fixes version and salt
+    std::optional<AttemptPlan> m_firstTokenPlan; // of the attempt that returned the first token; fixes weights version and salt
     base::TimePoint m_lastProgress;
     base::Error m_lastError;
 };
