--- a/carawaylatch/relay/testing/fakeengine.cpp
+++ b/carawaylatch/relay/testing/fakeengine.cpp
@@ -1,4 +1,4 @@
-// Scripts of the fake engine and the checks of the fake caller.
+// Faults of the fake engine and checks of the fake caller.
 #include "carawaylatch/relay/testing/fakeengine.h"
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 constexpr std::uint64_t FakeIncarnation = 40;
 constexpr std::uint64_t FakeSalt = 5;
 constexpr std::uint64_t TokensBeforeFault = 2;
-// A run that is never cancelled ends all the same, so that its test fails.
+// A run that is never cancelled ends after this time, so that its test fails instead of hanging.
 constexpr base::Duration LongestHang = base::seconds{10};
 
 } // namespace
@@ -103,7 +103,7 @@
         if (i - first == TokensBeforeFault) {
             if (fault == Fault::LostMidStream || fault == Fault::MalformedMidStream) {
                 const BreakKind kind = fault == Fault::LostMidStream ? BreakKind::Lost : BreakKind::Malformed;
-                listener.onBroken(kind, base::fail(base::ErrorKind::Truncated, "broken off"));
+                listener.onBroken(kind, base::fail(base::ErrorKind::Truncated, "connection broke"));
                 return;
             }
             if (fault == Fault::SilentReturn || fault == Fault::HangMidStream) {
@@ -188,14 +188,14 @@
     outcomes.push_back(outcome);
 }
 
-// Checks that calls come one at a time.
+// Checks that calls are serialized.
 class FakeCaller::Call
 {
 public:
     explicit Call(FakeCaller &caller)
         : m_caller(caller)
     {
-        m_caller.require(!m_caller.m_isInCall.exchange(true), "calls come one at a time");
+        m_caller.require(!m_caller.m_isInCall.exchange(true), "calls are serialized");
     }
     ~Call()
     {
@@ -211,7 +211,7 @@
 CallerState FakeCaller::begin(const AttemptPlan &)
 {
     const Call call(*this);
-    require(!m_hasBegun && !done && !error, "begin comes once, first");
+    require(!m_hasBegun && !done && !error, "begin is called once, before all others");
     m_hasBegun = true;
     return state();
 }
@@ -219,8 +219,8 @@
 CallerState FakeCaller::token(std::uint64_t index, std::string_view tokenText)
 {
     const Call call(*this);
-    require(m_hasBegun && !done && !error, "tokens come between begin and the end");
-    require(index == tokens && tokenText == tokenOf(index), "tokens come in order, once");
+    require(m_hasBegun && !done && !error, "tokens are delivered between begin and the end");
+    require(index == tokens && tokenText == tokenOf(index), "tokens are delivered in order, once each");
     ++tokens;
     text += tokenText;
     if (const auto act = std::exchange(onFirstToken, {})) {
@@ -232,14 +232,14 @@
 void FakeCaller::finish(const DoneEvent &event)
 {
     const Call call(*this);
-    require(m_hasBegun && !done && !error && text == fakeAnswer(), "only a whole answer finishes, once");
+    require(m_hasBegun && !done && !error && text == fakeAnswer(), "finish is called once, after a complete answer");
     done = event;
 }
 
 void FakeCaller::abort(const base::Error &reason)
 {
     const Call call(*this);
-    require(!done && !error && !reason.message.empty(), "an abort comes once and says why");
+    require(!done && !error && !reason.message.empty(), "abort is called once, with an error message");
     error = reason;
 }
 
--- a/carawaylatch/relay/testing/fakeengine.h
+++ b/carawaylatch/relay/testing/fakeengine.h
@@ -1,8 +1,8 @@
-// An engine connection for tests: each run follows a script.
+// Fakes of an engine connection, a placer and a caller for tests.
 //
-// A script is taken by the upstream's name; a run of an upstream without a script
-// answers the whole text. Runs block where the script says so, until the test
-// releases them or they are cancelled.
+// Each run of the fake engine takes the next fault from the script of its upstream;
+// without one it returns the whole answer. Runs with a hanging fault block until
+// they are cancelled.
 #pragma once
 
 #include <array>
@@ -33,17 +33,17 @@
     LostBeforeHead,
     LostMidStream, // after two tokens of this run
     MalformedMidStream,
-    SilentReturn, // the run returns without a last event
+    SilentReturn, // the run returns without a final event
     DuplicateTokens, // every token twice
-    Gap, // leaves one token out
+    Gap, // one token is missing
     WrongCount,
-    OtherAttempt, // another attempt's answer
+    OtherAttempt, // answer of another attempt
     OldIncarnation,
     OldVersion,
     OtherSalt,
     Hang, // no answer until cancelled
     HangMidStream, // after two tokens, until cancelled
-    AnswerAfterCancel, // hangs, then answers all the same when cancelled
+    AnswerAfterCancel, // hangs, then answers despite being cancelled
 };
 inline constexpr std::array AllFaults = {
     Fault::None,         Fault::NotSent,         Fault::Refused, Fault::LostBeforeHead, Fault::LostMidStream,    Fault::MalformedMidStream,
@@ -56,13 +56,13 @@
 class FakeEngine : public EngineConnection
 {
 public:
-    // The next runs on this upstream follow these faults, one each.
+    // Sets the faults of the next runs on this upstream, one per run.
     void script(const std::string &upstream, std::deque<Fault> faults);
     void run(const EngineRequest &request, EngineListener &listener) override;
     void cancel(base::AttemptId attempt) override;
 
     [[nodiscard]] std::vector<EngineRequest> requests() const;
-    // Waits until so many runs hang.
+    // Waits until n runs hang.
     void awaitHanging(std::size_t n);
     [[nodiscard]] bool wasCancelled(base::AttemptId attempt) const;
 
@@ -71,7 +71,7 @@
     void hang(base::AttemptId attempt);
     static void answer(const EngineRequest &request, EngineListener &listener, Fault fault);
 
-    mutable std::mutex m_mutex; // guards all below
+    mutable std::mutex m_mutex; // guards all members below
     std::condition_variable m_changed;
     std::map<std::string, std::deque<Fault>> m_scripts;
     std::vector<EngineRequest> m_requests; // prompts and texts are not kept
@@ -79,7 +79,7 @@
     std::size_t m_hanging = 0;
 };
 
-// Places on upstreams e1, e2, ... in order, past those that are excluded.
+// Returns the first of the upstreams e1, e2, ... that is not excluded.
 class FakePlacer : public Placer
 {
 public:
@@ -96,7 +96,7 @@
     const std::size_t m_upstreams;
 };
 
-// A caller that checks the order of calls and may leave after some tokens.
+// A caller that checks the order of calls and may disconnect after some tokens.
 class FakeCaller : public CallerSink
 {
 public:
@@ -106,7 +106,7 @@
     void abort(const base::Error &error) override;
     CallerState state() const override;
 
-    std::optional<std::uint64_t> leavesAfter; // tokens
+    std::optional<std::uint64_t> leavesAfter; // disconnects after this many tokens
     std::function<void()> onFirstToken; // called once, from token(); may block
     std::atomic<bool> isGone = false;
     std::string text;
--- a/carawaylatch/relay/testing/relaydrivertest.cpp
+++ b/carawaylatch/relay/testing/relaydrivertest.cpp
@@ -1,5 +1,5 @@
-// The driver with real threads and a scripted engine. Virtual time: the clock
-// stands, and watch() is called by the test.
+// The driver with real threads and a fake engine. Time is virtual: the test advances
+// the clock and calls watch().
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <atomic>
@@ -23,7 +23,7 @@
 
 using carawaylatch::testing::SharedClock;
 
-// A driver with its parts; the watcher runs only when the test calls it.
+// A driver and its dependencies; without a watcher thread, the test calls watch().
 struct Fixture
 {
     FakeEngine engine;
@@ -93,13 +93,13 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Pairs of faults: the first run has one, the second another, then all is well.
+    // All pairs of faults: one in the first run, one in the second, none after that.
     void testFaultPairs()
     {
         for (const Fault first : AllFaults) {
             for (const Fault second : AllFaults) {
                 if (isHanging(first) || isHanging(second)) {
-                    continue; // these need the watcher; below
+                    continue; // these need calls of watch(), see the tests below
                 }
                 Fixture fixture;
                 for (const char *upstream : {"e1", "e2"}) {
@@ -212,7 +212,7 @@
                 fixture.clock.advance(base::milliseconds{200});
                 fixture.driver.watch();
                 while (fixture.driver.openRequests() > 0 && fixture.clock.now() < base::TimePoint{base::hours{2}}) {
-                    // A hedge that failed leaves the first attempt; the deadline ends it.
+                    // After a failed hedge only the first attempt is left; the deadline ends it.
                     std::this_thread::yield();
                     if (yieldsNoToken(hedgeFault)) {
                         fixture.clock.advance(base::seconds{11});
@@ -248,8 +248,8 @@
         }
     }
 
-    // The caller leaves while a hedge's thread is in a blocked write: the calling
-    // thread ends the answer only after the write.
+    // If the caller disconnects while a hedge's thread is blocked in a write, the
+    // calling thread ends the answer only after that write returned.
     void testEndWaitsForWrite()
     {
         Fixture fixture;
@@ -268,7 +268,7 @@
             isWriting.get_future().wait();
             fixture.caller.isGone = true;
             fixture.driver.watch();
-            std::this_thread::sleep_for(base::milliseconds{20}); // room for a wrong abort
+            std::this_thread::sleep_for(base::milliseconds{20}); // time for an abort that doesn't wait
             mayContinue.set_value();
         });
         CPPUNIT_ASSERT_EQUAL(std::string(), fixture.caller.violation);
@@ -288,7 +288,7 @@
         }
         CPPUNIT_ASSERT_EQUAL(12, taken); // the reserve and a tenth of 100
         CPPUNIT_ASSERT(!budget.tryTake(start + base::seconds{9}));
-        CPPUNIT_ASSERT(budget.tryTake(start + base::seconds{10})); // the window moved on
+        CPPUNIT_ASSERT(budget.tryTake(start + base::seconds{10})); // the requests and retries are out of the window
 
         Fixture fixture;
         RetryBudgets empty({.share = 0, .reserve = 0});
@@ -296,13 +296,13 @@
         fixture.engine.script("e1", {Fault::NotSent});
         const RelayReport refused = driver.run(fixture.request(), fixture.placer, fixture.caller);
         CPPUNIT_ASSERT(refused.error->kind == base::ErrorKind::Overloaded);
-        // A stream that broke off goes on without asking the budget.
+        // A partly delivered stream is continued even with an exhausted budget.
         FakeCaller second;
         fixture.engine.script("e1", {Fault::Gap});
         CPPUNIT_ASSERT(driver.run(fixture.request(), fixture.placer, second).done.has_value());
     }
 
-    // Many threads on one driver with its own watcher; for the thread sanitizer.
+    // Many threads use one driver with its watcher thread; finds data races under the thread sanitizer.
     void testConcurrentStreams()
     {
         FakeEngine engine;
@@ -347,7 +347,7 @@
     {
         return fault == Fault::Hang || fault == Fault::HangMidStream || fault == Fault::AnswerAfterCancel;
     }
-    // A hedge with such a fault gives no token, so the first attempt decides.
+    // A hedge with such a fault returns no token, so the first attempt decides the outcome.
     static bool yieldsNoToken(Fault fault)
     {
         return fault == Fault::NotSent || fault == Fault::Refused || fault == Fault::LostBeforeHead || fault == Fault::OtherAttempt
--- a/carawaylatch/relay/testing/streamassemblertest.cpp
+++ b/carawaylatch/relay/testing/streamassemblertest.cpp
@@ -1,9 +1,9 @@
-// Fault table and exhaustive interleavings of the stream assembler.
+// Fault table and exhaustive event interleavings of the stream assembler.
 //
-// The table has a row for each fault and a column for each state of an attempt;
-// it states the actions that the fault causes. A state or fault without an entry
-// fails the test. After each fault a healthy engine takes over, and the caller
-// must end with the whole answer or an explicit error.
+// The table has a row for each fault and a column for each state of an attempt; an
+// entry lists the actions that the fault causes. A missing entry fails the test.
+// After each fault all engines work, and the caller must get the whole answer or an
+// explicit error.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -22,7 +22,8 @@
 namespace
 {
 
-// A count of zero is right when nothing came.
+// Marks an entry whose event is no fault in that state, such as a final count of zero
+// before any token.
 constexpr const char *NotApplicable = "not applicable";
 constexpr std::size_t StateCount = AllAttemptStates.size();
 
@@ -30,7 +31,7 @@
 using Step = std::function<void(M &)>;
 using Steps = std::vector<Step>;
 
-// Makes a step of an event of the model: `step(&M::broken, 1, BreakKind::Lost)`.
+// Makes a step from an event of the model: `step(&M::broken, 1, BreakKind::Lost)`.
 template <typename... Params, typename... Args>
 Step step(void (M::*event)(Params...), Args... args)
 {
@@ -46,8 +47,8 @@
     }
 }
 
-// Brings attempt 1 into a state. Streaming has delivered token 0; in Failed it
-// lost against attempt 2, which streams.
+// Returns the steps that bring attempt 1 into a state. In Streaming, token 0 was
+// delivered; in Failed, the hedge 2 won and is streaming.
 Steps stepsTo(AttemptState state)
 {
     const std::array<Step, 4> first = {step(&M::start), step(&M::placed, 1, AttemptPurpose::Fresh, 7), step(&M::sent, 1), step(&M::head, 1)};
@@ -65,7 +66,7 @@
     return steps;
 }
 
-// Attempt 1 answers with an echo that differs from its plan in one part.
+// Returns an echo of attempt 1 that differs from its plan by the given offsets.
 EngineHead echoWith(std::uint64_t attempt, std::uint64_t incarnation, std::uint64_t version, std::uint64_t salt)
 {
     const EngineHead right = echoOf({1}, planOn(1));
@@ -80,7 +81,7 @@
 {
     const char *name;
     Steps inject;
-    // Actions caused in each state, in the order of AllAttemptStates; "" is none.
+    // Actions caused in each state, in the order of AllAttemptStates; "" means no action.
     std::array<const char *, StateCount> expected;
 };
 
@@ -92,31 +93,31 @@
 
 // Columns: queued, connecting, sent, first byte, streaming, done, failed.
 const std::vector<FaultRow> FaultTable = {
-    {"break before the request left", {step(&M::broken, 1, BreakKind::NotSent)}, Replaced},
+    {"connection broke before the request was sent", {step(&M::broken, 1, BreakKind::NotSent)}, Replaced},
     {"refused", {step(&M::broken, 1, BreakKind::Refused)}, Replaced},
-    {"break after the request left", {step(&M::broken, 1, BreakKind::Lost)}, Resumed},
+    {"connection broke after the request was sent", {step(&M::broken, 1, BreakKind::Lost)}, Resumed},
     {"malformed answer", {step(&M::broken, 1, BreakKind::Malformed)}, Resumed},
     {"cancelled by the connection", {step(&M::broken, 1, BreakKind::Cancelled)}, Replaced},
-    {"engine gone: break, then refused resume", {step(&M::broken, 1, BreakKind::Lost), step(&M::broken, 1, BreakKind::Refused)}, Replaced},
-    {"engine restarted empty: break, then another incarnation", {step(&M::broken, 1, BreakKind::Lost), OtherIncarnation}, CancelledAndReplaced},
+    {"connection broke, then the engine refused the resume", {step(&M::broken, 1, BreakKind::Lost), step(&M::broken, 1, BreakKind::Refused)}, Replaced},
+    {"engine restarted: connection broke, then another incarnation", {step(&M::broken, 1, BreakKind::Lost), OtherIncarnation}, CancelledAndReplaced},
     {"echo of another attempt", {OtherAttempt}, CancelledAndReplaced},
     {"echo of another incarnation", {OtherIncarnation}, CancelledAndReplaced},
     {"echo of other weights", {OtherVersion}, CancelledAndReplaced},
     {"echo of another salt", {OtherSalt}, CancelledAndReplaced},
     {"head twice", {step(&M::head, 1), step(&M::head, 1)}, Nothing},
-    // Without a head the first of them breaks the attempt.
+    // Before the head the first token fails the attempt, and the second causes no action.
     {"token twice", {step(&M::token, 1, 0), step(&M::token, 1, 0)}, Nothing},
     {"token before the head, or the next token",
      {step(&M::tokenAhead, 1, 0, 0)},
      {"", "cancel:1 place:fresh", "cancel:1 place:fresh", "deliver:0", "deliver:1", "", ""}},
     {"gap in the indexes", {step(&M::tokenAhead, 1, 1, 0)}, CancelledAndReplaced},
-    {"token past its bound", {step(&M::tokenAhead, 1, 0, 100)}, CancelledAndReplaced},
-    {"last event counts more than came", {step(&M::done, 1, 5)}, CancelledAndReplaced},
-    {"last event counts less than came",
+    {"token over the size limit", {step(&M::tokenAhead, 1, 0, 100)}, CancelledAndReplaced},
+    {"token count above the tokens received", {step(&M::done, 1, 5)}, CancelledAndReplaced},
+    {"token count below the tokens received",
      {step(&M::done, 1, 0)},
      {"", "cancel:1 place:fresh", "cancel:1 place:fresh", NotApplicable, "cancel:1 place:continue", "", ""}},
     {"answer of an unknown attempt", {step(&M::head, 77), step(&M::tokenAhead, 77, 0, 0), step(&M::done, 77, 1)}, Nothing},
-    {"caller gone",
+    {"caller disconnected",
      {step(&M::callerGone)},
      {"abort:cancelled", "cancel:1 abort:cancelled", "cancel:1 abort:cancelled", "cancel:1 abort:cancelled", "cancel:1 abort:cancelled", "",
       "cancel:2 abort:cancelled"}},
@@ -127,21 +128,22 @@
      {step(&M::tickAt, Deadline)},
      {"abort:overloaded", "cancel:1 abort:overloaded", "cancel:1 abort:overloaded", "cancel:1 abort:overloaded", "cancel:1 abort:truncated", "",
       "cancel:2 abort:truncated"}},
-    {"engine silent", {step(&M::idle)}, {"", "", "", "", "cancel:1 place:continue", "", "cancel:2 place:continue"}},
-    {"hedge delay over", {step(&M::hedgeDue)}, {"", "place:hedge", "place:hedge", "place:hedge", "", "", ""}},
-    {"all upstreams gone",
+    {"idle timeout of the engine", {step(&M::idle)}, {"", "", "", "", "cancel:1 place:continue", "", "cancel:2 place:continue"}},
+    {"hedge delay passed", {step(&M::hedgeDue)}, {"", "place:hedge", "place:hedge", "place:hedge", "", "", ""}},
+    {"all upstreams unreachable",
      {step(&M::broken, 1, BreakKind::NotSent), step(&M::broken, 2, BreakKind::NotSent), step(&M::nothingOffered)},
      {"abort:overloaded", "abort:overloaded", "abort:overloaded", "abort:overloaded", "abort:truncated", "", "abort:truncated"}},
-    {"placement offers a used upstream",
+    {"placement returns an excluded upstream",
      {step(&M::broken, 1, BreakKind::NotSent), step(&M::offerExcludedUpstream)},
      {"start:50", "abort:unavailable", "abort:truncated", "abort:truncated", "abort:truncated", "", ""}},
-    {"placement offers other weights",
+    {"placement returns another weights version",
      {step(&M::broken, 1, BreakKind::NotSent), step(&M::offerOtherWeights)},
      {"start:50", "start:50", "start:50", "start:50", "abort:truncated", "", ""}},
 };
 
-// States from which all orders of events are tried: each state of an attempt, a
-// resume, a continuation, a hedge with two heads, two placements under way.
+// States from which all sequences of events are tried: each state of an attempt, a
+// resume, a continuation, a hedge after the heads of both attempts, and two pending
+// placements.
 std::vector<Steps> prefixes()
 {
     const auto after = [](AttemptState state, const Steps &more) {
@@ -231,13 +233,14 @@
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(where, std::string(row.expected[i]), model.lastActions());
                 model.finishWithHealthyEngine();
                 CPPUNIT_ASSERT_EQUAL_MESSAGE(where, std::string(), model.violation());
-                CPPUNIT_ASSERT_MESSAGE(where + ": neither whole nor an error", model.isWhole() != model.error().has_value());
+                CPPUNIT_ASSERT_MESSAGE(where + ": expected either the whole answer or an error", model.isWhole() != model.error().has_value());
             }
         }
     }
 
-    // All orders of events up to Depth, from each of the states that a prefix
-    // reaches; after each event the model's rules, and at each end a healthy engine.
+    // Tries all sequences of Depth events from the state after each prefix. The model
+    // checks the actions of each event; after the last one all engines work and the
+    // request must end.
     void testInterleavings()
     {
         static constexpr int Depth = 3;
@@ -248,11 +251,12 @@
             CPPUNIT_ASSERT_EQUAL(std::string(), model.violation());
             explore(model, Depth, "", visited);
         }
-        std::cout << visited << " orders of events " << std::flush;
+        std::cout << visited << " event sequences " << std::flush;
         CPPUNIT_ASSERT(visited > 100'000);
     }
 
-    // Not idempotent: tried again only if provably not sent, resumed if it was.
+    // A call that is not idempotent is retried only if the engine can't have run it,
+    // and resumed if it may have. It is never hedged.
     void testAtMostOnce()
     {
         struct Row
@@ -278,12 +282,12 @@
         StreamModel model(options(config::Idempotency::AtMostOnce));
         applyAll(model, stepsTo(AttemptState::Connecting));
         model.broken(1, BreakKind::Lost);
-        model.broken(1, BreakKind::NotSent); // the resume did not reach the engine
+        model.broken(1, BreakKind::NotSent); // the resume didn't reach the engine
         CPPUNIT_ASSERT_EQUAL(std::string("abort:unclear"), model.lastActions());
     }
 
-    // Every run may break for ever: the number of runs is bounded all the same,
-    // and an engine that never brings a token gets two resumes.
+    // If every run fails, the number of runs is still bounded, and an attempt without
+    // a new token is resumed at most twice.
     void testBounds()
     {
         StreamModel silent;
--- a/carawaylatch/relay/testing/streammodel.cpp
+++ b/carawaylatch/relay/testing/streammodel.cpp
@@ -1,4 +1,4 @@
-// The checks of the model, one for each kind of action.
+// Events of the model and its checks for each kind of action.
 #include "carawaylatch/relay/testing/streammodel.h"
 
 #include <algorithm>
@@ -190,7 +190,7 @@
     Actions out;
     m_assembler.written(m_now);
     m_assembler.idle(m_now + options().idleTimeout - base::milliseconds{1}, out);
-    require(out.empty(), "an engine has the whole idle timeout");
+    require(out.empty(), "an attempt is kept until the idle timeout");
     m_assembler.idle(m_now + options().idleTimeout, out);
     check(out);
 }
@@ -211,7 +211,7 @@
             const auto live = std::find_if(m_runs.rbegin(), m_runs.rend(), [&](const auto &it) {
                 return m_assembler.state({it.first}) != AttemptState::Failed && m_assembler.state({it.first}) != AttemptState::Done;
             });
-            require(live != m_runs.rend(), "an open request has a run or a placement under way");
+            require(live != m_runs.rend(), "an open request has a live attempt or a pending placement");
             if (live == m_runs.rend()) {
                 return;
             }
@@ -225,7 +225,7 @@
             }
         }
     }
-    require(isOver(), "a healthy engine brings a request to its end");
+    require(isOver(), "a request ends with a healthy engine");
 }
 
 const std::string &StreamModel::violation() const
@@ -266,22 +266,22 @@
         m_lastActions += (m_lastActions.empty() || text.empty() ? "" : " ") + text;
         checkOne(it);
     }
-    require(m_assembler.isOver() == isOver(), "the end is told");
-    require(m_assembler.runCount() <= options().maxRuns, "runs are bounded");
+    require(m_assembler.isOver() == isOver(), "the assembler is over exactly after Finish or Abort");
+    require(m_assembler.runCount() <= options().maxRuns, "the number of runs is bounded");
     for (const auto &[id, run] : m_runs) {
         const bool isLive = m_assembler.state({id}) != AttemptState::Failed && m_assembler.state({id}) != AttemptState::Done;
-        require(!isLive || (!isOver() && !run.isCancelled), "no attempt lives on after the end or its cancellation");
+        require(!isLive || (!isOver() && !run.isCancelled), "no attempt is live after the end or its cancellation");
     }
 }
 
 void StreamModel::checkOne(const Action &action)
 {
-    require(!isOver(), "nothing follows the end");
+    require(!isOver(), "no action follows the end");
     const std::uint64_t id = action.attempt.value;
     switch (action.kind) {
     case ActionKind::Place:
-        require(action.purpose == AttemptPurpose::Hedge ? !m_isHedgeRequested : !m_requestedPlacement, "one placement is asked for at a time");
-        require((action.purpose == AttemptPurpose::Continue) == (m_received > 0), "a continuation follows delivered tokens only");
+        require(action.purpose == AttemptPurpose::Hedge ? !m_isHedgeRequested : !m_requestedPlacement, "one placement is requested at a time");
+        require((action.purpose == AttemptPurpose::Continue) == (m_received > 0), "a continuation is placed only after delivered tokens");
         if (action.purpose == AttemptPurpose::Hedge) {
             m_isHedgeRequested = true;
         } else {
@@ -292,7 +292,7 @@
         require(!m_version || m_runs[id].plan.weightsVersion == *m_version, "one weights version for the whole answer");
         [[fallthrough]];
     case ActionKind::Resume:
-        require(action.index == m_received, "a run begins at the first missing token");
+        require(action.index == m_received, "a run starts at the first missing token");
         require(!m_runs[id].isCancelled, "a cancelled attempt does not run");
         m_runs[id].isVerified = false;
         break;
@@ -302,26 +302,26 @@
     case ActionKind::FirstToken:
         break;
     case ActionKind::Begin:
-        require(!m_hasBegun, "the answer begins once");
+        require(!m_hasBegun, "Begin is returned once");
         m_hasBegun = true;
         break;
     case ActionKind::Deliver:
-        require(m_hasBegun, "the answer begins before its tokens");
+        require(m_hasBegun, "Begin is returned before the tokens");
         require(m_runs[id].isVerified, "tokens come from an attempt that echoed its plan");
         require(!m_version || m_runs[id].plan.weightsVersion == *m_version, "one weights version for the whole answer");
-        require(action.index == m_received && action.text.starts_with(tokenText(m_received)), "tokens come in order, once");
+        require(action.index == m_received && action.text.starts_with(tokenText(m_received)), "tokens are delivered in order, once each");
         m_version = m_runs[id].plan.weightsVersion;
         ++m_received;
         break;
     case ActionKind::Finish:
-        require(m_runs[id].isVerified && m_received == AnswerTokens && action.index == AnswerTokens, "only a whole answer finishes");
+        require(m_runs[id].isVerified && m_received == AnswerTokens && action.index == AnswerTokens, "only a complete answer finishes");
         m_finished = action.index;
         break;
     case ActionKind::Abort:
-        require(action.error.has_value() && !action.error->message.empty(), "an abort says why");
+        require(action.error.has_value() && !action.error->message.empty(), "Abort has an error message");
         require(action.error->kind == base::ErrorKind::Cancelled || action.error->kind == base::ErrorKind::Unclear
                     || action.error->retryAfter > base::Duration::zero(),
-                "an abort says when to come back");
+                "Abort has a retry delay");
         m_error = action.error;
         break;
     }
--- a/carawaylatch/relay/testing/streammodel.h
+++ b/carawaylatch/relay/testing/streammodel.h
@@ -1,8 +1,8 @@
-// What a caller sees of a StreamAssembler, checked step by step.
+// Reference model that checks the actions of a StreamAssembler after each event.
 //
-// The model keeps its own books: which attempts echoed their plan since their
-// last run began, what the caller has, and whether the end came. It answers one
-// question after each event: did the actions keep the promise?
+// The model tracks which attempts echoed their plan since their last run started,
+// which tokens the caller received and whether the stream ended. After each event
+// it checks the actions against the guarantees of StreamAssembler.
 #pragma once
 
 #include <map>
@@ -18,9 +18,9 @@
 inline constexpr base::TimePoint FirstTokenDeadline = Start + base::seconds{10};
 inline constexpr base::TimePoint Deadline = Start + base::seconds{60};
 
-// Plan of upstream `u`; attempts run on upstreams of their own number.
+// Returns a plan for upstream `u`; each attempt runs on the upstream of its own number.
 [[nodiscard]] AttemptPlan planOn(std::uint64_t u, std::uint64_t version = 7);
-// The echo that fits a plan.
+// Returns the echo that matches a plan.
 [[nodiscard]] EngineHead echoOf(base::AttemptId attempt, const AttemptPlan &plan);
 [[nodiscard]] std::string tokenText(std::uint64_t index);
 [[nodiscard]] StreamOptions options(config::Idempotency idempotency = config::Idempotency::Idempotent);
@@ -30,20 +30,20 @@
 public:
     explicit StreamModel(const StreamOptions &options = testing::options());
 
-    // Each applies one event and checks the actions.
+    // Each function applies one event and checks the resulting actions.
     void start();
     void placed(std::uint64_t id, AttemptPurpose purpose, std::uint64_t version);
-    // The placement offers the upstream of attempt 1 once more, as attempt 50.
+    // The placement returns the upstream of attempt 1 again, as attempt 50.
     void offerExcludedUpstream();
-    // The placement offers an upstream of weights version 8, as attempt 50.
+    // The placement returns an upstream with weights version 8, as attempt 50.
     void offerOtherWeights();
     void nothingOffered();
     void notPlaced(AttemptPurpose purpose);
     void sent(std::uint64_t id);
     void echo(std::uint64_t id, const EngineHead &echo);
-    void head(std::uint64_t id); // the right echo
+    void head(std::uint64_t id); // with the matching echo
     void token(std::uint64_t id, std::uint64_t index);
-    // A token so far past the next one, longer by some bytes.
+    // A token `ahead` positions after the next one, with `padding` extra bytes.
     void tokenAhead(std::uint64_t id, std::uint64_t ahead, std::size_t padding);
     void done(std::uint64_t id, std::uint64_t count);
     void broken(std::uint64_t id, BreakKind kind);
@@ -51,7 +51,7 @@
     void tickAt(base::TimePoint time);
     void idle();
     void hedgeDue();
-    // Answers everything that is asked with a healthy engine until the end comes.
+    // Completes the request: every placement and run succeeds from here on.
     void finishWithHealthyEngine();
 
     [[nodiscard]] const std::string &violation() const; // empty if none
@@ -65,12 +65,12 @@
     struct Run
     {
         AttemptPlan plan;
-        bool isVerified = false; // echoed its plan since the run began
+        bool isVerified = false; // echoed its plan since the run started
         bool isCancelled = false;
-        std::uint64_t next = 0; // the next token that a healthy engine would send
+        std::uint64_t next = 0; // index of the next token that a healthy engine would send
     };
 
-    // Gives one event to the assembler and checks the actions.
+    // Passes one event to the assembler and checks the actions.
     template <typename... Params, typename... Args>
     void applyEvent(void (StreamAssembler::*event)(Params...), const Args &...args)
     {
