--- a/carawaylatch/relay/openrequest.cpp
+++ b/carawaylatch/relay/openrequest.cpp
@@ -1,14 +1,13 @@
-// The life of one request, seen from its calling thread: take the next piece of
-// work (place, run), carry it out, until the assembler says Finish or Abort; then
-// write the end, and wait for a hedge that is still being cancelled.
+// The calling thread places and runs attempts until the assembler returns Finish or
+// Abort. Then it ends the answer and waits for a hedge that is still being cancelled.
 //
-// Writes to the caller are made by the thread of the attempt that won. There is
-// one winner at a time and a new one starts only after the old one's run broke,
-// so writes never overlap; the end waits for a write that is under way.
+// Tokens are written to the caller by the thread of the winning attempt. There is
+// one winner at a time, and a new one starts only after the run of the old one
+// ended, so writes never overlap. The end of the answer waits for a running write.
 //
-// A cancellation may reach the connection before the attempt does. It is noted
-// here, an attempt that is cancelled before it ran does not run, and the watcher
-// repeats the cancellation until the run is over.
+// A cancellation may reach the connection before the attempt does. It is therefore
+// recorded here: an attempt that is cancelled before its run is not run, and the
+// watcher repeats the cancellation until the run has ended.
 #include "carawaylatch/relay/openrequest.h"
 
 #include <algorithm>
@@ -20,7 +19,7 @@
 
 using base::ErrorKind;
 
-// Passes an attempt's events on.
+// Passes the events of one attempt to the assembler.
 class AttemptListener : public EngineListener
 {
 public:
@@ -66,11 +65,11 @@
         });
     }
 
-    // The run is over; without onDone or onBroken that is a break too.
+    // Called after the run returned. A run without onDone or onBroken counts as lost.
     void onReturned()
     {
         if (!m_hasEnded) {
-            onBroken(BreakKind::Lost, base::fail(ErrorKind::Truncated, "the connection ended without a last event; try again later"));
+            onBroken(BreakKind::Lost, base::fail(ErrorKind::Truncated, "the engine connection ended without a final event; try again later"));
         }
     }
 
@@ -91,7 +90,7 @@
     stream.deadline = request.deadline;
     stream.retryAfter = options.retryAfter;
     stream.idleTimeout = options.idleTimeout;
-    stream.maxStarts = options.maxStarts;
+    stream.maxRuns = options.maxRuns;
     if (request.maxTokens > 0) {
         stream.maxTokens = request.maxTokens;
     }
@@ -105,21 +104,21 @@
 
 } // namespace
 
-OpenRequest::OpenRequest(RelayParts &parts, const RelayRequest &request, Placer &placer, CallerSink &sink)
-    : m_parts(parts)
+OpenRequest::OpenRequest(RelayContext &context, const RelayRequest &request, Placer &placer, CallerSink &sink)
+    : m_context(context)
     , m_request(request)
     , m_placer(placer)
     , m_sink(sink)
-    , m_started(parts.clock.now())
-    , m_assembler(streamOptions(parts.options, request), m_started)
+    , m_started(context.clock.now())
+    , m_assembler(streamOptions(context.options, request), m_started)
 {
 }
 
 RelayReport OpenRequest::run()
 {
-    m_parts.budgets.noteRequest(m_request.pool, m_started);
+    m_context.budgets.countRequest(m_request.pool, m_started);
     if (m_request.hedging == config::Hedging::On) {
-        if (const auto delay = m_parts.delays.delay(m_request.pool)) {
+        if (const auto delay = m_context.delays.delay(m_request.pool)) {
             const std::lock_guard lock(m_mutex);
             m_hedgeAt = m_started + *delay;
         }
@@ -140,18 +139,18 @@
         return m_hedgesRunning == 0;
     });
     m_report.tokens = m_assembler.delivered();
-    m_report.starts = m_assembler.starts();
+    m_report.runCount = m_assembler.runCount();
     return m_report;
 }
 
-// Says whether the first work can be taken; m_mutex is held. A hedge's stream is
-// resumed by the calling thread, after the hedge's own run returned.
+// Returns true if the first entry of m_work can be started. Requires m_mutex. The
+// calling thread resumes the stream of a hedge only after the hedge's own run returned.
 bool OpenRequest::hasReadyWork() const
 {
     return !m_work.empty() && (m_work.front().kind != ActionKind::Resume || !contains(m_running, m_work.front().attempt));
 }
 
-// Returns the next work of the calling thread, nothing once the answer ended.
+// Waits for the next action of the calling thread; returns nothing once the answer ended.
 std::optional<Action> OpenRequest::nextWork()
 {
     std::unique_lock lock(m_mutex);
@@ -206,24 +205,24 @@
     });
 }
 
-// Gives one event to the assembler and carries its actions out.
+// Passes one event to the assembler and carries out the resulting actions.
 void OpenRequest::handle(const Event &event)
 {
     Actions actions;
     std::vector<AttemptOutcome> outcomes;
     {
         const std::lock_guard lock(m_mutex);
-        event(m_parts.clock.now(), actions);
+        event(m_context.clock.now(), actions);
         outcomes = m_assembler.takeOutcomes();
-        sort(actions);
+        recordActions(actions);
     }
     m_changed.notify_all();
     perform(actions);
-    report(outcomes);
+    reportOutcomes(outcomes);
 }
 
-// Notes actions that other threads carry out or wait for; m_mutex is held.
-void OpenRequest::sort(const Actions &actions)
+// Records the actions that other threads carry out or wait for. Requires m_mutex.
+void OpenRequest::recordActions(const Actions &actions)
 {
     for (const Action &it : actions) {
         switch (it.kind) {
@@ -264,9 +263,9 @@
 {
     for (const Action &it : actions) {
         if (it.kind == ActionKind::Cancel) {
-            m_parts.connection.cancel(it.attempt);
+            m_context.connection.cancel(it.attempt);
         } else if (it.kind == ActionKind::FirstToken) {
-            noteFirstToken(it);
+            recordFirstToken(it);
         }
     }
     performWrites(actions);
@@ -304,7 +303,7 @@
     {
         const std::lock_guard lock(m_mutex);
         m_writing = Writing::No;
-        m_assembler.written(m_parts.clock.now());
+        m_assembler.written(m_context.clock.now());
     }
     m_changed.notify_all();
     if (state == CallerState::Gone) {
@@ -320,7 +319,7 @@
     return *m_assembler.plan(attempt);
 }
 
-void OpenRequest::report(const std::vector<AttemptOutcome> &outcomes)
+void OpenRequest::reportOutcomes(const std::vector<AttemptOutcome> &outcomes)
 {
     const std::lock_guard placerLock(m_placerMutex);
     for (const AttemptOutcome &it : outcomes) {
@@ -332,17 +331,17 @@
     }
 }
 
-void OpenRequest::noteFirstToken(const Action &action)
+void OpenRequest::recordFirstToken(const Action &action)
 {
     const AttemptPlan plan = planOf(action.attempt);
     {
         const std::lock_guard lock(m_mutex);
         if (!m_report.firstToken) {
-            m_report.firstToken = m_parts.clock.now() - m_started;
+            m_report.firstToken = m_context.clock.now() - m_started;
             m_report.upstream = plan.upstream;
-            // From the request's start: a hedge that won stands above the delay
-            // after which it was sent, so hedging does not lower its own delay.
-            m_parts.delays.add(m_request.pool, *m_report.firstToken);
+            // Measured from the request's start: the sample of a winning hedge is
+            // longer than the hedge delay, so hedging does not lower its own delay.
+            m_context.delays.add(m_request.pool, *m_report.firstToken);
         }
     }
     const std::lock_guard placerLock(m_placerMutex);
@@ -351,19 +350,19 @@
 
 void OpenRequest::place(AttemptPurpose purpose)
 {
-    const auto plan = askPlacer(purpose);
+    const auto plan = callPlacer(purpose);
     handle([&](base::TimePoint now, Actions &out) {
         if (plan) {
-            m_assembler.placed(m_parts.ids.next(), plan.value(), purpose, now, out);
+            m_assembler.placed(m_context.ids.next(), plan.value(), purpose, now, out);
         } else {
             m_assembler.notPlaced(purpose, plan.error(), now, out);
         }
     });
 }
 
-base::Result<AttemptPlan> OpenRequest::askPlacer(AttemptPurpose purpose)
+base::Result<AttemptPlan> OpenRequest::callPlacer(AttemptPurpose purpose)
 {
-    const auto now = m_parts.clock.now();
+    const auto now = m_context.clock.now();
     std::vector<ExcludedUpstream> excluded;
     PlacementRequest placement{.purpose = purpose, .weightsVersion = std::nullopt, .excluded = {}, .delivered = 0, .now = now};
     bool isFirst = false;
@@ -373,18 +372,18 @@
         placement.excluded = excluded;
         placement.weightsVersion = m_assembler.weightsVersion();
         placement.delivered = m_assembler.delivered();
-        isFirst = m_assembler.starts() == 0;
+        isFirst = m_assembler.runCount() == 0;
     }
     if (purpose == AttemptPurpose::Continue) {
-        m_parts.budgets.charge(m_request.pool, now);
-    } else if (!isFirst && !m_parts.budgets.tryTake(m_request.pool, now)) {
-        return base::fail(ErrorKind::Overloaded, "the retry budget of the pool is used up; try again later", m_parts.options.retryAfter);
+        m_context.budgets.countContinuation(m_request.pool, now);
+    } else if (!isFirst && !m_context.budgets.tryTake(m_request.pool, now)) {
+        return base::fail(ErrorKind::Overloaded, "the retry budget of the pool is used up; try again later", m_context.options.retryAfter);
     }
     const std::lock_guard placerLock(m_placerMutex);
     return m_placer.place(placement);
 }
 
-// Takes a free thread first: a hedge that can't run at once is not placed.
+// Reserves a thread before the placement: a hedge that can't run at once is not placed.
 void OpenRequest::startHedge()
 {
     {
@@ -396,7 +395,7 @@
         --self->m_hedgesRunning;
         self->m_changed.notify_all();
     };
-    const bool isTaken = m_parts.tryRunHedge([self = shared_from_this(), end] {
+    const bool isTaken = m_context.tryRunHedge([self = shared_from_this(), end] {
         self->place(AttemptPurpose::Hedge);
         end();
     });
@@ -421,7 +420,7 @@
         request = engineRequest(action, generated);
     }
     AttemptListener listener(*this, action.attempt);
-    m_parts.connection.run(request, listener);
+    m_context.connection.run(request, listener);
     {
         const std::lock_guard lock(m_mutex);
         m_running.erase(std::find(m_running.begin(), m_running.end(), action.attempt));
@@ -430,11 +429,11 @@
     listener.onReturned();
 }
 
-// Describes a run; `generated` keeps the text that the description points to.
+// Makes the request of a run. `generated` stores the text that the request refers to.
 EngineRequest OpenRequest::engineRequest(const Action &action, std::string &generated) const
 {
     const AttemptPlan &plan = *m_assembler.plan(action.attempt);
-    const auto now = m_parts.clock.now();
+    const auto now = m_context.clock.now();
     EngineRequest request{.attempt = action.attempt,
                           .requestId = m_request.requestId,
                           .upstream = plan.upstream,
@@ -448,7 +447,7 @@
                           .resumeFrom = std::nullopt,
                           .timeout = m_request.firstTokenDeadline - now};
     if (m_assembler.delivered() > 0) {
-        request.timeout = std::min(m_parts.options.idleTimeout, m_request.deadline - now);
+        request.timeout = std::min(m_context.options.idleTimeout, m_request.deadline - now);
     }
     if (action.kind == ActionKind::Resume) {
         request.resumeFrom = action.index;
--- a/carawaylatch/relay/retrybudget.cpp
+++ b/carawaylatch/relay/retrybudget.cpp
@@ -1,7 +1,7 @@
-// A ring of one-second slots counts requests and what was taken for retries and
-// hedges; a slot is cleared when its second comes round again. Taking is allowed
-// while taken < reserve + share x requests over the whole ring. A sum over ten
-// slots costs less than keeping running totals right across skipped seconds.
+// A ring buffer of one-second slots counts requests and the retries, hedges and
+// continuations taken; a slot is cleared when the ring comes back to it. One more is
+// allowed if taken + 1 <= reserve + share x requests over the window. Summing ten
+// slots costs less than running totals that stay correct across skipped seconds.
 #include "carawaylatch/relay/retrybudget.h"
 
 namespace carawaylatch::relay
@@ -39,12 +39,12 @@
     return slot;
 }
 
-void RetryBudget::noteRequest(base::TimePoint now)
+void RetryBudget::countRequest(base::TimePoint now)
 {
     ++slotAt(now).requests;
 }
 
-void RetryBudget::charge(base::TimePoint now)
+void RetryBudget::countContinuation(base::TimePoint now)
 {
     ++slotAt(now).taken;
 }
@@ -87,16 +87,16 @@
     return m_budgets.try_emplace(isFull ? base::PoolName{} : pool, m_options).first->second;
 }
 
-void RetryBudgets::noteRequest(const base::PoolName &pool, base::TimePoint now)
+void RetryBudgets::countRequest(const base::PoolName &pool, base::TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    budgetOf(pool).noteRequest(now);
+    budgetOf(pool).countRequest(now);
 }
 
-void RetryBudgets::charge(const base::PoolName &pool, base::TimePoint now)
+void RetryBudgets::countContinuation(const base::PoolName &pool, base::TimePoint now)
 {
     const std::lock_guard lock(m_mutex);
-    budgetOf(pool).charge(now);
+    budgetOf(pool).countContinuation(now);
 }
 
 bool RetryBudgets::tryTake(const base::PoolName &pool, base::TimePoint now)
