--- a/bench/admissionbench.cpp
+++ b/bench/admissionbench.cpp
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/relay/streamassembler.h"
 
 namespace carawaylatch::bench
@@ -47,30 +47,31 @@
     return {.router = base::RouterId(router), .incarnation = {1}, .fleetSize = 4, .slot = 0};
 }
 
-std::unique_ptr<admission::Gate> makeGate(std::int64_t customers)
+std::unique_ptr<admission::AdmissionController> makeAdmissionController(std::int64_t customers)
 {
-    admission::GateOptions options;
+    admission::AdmissionOptions options;
     options.limits = limits("a");
-    auto gate = std::make_unique<admission::Gate>(options, Clock);
-    gate->configure(tables(customers), Clock.now());
-    return gate;
+    auto admissionController = std::make_unique<admission::AdmissionController>(options, Clock);
+    admissionController->configure(tables(customers), Clock.now());
+    return admissionController;
 }
 
-void enterLeave(benchmark::State &state)
+void admitRelease(benchmark::State &state)
 {
-    static std::unique_ptr<admission::Gate> gate;
+    static std::unique_ptr<admission::AdmissionController> admissionController;
     if (state.thread_index() == 0) {
-        gate = makeGate(state.range(0));
+        admissionController = makeAdmissionController(state.range(0));
     }
     std::int64_t n = state.thread_index();
     for (auto _ : state) {
         const auto now = Clock.now();
-        auto ticket = gate->enter({.customer = customerName(n++ % state.range(0)), .tokens = 1000, .deadline = now + base::seconds{10}, .callerGone = {}}, now);
+        auto ticket = admissionController->admit(
+            {.customer = customerName(n++ % state.range(0)), .tokens = 1000, .deadline = now + base::seconds{10}, .callerGone = {}}, now);
         benchmark::DoNotOptimize(ticket);
     }
 }
-BENCHMARK(enterLeave)->Name("EnterLeave")->RangeMultiplier(3)->Range(CustomersToday, CustomersDesigned);
-BENCHMARK(enterLeave)->Name("EnterLeaveThreads")->Arg(CustomersToday)->Arg(CustomersDesigned)->Threads(8)->UseRealTime();
+BENCHMARK(admitRelease)->Name("EnterLeave")->RangeMultiplier(3)->Range(CustomersToday, CustomersDesigned);
+BENCHMARK(admitRelease)->Name("EnterLeaveThreads")->Arg(CustomersToday)->Arg(CustomersDesigned)->Threads(8)->UseRealTime();
 
 void queuePushPop(benchmark::State &state)
 {
@@ -113,7 +114,7 @@
     lender.configure(all.customers, Start);
     borrower.configure(all.customers, Start);
     for (const config::Customer &it : all.customers) {
-        borrower.noteWaiting(it.id, 300);
+        borrower.setWaiting(it.id, 300);
     }
     std::size_t bytes = 0;
     for (auto _ : state) {
--- a/bench/decisionbench.cpp
+++ b/bench/decisionbench.cpp
@@ -153,11 +153,11 @@
     }
 }
 
-void blockChain(benchmark::State &state)
+void blockHashChain(benchmark::State &state)
 {
     const std::string prompt(ChainBlocks * 4000, 'x');
     for (auto _ : state) {
-        benchmark::DoNotOptimize(prefix::blockChain(prompt, {7}, 4000));
+        benchmark::DoNotOptimize(prefix::blockHashChain(prompt, {7}, 4000));
     }
     state.SetBytesProcessed(static_cast<std::int64_t>(state.iterations() * prompt.size()));
 }
@@ -231,7 +231,7 @@
 BENCHMARK(placement)->Apply(shapes);
 BENCHMARK(indexUpdate)->Apply(shapes);
 BENCHMARK(heatUpdate);
-BENCHMARK(blockChain);
+BENCHMARK(blockHashChain);
 BENCHMARK(viewBuild)->Arg(9)->Arg(100)->Arg(1000)->Arg(10'000);
 BENCHMARK(nodeBasedMap)->Arg(1'000'000);
 
--- a/bench/policybench/router.cpp
+++ b/bench/policybench/router.cpp
@@ -89,7 +89,7 @@
         m_state->strategy = std::make_unique<OracleStrategy>(m_fleet.engines, reachesDomain, goal);
         return;
     }
-    const routing::RoutingKnowledge knowledge{&m_state->caches, &m_state->heat, &m_state->inflight, &m_routers};
+    const routing::SharedRoutingState knowledge{&m_state->caches, &m_state->heat, &m_state->inflight, &m_routers};
     m_state->strategy = std::move(routing::makeStrategy(m_strategyName, knowledge, m_seed).value());
 }
 
--- a/carawaylatch/admission/gate.cpp
+++ b/carawaylatch/admission/admissioncontroller.cpp
@@ -4,7 +4,7 @@
 // and every event that may free a place (a ticket given back, a new share, a new
 // capacity, new tables) pumps the queue: entries leave in fair order while there
 // is capacity and their customer may start. The waiting threads sleep on their own
-// condition variable; each wakes at least every sweepInterval, and the first to do
+// condition variable; each wakes at least every recheckInterval, and the first to do
 // so sweeps: it refuses entries whose expected wait no longer fits.
 //
 // The expected wait of an entry: what its customer has ahead of it, stretched by
@@ -13,7 +13,7 @@
 // A customer that is held by its own limit waits for its own requests, so its own
 // drain rate counts too. While a rate is unknown (nothing left yet) an entry is
 // given half its time.
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 
 #include <algorithm>
 #include <condition_variable>
@@ -61,12 +61,12 @@
     std::optional<Refused> refused;
 };
 
-struct FiguresKey
+struct StatsKey
 {
     base::CustomerId customer;
     base::TrafficClass trafficClass;
 
-    auto operator<=>(const FiguresKey &) const = default;
+    auto operator<=>(const StatsKey &) const = default;
 };
 
 Refused stoppingRefusal()
@@ -76,22 +76,22 @@
 
 } // namespace
 
-class Gate::Impl
+class AdmissionController::Impl
 {
 public:
-    Impl(const GateOptions &gateOptions, const base::Clock &gateClock)
-        : options(gateOptions)
-        , clock(gateClock)
-        , limiter(gateOptions.limits, gateClock.now())
-        , queue(gateOptions.queue)
-        , overload(gateOptions.overload)
-        , capacity(gateOptions.capacity)
+    Impl(const AdmissionOptions &admissionOptions, const base::Clock &admissionClock)
+        : options(admissionOptions)
+        , clock(admissionClock)
+        , limiter(admissionOptions.limits, admissionClock.now())
+        , queue(admissionOptions.queue)
+        , overload(admissionOptions.overload)
+        , capacity(admissionOptions.capacity)
     {
     }
 
-    AdmissionFigures &figuresOf(const AdmissionRequest &request)
+    AdmissionStats &statsOf(const AdmissionRequest &request)
     {
-        AdmissionFigures &entry = figures[{request.customer, request.trafficClass}];
+        AdmissionStats &entry = stats[{request.customer, request.trafficClass}];
         entry.customer = request.customer;
         entry.trafficClass = request.trafficClass;
         return entry;
@@ -108,7 +108,7 @@
     }
 
     // Admits from the queue while there is room.
-    void pump(base::TimePoint now)
+    void admitQueued(base::TimePoint now)
     {
         while (inFlight < capacity) {
             const auto entry = queue.pop(now, [&](const base::CustomerId &customer) {
@@ -118,7 +118,7 @@
                 return;
             }
             ++inFlight;
-            limiter.noteWaiting(entry->customer, static_cast<std::uint32_t>(queue.depth(entry->customer)));
+            limiter.setWaiting(entry->customer, static_cast<std::uint32_t>(queue.depth(entry->customer)));
             Waiter *waiter = waiters.at(entry->id);
             waiter->isAdmitted = true;
             waiter->changed.notify_one();
@@ -126,40 +126,40 @@
     }
 
     // Says whether a customer waits for its own requests to end, and not for others.
-    bool isHeldByLimit(const base::CustomerId &customer, base::TimePoint now) const
+    bool isAtOwnLimit(const base::CustomerId &customer, base::TimePoint now) const
     {
         return !limiter.mayStart(customer, now);
     }
 
     // Returns the wait behind so many tokens of the customer, nothing if unknown.
-    std::optional<base::Duration> waitOf(const base::CustomerId &customer, std::uint64_t ownTokensAhead, base::TimePoint now) const
+    std::optional<base::Duration> expectedWaitOf(const base::CustomerId &customer, std::uint64_t ownTokensAhead, base::TimePoint now) const
     {
-        const double stretch = queue.waitingWeight() / queue.weight(customer);
-        const double ahead = std::min(static_cast<double>(ownTokensAhead) * std::max(1.0, stretch), static_cast<double>(queue.queuedTokens()));
+        const double weightRatio = queue.queuedWeight() / queue.weight(customer);
+        const double ahead = std::min(static_cast<double>(ownTokensAhead) * std::max(1.0, weightRatio), static_cast<double>(queue.queuedTokens()));
         const auto wait = overload.expectedWait(ahead, now);
-        if (!wait || !isHeldByLimit(customer, now)) {
+        if (!wait || !isAtOwnLimit(customer, now)) {
             return wait;
         }
-        const auto drain = drains.find(customer);
-        const auto rate = drain == drains.end() ? std::nullopt : drain->second.perSecond(now);
+        const auto drain = drainRates.find(customer);
+        const auto rate = drain == drainRates.end() ? std::nullopt : drain->second.perSecond(now);
         return rate ? std::optional(std::max(*wait, OverloadPolicy::waitAt(*rate, static_cast<double>(ownTokensAhead)))) : std::nullopt;
     }
 
-    base::Duration waitOrZero(const base::CustomerId &customer, std::uint64_t ownTokensAhead, base::TimePoint now) const
+    base::Duration expectedWaitOrZero(const base::CustomerId &customer, std::uint64_t ownTokensAhead, base::TimePoint now) const
     {
-        return waitOf(customer, ownTokensAhead, now).value_or(base::Duration::zero());
+        return expectedWaitOf(customer, ownTokensAhead, now).value_or(base::Duration::zero());
     }
 
     // Refuses what will not leave the queue in time.
-    void sweep(base::TimePoint now)
+    void refuseLate(base::TimePoint now)
     {
-        nextSweep = now + options.sweepInterval;
-        std::map<FiguresKey, std::uint64_t> ahead;
+        nextRecheck = now + options.recheckInterval;
+        std::map<StatsKey, std::uint64_t> ahead;
         std::vector<std::pair<std::uint64_t, Refused>> late;
         queue.forEach([&](const QueueEntry &entry) {
             std::uint64_t &tokens = ahead[{entry.customer, entry.trafficClass}];
             tokens += entry.tokens;
-            const auto wait = waitOf(entry.customer, tokens, now);
+            const auto wait = expectedWaitOf(entry.customer, tokens, now);
             const base::TimePoint latest = wait ? entry.deadline : entry.enqueued + (entry.deadline - entry.enqueued) / 2;
             if (auto checked = overload.check(wait.value_or(base::Duration::zero()), latest, now); !checked) {
                 tokens -= entry.tokens;
@@ -199,7 +199,7 @@
         if (isStopping) {
             return stoppingRefusal();
         }
-        if (auto taken = limiter.takeRate(request.customer, now); !taken) {
+        if (auto taken = limiter.consumeRate(request.customer, now); !taken) {
             const bool isUnknown = taken.error().kind == ErrorKind::Forbidden;
             base::Error error = std::move(taken).error();
             if (!isUnknown) {
@@ -207,7 +207,7 @@
             }
             return Refused{isUnknown ? Refusal::UnknownCustomer : Refusal::RateLimit, std::move(error)};
         }
-        const base::Duration wait = request.expectedWait + waitOrZero(request.customer, queue.size() == 0 ? 0 : request.tokens, now);
+        const base::Duration wait = request.expectedWait + expectedWaitOrZero(request.customer, queue.size() == 0 ? 0 : request.tokens, now);
         if (auto checked = overload.check(wait, request.deadline, now); !checked) {
             return Refused{Refusal::Overload, std::move(checked).error()};
         }
@@ -224,35 +224,35 @@
                                .deadline = request.deadline - request.expectedWait};
         if (auto pushed = queue.push(entry); !pushed) {
             base::Error error = std::move(pushed).error();
-            error.retryAfter = overload.retryAfter(waitOrZero(request.customer, queue.queuedTokens(), now));
+            error.retryAfter = overload.retryAfter(expectedWaitOrZero(request.customer, queue.queuedTokens(), now));
             return Refused{Refusal::QueueFull, std::move(error)};
         }
-        limiter.noteWaiting(request.customer, static_cast<std::uint32_t>(queue.depth(request.customer)));
+        limiter.setWaiting(request.customer, static_cast<std::uint32_t>(queue.depth(request.customer)));
         return std::nullopt;
     }
 
     // Sleeps until the entry is admitted or refused.
-    std::optional<Refused> await(std::unique_lock<std::mutex> &lock, const AdmissionRequest &request, std::uint64_t id, Waiter &waiter)
+    std::optional<Refused> awaitDecision(std::unique_lock<std::mutex> &lock, const AdmissionRequest &request, std::uint64_t id, Waiter &waiter)
     {
         while (!waiter.isAdmitted && !waiter.refused) {
-            waiter.changed.wait_for(lock, options.sweepInterval);
+            waiter.changed.wait_for(lock, options.recheckInterval);
             const base::TimePoint now = clock.now();
             if (waiter.isAdmitted || waiter.refused) {
                 break;
             }
             if (request.callerGone && request.callerGone()) {
                 refuse(id, {Refusal::CallerGone, base::fail(ErrorKind::Cancelled, "the caller left before its request ran")});
-            } else if (now >= nextSweep) {
-                sweep(now);
-                pump(now);
+            } else if (now >= nextRecheck) {
+                refuseLate(now);
+                admitQueued(now);
             }
         }
         waiters.erase(id);
-        limiter.noteWaiting(request.customer, static_cast<std::uint32_t>(queue.depth(request.customer)));
+        limiter.setWaiting(request.customer, static_cast<std::uint32_t>(queue.depth(request.customer)));
         return std::move(waiter.refused);
     }
 
-    const GateOptions options;
+    const AdmissionOptions options;
     const base::Clock &clock;
     mutable std::mutex mutex; // guards all below
     Limiter limiter;
@@ -263,20 +263,20 @@
     bool isStopping = false;
     std::uint64_t lastId = 0;
     std::uint64_t unknownCustomers = 0;
-    base::TimePoint nextSweep;
+    base::TimePoint nextRecheck;
     std::map<std::uint64_t, Waiter *> waiters; // of every entry in the queue, and of those just decided
-    std::map<base::CustomerId, DrainRate> drains; // of customers of the tables
-    std::map<FiguresKey, AdmissionFigures> figures; // of customers of the tables
+    std::map<base::CustomerId, DrainRate> drainRates; // of customers of the tables
+    std::map<StatsKey, AdmissionStats> stats; // of customers of the tables
 };
 
-Gate::Gate(const GateOptions &options, const base::Clock &clock)
+AdmissionController::AdmissionController(const AdmissionOptions &options, const base::Clock &clock)
     : m_impl(std::make_unique<Impl>(options, clock))
 {
 }
 
-Gate::~Gate() = default;
+AdmissionController::~AdmissionController() = default;
 
-base::Result<Ticket> Gate::enter(const AdmissionRequest &request, base::TimePoint now)
+base::Result<Ticket> AdmissionController::admit(const AdmissionRequest &request, base::TimePoint now)
 {
     std::unique_lock lock(m_impl->mutex);
     auto refused = m_impl->checkArrival(request, now);
@@ -288,44 +288,44 @@
         if (!refused) {
             Waiter waiter;
             m_impl->waiters.emplace(id, &waiter);
-            m_impl->pump(now);
-            refused = m_impl->await(lock, request, id, waiter);
+            m_impl->admitQueued(now);
+            refused = m_impl->awaitDecision(lock, request, id, waiter);
         }
     }
     if (refused) {
         if (refused->refusal == Refusal::UnknownCustomer) {
             ++m_impl->unknownCustomers;
         } else {
-            ++m_impl->figuresOf(request).refused[static_cast<std::size_t>(refused->refusal)];
+            ++m_impl->statsOf(request).refused[static_cast<std::size_t>(refused->refusal)];
         }
         return std::move(refused->error);
     }
     Ticket ticket;
-    ticket.m_gate = this;
+    ticket.m_admissionController = this;
     ticket.m_customer = request.customer;
     ticket.m_tokens = request.tokens;
     ticket.m_waited = hasWaited ? m_impl->clock.now() - now : base::Duration::zero();
-    AdmissionFigures &figures = m_impl->figuresOf(request);
-    ++figures.admitted;
-    figures.queued += hasWaited ? 1 : 0;
-    figures.waited += ticket.m_waited;
+    AdmissionStats &stats = m_impl->statsOf(request);
+    ++stats.admitted;
+    stats.queued += hasWaited ? 1 : 0;
+    stats.waited += ticket.m_waited;
     return ticket;
 }
 
-void Gate::leave(const base::CustomerId &customer, std::uint64_t tokens)
+void AdmissionController::finish(const base::CustomerId &customer, std::uint64_t tokens)
 {
     const std::lock_guard lock(m_impl->mutex);
     const base::TimePoint now = m_impl->clock.now();
     --m_impl->inFlight;
     m_impl->limiter.finish(customer);
-    m_impl->overload.noteLeft(tokens, now);
-    if (const auto it = m_impl->drains.find(customer); it != m_impl->drains.end()) {
+    m_impl->overload.recordCompleted(tokens, now);
+    if (const auto it = m_impl->drainRates.find(customer); it != m_impl->drainRates.end()) {
         it->second.add(tokens, now);
     }
-    m_impl->pump(now);
+    m_impl->admitQueued(now);
 }
 
-void Gate::configure(const config::Tables &tables, base::TimePoint now)
+void AdmissionController::configure(const config::Tables &tables, base::TimePoint now)
 {
     const std::lock_guard lock(m_impl->mutex);
     for (const config::Route &it : tables.routes) {
@@ -335,12 +335,12 @@
     std::map<base::CustomerId, double> weights;
     for (const config::Customer &it : tables.customers) {
         weights.emplace(it.id, it.weight);
-        m_impl->drains.try_emplace(it.id);
+        m_impl->drainRates.try_emplace(it.id);
     }
-    std::erase_if(m_impl->figures, [&](const auto &it) {
+    std::erase_if(m_impl->stats, [&](const auto &it) {
         return !weights.contains(it.first.customer);
     });
-    std::erase_if(m_impl->drains, [&](const auto &it) {
+    std::erase_if(m_impl->drainRates, [&](const auto &it) {
         return !weights.contains(it.first);
     });
     m_impl->refuseAll([&](const QueueEntry &entry) -> std::optional<Refused> {
@@ -351,17 +351,17 @@
                        base::fail(ErrorKind::Forbidden, "the customer was taken out of the tables; add it with carawaylatchctl apply")};
     });
     m_impl->queue.setWeights(std::move(weights));
-    m_impl->pump(now);
+    m_impl->admitQueued(now);
 }
 
-void Gate::setCapacity(std::uint32_t capacity)
+void AdmissionController::setCapacity(std::uint32_t capacity)
 {
     const std::lock_guard lock(m_impl->mutex);
     m_impl->capacity = capacity;
-    m_impl->pump(m_impl->clock.now());
+    m_impl->admitQueued(m_impl->clock.now());
 }
 
-void Gate::stop()
+void AdmissionController::stop()
 {
     const std::lock_guard lock(m_impl->mutex);
     m_impl->isStopping = true;
@@ -370,74 +370,74 @@
     });
 }
 
-DemandReport Gate::report(const base::RouterId &to, base::TimePoint now)
+DemandReport AdmissionController::report(const base::RouterId &to, base::TimePoint now)
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->limiter.report(to, now);
 }
 
-ShareTable Gate::answer(const DemandReport &report, base::TimePoint now)
+ShareTable AdmissionController::answer(const DemandReport &report, base::TimePoint now)
 {
     const std::lock_guard lock(m_impl->mutex);
     ShareTable table = m_impl->limiter.answer(report, now);
-    m_impl->pump(now);
+    m_impl->admitQueued(now);
     return table;
 }
 
-void Gate::apply(const ShareTable &table, base::TimePoint now)
+void AdmissionController::apply(const ShareTable &table, base::TimePoint now)
 {
     const std::lock_guard lock(m_impl->mutex);
     m_impl->limiter.apply(table, now);
-    m_impl->pump(now);
+    m_impl->admitQueued(now);
 }
 
-std::vector<AdmissionFigures> Gate::figures() const
+std::vector<AdmissionStats> AdmissionController::stats() const
 {
     const std::lock_guard lock(m_impl->mutex);
-    std::map<FiguresKey, std::uint32_t> waiting;
+    std::map<StatsKey, std::uint32_t> waiting;
     m_impl->queue.forEach([&](const QueueEntry &entry) {
         ++waiting[{entry.customer, entry.trafficClass}];
     });
-    std::vector<AdmissionFigures> all;
-    for (const auto &[key, figures] : m_impl->figures) {
-        all.push_back(figures);
+    std::vector<AdmissionStats> all;
+    for (const auto &[key, stats] : m_impl->stats) {
+        all.push_back(stats);
         all.back().waiting = waiting[key];
     }
     return all;
 }
 
-std::uint64_t Gate::unknownCustomers() const
+std::uint64_t AdmissionController::unknownCustomers() const
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->unknownCustomers;
 }
 
-std::uint32_t Gate::inFlight() const
+std::uint32_t AdmissionController::inFlight() const
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->inFlight;
 }
 
-std::uint32_t Gate::inFlight(const base::CustomerId &customer) const
+std::uint32_t AdmissionController::inFlight(const base::CustomerId &customer) const
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->limiter.inFlight(customer);
 }
 
-std::uint32_t Gate::waiting() const
+std::uint32_t AdmissionController::waiting() const
 {
     const std::lock_guard lock(m_impl->mutex);
     return static_cast<std::uint32_t>(m_impl->queue.size());
 }
 
-std::uint32_t Gate::share(const base::CustomerId &customer, Resource resource, base::TimePoint now) const
+std::uint32_t AdmissionController::share(const base::CustomerId &customer, Resource resource, base::TimePoint now) const
 {
     const std::lock_guard lock(m_impl->mutex);
     return m_impl->limiter.share(customer, resource, now);
 }
 
 Ticket::Ticket(Ticket &&other) noexcept
-    : m_gate(std::exchange(other.m_gate, nullptr))
+    : m_admissionController(std::exchange(other.m_admissionController, nullptr))
     , m_customer(std::move(other.m_customer))
     , m_tokens(other.m_tokens)
     , m_waited(other.m_waited)
@@ -448,7 +448,7 @@
 {
     if (this != &other) {
         release();
-        m_gate = std::exchange(other.m_gate, nullptr);
+        m_admissionController = std::exchange(other.m_admissionController, nullptr);
         m_customer = std::move(other.m_customer);
         m_tokens = other.m_tokens;
         m_waited = other.m_waited;
@@ -468,8 +468,8 @@
 
 void Ticket::release()
 {
-    if (Gate *gate = std::exchange(m_gate, nullptr)) {
-        gate->leave(m_customer, m_tokens);
+    if (AdmissionController *admissionController = std::exchange(m_admissionController, nullptr)) {
+        admissionController->finish(m_customer, m_tokens);
     }
 }
 
--- a/carawaylatch/admission/gate.h
+++ b/carawaylatch/admission/admissioncontroller.h
@@ -50,17 +50,17 @@
     std::function<bool()> callerGone;
 };
 
-struct GateOptions
+struct AdmissionOptions
 {
     LimiterOptions limits{};
     FairQueueOptions queue{};
     OverloadOptions overload{};
     std::uint32_t capacity = 256; // requests in flight on this router
-    base::Duration sweepInterval = base::milliseconds{20}; // between two looks at waiting requests
+    base::Duration recheckInterval = base::milliseconds{20}; // between two looks at waiting requests
 };
 
 // Figures of one customer and class.
-struct AdmissionFigures
+struct AdmissionStats
 {
     base::CustomerId customer;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
@@ -71,7 +71,7 @@
     std::uint32_t waiting = 0; // now
 };
 
-class Gate;
+class AdmissionController;
 
 // A place in flight; given back when it is destroyed. Must not outlive the gate.
 class Ticket
@@ -89,26 +89,26 @@
     void release();
 
 private:
-    friend class Gate;
-    Gate *m_gate = nullptr;
+    friend class AdmissionController;
+    AdmissionController *m_admissionController = nullptr;
     base::CustomerId m_customer;
     std::uint64_t m_tokens = 0;
     base::Duration m_waited{};
 };
 
 // Safe for use from any thread.
-class Gate
+class AdmissionController
 {
 public:
-    Gate(const GateOptions &options, const base::Clock &clock);
-    ~Gate();
-    Gate(const Gate &) = delete;
-    Gate &operator=(const Gate &) = delete;
+    AdmissionController(const AdmissionOptions &options, const base::Clock &clock);
+    ~AdmissionController();
+    AdmissionController(const AdmissionController &) = delete;
+    AdmissionController &operator=(const AdmissionController &) = delete;
 
     // Waits for a place or refuses. Errors: Forbidden (unknown customer),
     // LimitExceeded (rate), Overloaded (queue full or too slow), Cancelled
     // (caller left), Unavailable (stopping); nothing ran in any of these.
-    [[nodiscard]] base::Result<Ticket> enter(const AdmissionRequest &request, base::TimePoint now);
+    [[nodiscard]] base::Result<Ticket> admit(const AdmissionRequest &request, base::TimePoint now);
 
     // Swaps limits and weights; tickets and waiting requests are kept.
     void configure(const config::Tables &tables, base::TimePoint now);
@@ -123,7 +123,7 @@
     void apply(const ShareTable &table, base::TimePoint now);
 
     // Returns figures of the tables' customers that sent requests.
-    [[nodiscard]] std::vector<AdmissionFigures> figures() const;
+    [[nodiscard]] std::vector<AdmissionStats> stats() const;
     // Returns how many requests were refused for an unknown customer.
     [[nodiscard]] std::uint64_t unknownCustomers() const;
     [[nodiscard]] std::uint32_t inFlight() const;
@@ -133,7 +133,7 @@
 
 private:
     friend class Ticket;
-    void leave(const base::CustomerId &customer, std::uint64_t tokens);
+    void finish(const base::CustomerId &customer, std::uint64_t tokens);
 
     class Impl;
     std::unique_ptr<Impl> m_impl;
--- a/carawaylatch/admission/fairqueue.cpp
+++ b/carawaylatch/admission/fairqueue.cpp
@@ -27,10 +27,10 @@
     base::CustomerId customer;
     std::deque<QueueEntry> entries; // never empty while in a ring
     double deficit = 0;
-    bool isVisited = false; // the current visit has added its quantum
+    bool hasQuantum = false; // the current visit has added its quantum
 };
 
-struct Place
+struct EntryLocation
 {
     base::CustomerId customer;
     base::TrafficClass trafficClass;
@@ -42,7 +42,7 @@
 {
 public:
     std::vector<CustomerQueue> queues; // in order of visits
-    std::size_t at = 0; // the customer that is visited now
+    std::size_t current = 0; // the customer that is visited now
 
     CustomerQueue *find(const base::CustomerId &customer)
     {
@@ -63,13 +63,13 @@
     void eraseAt(std::size_t i)
     {
         queues.erase(queues.begin() + static_cast<std::ptrdiff_t>(i));
-        at = at > i ? at - 1 : at;
-        at = at >= queues.size() ? 0 : at;
+        current = current > i ? current - 1 : current;
+        current = current >= queues.size() ? 0 : current;
     }
-    void moveOn()
+    void advance()
     {
-        queues[at].isVisited = false;
-        at = (at + 1) % queues.size();
+        queues[current].hasQuantum = false;
+        current = (current + 1) % queues.size();
     }
     [[nodiscard]] std::optional<base::TimePoint> oldest(const Eligible &eligible) const
     {
@@ -132,33 +132,33 @@
         skipRounds(ring, isEligible);
         // After skipRounds two passes cover the first head.
         for (std::size_t steps = 0; steps <= 2 * ring.queues.size(); ++steps) {
-            CustomerQueue &queue = ring.queues[ring.at];
-            if (isEligible[ring.at] == 0) {
-                ring.moveOn();
+            CustomerQueue &queue = ring.queues[ring.current];
+            if (isEligible[ring.current] == 0) {
+                ring.advance();
                 continue;
             }
-            if (!queue.isVisited) {
-                queue.isVisited = true;
+            if (!queue.hasQuantum) {
+                queue.hasQuantum = true;
                 queue.deficit += quantumOf(queue.customer);
             }
             const QueueEntry entry = queue.entries.front();
             if (queue.deficit < static_cast<double>(entry.tokens)) {
-                ring.moveOn();
+                ring.advance();
                 continue;
             }
             queue.deficit -= static_cast<double>(entry.tokens);
             queue.entries.pop_front();
             if (queue.entries.empty()) {
-                ring.eraseAt(ring.at);
+                ring.eraseAt(ring.current);
             }
             return entry;
         }
         return std::nullopt;
     }
 
-    void forget(const QueueEntry &entry)
+    void removeFromTotals(const QueueEntry &entry)
     {
-        places.erase(entry.id);
+        locations.erase(entry.id);
         tokens -= entry.tokens;
         const auto it = depths.find(entry.customer);
         if (--it->second == 0) {
@@ -170,9 +170,9 @@
     std::array<Ring, 2> rings; // interactive, batch
     std::map<base::CustomerId, double> weights; // of configured customers
     std::map<base::CustomerId, std::size_t> depths; // above zero
-    std::unordered_map<std::uint64_t, Place> places; // of all entries
+    std::unordered_map<std::uint64_t, EntryLocation> locations; // of all entries
     std::uint64_t tokens = 0;
-    bool isLastAged = false; // the last pop was an aged batch entry
+    bool wasAgedBatchLast = false; // the last pop was an aged batch entry
 };
 
 FairQueue::FairQueue(const FairQueueOptions &options)
@@ -194,13 +194,13 @@
 
 base::Result<void> FairQueue::push(const QueueEntry &entry)
 {
-    if (depth(entry.customer) >= m_impl->options.maxEntriesOfCustomer) {
+    if (depth(entry.customer) >= m_impl->options.maxEntriesPerCustomer) {
         return base::fail(base::ErrorKind::LimitExceeded, "too many requests of the customer wait; send more slowly or raise its concurrency");
     }
     if (size() >= m_impl->options.maxEntries) {
         return base::fail(base::ErrorKind::Overloaded, "the router's queue is full; try again later or add capacity");
     }
-    if (!m_impl->places.try_emplace(entry.id, Place{entry.customer, entry.trafficClass}).second) {
+    if (!m_impl->locations.try_emplace(entry.id, EntryLocation{entry.customer, entry.trafficClass}).second) {
         return base::fail(base::ErrorKind::InvalidArgument, "the entry's id is in the queue already; use a new one");
     }
     QueueEntry copy = entry;
@@ -216,30 +216,30 @@
     Ring &interactive = m_impl->ringOf(base::TrafficClass::Interactive);
     Ring &batch = m_impl->ringOf(base::TrafficClass::Batch);
     const auto oldest = batch.queues.empty() ? std::nullopt : batch.oldest(eligible);
-    const bool isBatchDue = oldest && now - *oldest >= m_impl->options.batchAge && !m_impl->isLastAged;
+    const bool isBatchDue = oldest && now - *oldest >= m_impl->options.batchAgingTime && !m_impl->wasAgedBatchLast;
     auto entry = m_impl->popFrom(isBatchDue ? batch : interactive, eligible);
-    m_impl->isLastAged = isBatchDue && entry;
+    m_impl->wasAgedBatchLast = isBatchDue && entry;
     if (!entry) {
         entry = m_impl->popFrom(isBatchDue ? interactive : batch, eligible);
     }
     if (entry) {
-        m_impl->forget(*entry);
+        m_impl->removeFromTotals(*entry);
     }
     return entry;
 }
 
 bool FairQueue::remove(std::uint64_t id)
 {
-    const auto place = m_impl->places.find(id);
-    if (place == m_impl->places.end()) {
+    const auto location = m_impl->locations.find(id);
+    if (location == m_impl->locations.end()) {
         return false;
     }
-    Ring &ring = m_impl->ringOf(place->second.trafficClass);
-    CustomerQueue *queue = ring.find(place->second.customer);
+    Ring &ring = m_impl->ringOf(location->second.trafficClass);
+    CustomerQueue *queue = ring.find(location->second.customer);
     const auto it = std::find_if(queue->entries.begin(), queue->entries.end(), [id](const QueueEntry &entry) {
         return entry.id == id;
     });
-    m_impl->forget(*it);
+    m_impl->removeFromTotals(*it);
     queue->entries.erase(it);
     if (queue->entries.empty()) {
         ring.eraseAt(static_cast<std::size_t>(queue - ring.queues.data()));
@@ -258,7 +258,7 @@
 
 std::size_t FairQueue::size() const
 {
-    return m_impl->places.size();
+    return m_impl->locations.size();
 }
 
 std::uint64_t FairQueue::queuedTokens() const
@@ -278,7 +278,7 @@
     return it == m_impl->weights.end() ? 1.0 : it->second;
 }
 
-double FairQueue::waitingWeight() const
+double FairQueue::queuedWeight() const
 {
     double sum = 0;
     for (const auto &[customer, n] : m_impl->depths) {
--- a/carawaylatch/admission/fairqueue.h
+++ b/carawaylatch/admission/fairqueue.h
@@ -36,9 +36,9 @@
 struct FairQueueOptions
 {
     std::uint64_t quantum = 4000; // tokens for each visit and weight 1
-    base::Duration batchAge = base::seconds{5};
+    base::Duration batchAgingTime = base::seconds{5};
     std::size_t maxEntries = 10'000;
-    std::size_t maxEntriesOfCustomer = 2'000;
+    std::size_t maxEntriesPerCustomer = 2'000;
 };
 
 class FairQueue
@@ -66,7 +66,7 @@
     [[nodiscard]] std::size_t depth(const base::CustomerId &customer) const;
     [[nodiscard]] double weight(const base::CustomerId &customer) const;
     // Returns the sum of weights of customers that have an entry.
-    [[nodiscard]] double waitingWeight() const;
+    [[nodiscard]] double queuedWeight() const;
 
 private:
     class Ring;
--- a/carawaylatch/admission/limiter.cpp
+++ b/carawaylatch/admission/limiter.cpp
@@ -24,20 +24,20 @@
 namespace
 {
 
-constexpr double Headroom = 1.25;
+constexpr double DemandHeadroom = 1.25;
 constexpr double ArrivalHalfLifeSeconds = 2;
-constexpr double ForgetBelow = 0.01; // arrivals per second that count as none
+constexpr double MinArrivalsPerSecond = 0.01; // arrivals per second that count as none
 
-std::uint32_t ownPart(std::uint64_t limit, const base::CustomerId &customer, const LimiterOptions &options)
+std::uint32_t ownQuota(std::uint64_t limit, const base::CustomerId &customer, const LimiterOptions &options)
 {
     const std::uint64_t fleet = std::max(1U, options.fleetSize);
-    const std::uint64_t evenPart = limit / fleet;
+    const std::uint64_t evenQuota = limit / fleet;
     if (!options.slot) {
-        return static_cast<std::uint32_t>(std::max<std::uint64_t>(1, evenPart));
+        return static_cast<std::uint32_t>(std::max<std::uint64_t>(1, evenQuota));
     }
     const std::uint64_t first = base::hash64(customer.value()) % fleet;
     const std::uint64_t place = (*options.slot + fleet - first) % fleet;
-    return static_cast<std::uint32_t>(evenPart + (place < limit % fleet ? 1 : 0));
+    return static_cast<std::uint32_t>(evenQuota + (place < limit % fleet ? 1 : 0));
 }
 
 // Arrivals per second, averaged with a half-life.
@@ -93,23 +93,23 @@
     void setLimit(const ShareKey &key, std::uint64_t units)
     {
         if (units == 0) {
-            ledger.forget(key);
+            ledger.removeLimit(key);
         } else {
-            ledger.setOwnPart(key, ownPart(units, key.customer, options));
+            ledger.setOwnQuota(key, ownQuota(units, key.customer, options));
         }
     }
 
-    void noteConcurrency(const CustomerState &state)
+    void updateConcurrencyDemand(const CustomerState &state)
     {
-        const double wanted = std::ceil((state.inFlight + state.waiting) * Headroom);
-        ledger.noteUse({state.limits.id, Resource::Concurrency}, state.inFlight, static_cast<std::uint32_t>(wanted));
+        const double wanted = std::ceil((state.inFlight + state.waiting) * DemandHeadroom);
+        ledger.setUsage({state.limits.id, Resource::Concurrency}, state.inFlight, static_cast<std::uint32_t>(wanted));
     }
 
-    void noteRate(const CustomerState &state, base::TimePoint now)
+    void updateRateDemand(const CustomerState &state, base::TimePoint now)
     {
         const double perSecond = state.arrivals.perSecond(now);
-        const double units = perSecond < ForgetBelow ? 0 : std::ceil(perSecond * Headroom * RateUnitsPerRequest);
-        ledger.noteUse({state.limits.id, Resource::Rate}, 0, static_cast<std::uint32_t>(units));
+        const double units = perSecond < MinArrivalsPerSecond ? 0 : std::ceil(perSecond * DemandHeadroom * RateUnitsPerRequest);
+        ledger.setUsage({state.limits.id, Resource::Rate}, 0, static_cast<std::uint32_t>(units));
     }
 
     // Brings buckets and demand to `now`; before shares change and after.
@@ -117,7 +117,7 @@
     {
         for (auto &[id, state] : customers) {
             refill(state, now);
-            noteRate(state, now);
+            updateRateDemand(state, now);
         }
     }
 
@@ -164,8 +164,8 @@
         if (next.contains(id)) {
             continue;
         }
-        m_impl->ledger.forget({id, Resource::Rate});
-        m_impl->ledger.forget({id, Resource::Concurrency});
+        m_impl->ledger.removeLimit({id, Resource::Rate});
+        m_impl->ledger.removeLimit({id, Resource::Concurrency});
         if (state.inFlight > 0) {
             state.limits.concurrency = 0;
             state.limits.requestsPerSecond = 0;
@@ -174,11 +174,11 @@
     }
     m_impl->customers = std::move(next);
     for (const auto &[id, state] : m_impl->customers) {
-        m_impl->noteConcurrency(state);
+        m_impl->updateConcurrencyDemand(state);
     }
 }
 
-base::Result<void> Limiter::takeRate(const base::CustomerId &customer, base::TimePoint now)
+base::Result<void> Limiter::consumeRate(const base::CustomerId &customer, base::TimePoint now)
 {
     const auto it = m_impl->customers.find(customer);
     if (it == m_impl->customers.end()) {
@@ -190,9 +190,9 @@
         return base::ok();
     }
     m_impl->refill(state, now);
-    if (!state.bucket.tryTake()) {
+    if (!state.bucket.tryConsume()) {
         return base::fail(base::ErrorKind::LimitExceeded, "the customer's request rate is used up; send more slowly or raise requests_per_second",
-                          state.bucket.untilNext());
+                          state.bucket.timeToNextToken());
     }
     return base::ok();
 }
@@ -214,7 +214,7 @@
     }
     CustomerState &state = m_impl->customers.at(customer);
     ++state.inFlight;
-    m_impl->noteConcurrency(state);
+    m_impl->updateConcurrencyDemand(state);
     return true;
 }
 
@@ -223,16 +223,16 @@
     const auto it = m_impl->customers.find(customer);
     if (it != m_impl->customers.end() && it->second.inFlight > 0) {
         --it->second.inFlight;
-        m_impl->noteConcurrency(it->second);
+        m_impl->updateConcurrencyDemand(it->second);
     }
 }
 
-void Limiter::noteWaiting(const base::CustomerId &customer, std::uint32_t waiting)
+void Limiter::setWaiting(const base::CustomerId &customer, std::uint32_t waiting)
 {
     const auto it = m_impl->customers.find(customer);
     if (it != m_impl->customers.end()) {
         it->second.waiting = waiting;
-        m_impl->noteConcurrency(it->second);
+        m_impl->updateConcurrencyDemand(it->second);
     }
 }
 
@@ -257,13 +257,13 @@
     m_impl->refresh(now);
 }
 
-bool Limiter::wantsMore(base::TimePoint now) const
+bool Limiter::hasUnmetDemand(base::TimePoint now) const
 {
-    const auto lacks = [&](const base::CustomerId &id) {
-        return m_impl->ledger.missing({id, Resource::Concurrency}, now) > 0 || m_impl->ledger.missing({id, Resource::Rate}, now) > 0;
+    const auto hasShortfall = [&](const base::CustomerId &id) {
+        return m_impl->ledger.shortfall({id, Resource::Concurrency}, now) > 0 || m_impl->ledger.shortfall({id, Resource::Rate}, now) > 0;
     };
     return std::any_of(m_impl->customers.begin(), m_impl->customers.end(), [&](const auto &it) {
-        return lacks(it.first);
+        return hasShortfall(it.first);
     });
 }
 
@@ -280,8 +280,8 @@
 
 std::size_t Limiter::memoryBytes() const
 {
-    constexpr std::size_t NodeBytes = 48; // of a map, beside the value
-    return m_impl->ledger.memoryBytes() + m_impl->customers.size() * (sizeof(CustomerState) + sizeof(base::CustomerId) + NodeBytes);
+    constexpr std::size_t MapNodeBytes = 48; // of a map, beside the value
+    return m_impl->ledger.memoryBytes() + m_impl->customers.size() * (sizeof(CustomerState) + sizeof(base::CustomerId) + MapNodeBytes);
 }
 
 } // namespace carawaylatch::admission
--- a/carawaylatch/admission/limiter.h
+++ b/carawaylatch/admission/limiter.h
@@ -51,14 +51,14 @@
     void configure(std::span<const config::Customer> customers, base::TimePoint now);
 
     // Takes one request out of the customer's rate, or says when to come back.
-    [[nodiscard]] base::Result<void> takeRate(const base::CustomerId &customer, base::TimePoint now);
+    [[nodiscard]] base::Result<void> consumeRate(const base::CustomerId &customer, base::TimePoint now);
     // Says whether tryStart() would succeed now.
     [[nodiscard]] bool mayStart(const base::CustomerId &customer, base::TimePoint now) const;
     // Counts a request in flight; false if the router's part is used up now.
     [[nodiscard]] bool tryStart(const base::CustomerId &customer, base::TimePoint now);
     void finish(const base::CustomerId &customer);
     // Tells how many requests of the customer wait for tryStart().
-    void noteWaiting(const base::CustomerId &customer, std::uint32_t waiting);
+    void setWaiting(const base::CustomerId &customer, std::uint32_t waiting);
 
     // Exchange with peers: send report(peer) to a peer, give what comes to
     // answer(), send that back, give it to apply().
@@ -66,7 +66,7 @@
     [[nodiscard]] ShareTable answer(const DemandReport &report, base::TimePoint now);
     void apply(const ShareTable &table, base::TimePoint now);
     // Returns true if a customer lacks units that a peer may lend.
-    [[nodiscard]] bool wantsMore(base::TimePoint now) const;
+    [[nodiscard]] bool hasUnmetDemand(base::TimePoint now) const;
 
     // Units usable now: own part less what is lent, plus what is borrowed.
     [[nodiscard]] std::uint32_t share(const base::CustomerId &customer, Resource resource, base::TimePoint now) const;
--- a/carawaylatch/admission/overload.cpp
+++ b/carawaylatch/admission/overload.cpp
@@ -13,8 +13,8 @@
 
 namespace
 {
-constexpr double ShortestSpanSeconds = 0.1; // below this a rate would be noise
-constexpr double LongestWaitSeconds = 3600;
+constexpr double MinObservedSeconds = 0.1; // below this a rate would be noise
+constexpr double MaxWaitSeconds = 3600;
 } // namespace
 
 DrainRate::DrainRate(base::Duration halfLife)
@@ -40,7 +40,7 @@
     const double halfLife = base::toSeconds(m_halfLife);
     const double sum = m_sum * std::exp2(-base::toSeconds(now - m_last) / halfLife);
     // The decayed length of the time that was observed.
-    const double span = std::max(ShortestSpanSeconds, base::toSeconds(now - *m_first));
+    const double span = std::max(MinObservedSeconds, base::toSeconds(now - *m_first));
     return sum / ((1 - std::exp2(-span / halfLife)) * halfLife / std::log(2.0));
 }
 
@@ -58,7 +58,7 @@
 
 base::Duration OverloadPolicy::waitAt(double tokensPerSecond, double tokens)
 {
-    return base::fromSeconds(tokensPerSecond > 0 ? std::min(LongestWaitSeconds, tokens / tokensPerSecond) : LongestWaitSeconds);
+    return base::fromSeconds(tokensPerSecond > 0 ? std::min(MaxWaitSeconds, tokens / tokensPerSecond) : MaxWaitSeconds);
 }
 
 base::Result<void> OverloadPolicy::check(base::Duration expectedWait, base::TimePoint deadline, base::TimePoint now)
@@ -75,7 +75,7 @@
     return base::fromSeconds(bounded * (1 + m_options.jitter * m_random.unit()));
 }
 
-void OverloadPolicy::noteLeft(std::uint64_t tokens, base::TimePoint now)
+void OverloadPolicy::recordCompleted(std::uint64_t tokens, base::TimePoint now)
 {
     m_drain.add(tokens, now);
 }
--- a/carawaylatch/admission/overload.h
+++ b/carawaylatch/admission/overload.h
@@ -53,7 +53,7 @@
     [[nodiscard]] base::Result<void> check(base::Duration expectedWait, base::TimePoint deadline, base::TimePoint now);
     // Returns when to come back, given the wait that caused the refusal.
     [[nodiscard]] base::Duration retryAfter(base::Duration expectedWait);
-    void noteLeft(std::uint64_t tokens, base::TimePoint now);
+    void recordCompleted(std::uint64_t tokens, base::TimePoint now);
 
 private:
     OverloadOptions m_options;
--- a/carawaylatch/admission/shareledger.cpp
+++ b/carawaylatch/admission/shareledger.cpp
@@ -26,8 +26,8 @@
 namespace
 {
 
-constexpr std::uint32_t KeptShare = 4; // a fourth of the own part is never lent
-constexpr int DriftShare = 50; // clocks may differ in rate by one part in this
+constexpr std::uint32_t ReservedDivisor = 4; // a fourth of the own part is never lent
+constexpr int ClockDriftDivisor = 50; // clocks may differ in rate by one part in this
 
 std::uint32_t saturatingSubtract(std::uint64_t from, std::uint64_t n)
 {
@@ -47,28 +47,28 @@
     m_options.longestRequest = std::max(m_options.longestRequest, longest);
 }
 
-void ShareLedger::setOwnPart(const ShareKey &key, std::uint32_t units)
+void ShareLedger::setOwnQuota(const ShareKey &key, std::uint32_t units)
 {
-    Book &book = m_books[key];
-    book.kind = BookKind::Configured;
-    book.own = units;
+    LimitState &limit = m_limits[key];
+    limit.kind = LimitKind::Configured;
+    limit.own = units;
 }
 
-void ShareLedger::forget(const ShareKey &key)
+void ShareLedger::removeLimit(const ShareKey &key)
 {
-    const auto it = m_books.find(key);
-    if (it != m_books.end()) {
-        it->second.kind = BookKind::Unknown;
+    const auto it = m_limits.find(key);
+    if (it != m_limits.end()) {
+        it->second.kind = LimitKind::Unknown;
         it->second.own = 0;
         it->second.used = 0;
         it->second.needed = 0;
     }
 }
 
-void ShareLedger::noteUse(const ShareKey &key, std::uint32_t used, std::uint32_t needed)
+void ShareLedger::setUsage(const ShareKey &key, std::uint32_t used, std::uint32_t needed)
 {
-    const auto it = m_books.find(key);
-    if (it != m_books.end() && it->second.kind == BookKind::Configured) {
+    const auto it = m_limits.find(key);
+    if (it != m_limits.end() && it->second.kind == LimitKind::Configured) {
         it->second.used = used;
         it->second.needed = needed;
     }
@@ -76,14 +76,14 @@
 
 std::uint32_t ShareLedger::usable(const ShareKey &key, base::TimePoint now) const
 {
-    const auto it = m_books.find(key);
-    return it == m_books.end() ? 0 : ownUsable(it->second, now) + borrowedUsable(it->second, now);
+    const auto it = m_limits.find(key);
+    return it == m_limits.end() ? 0 : ownUsable(it->second, now) + borrowedUsable(it->second, now);
 }
 
-std::uint32_t ShareLedger::missing(const ShareKey &key, base::TimePoint now) const
+std::uint32_t ShareLedger::shortfall(const ShareKey &key, base::TimePoint now) const
 {
-    const auto it = m_books.find(key);
-    return it == m_books.end() ? 0 : missingIn(it->second, now);
+    const auto it = m_limits.find(key);
+    return it == m_limits.end() ? 0 : shortfallOf(it->second, now);
 }
 
 DemandReport ShareLedger::report(const base::RouterId &to, base::TimePoint now)
@@ -92,7 +92,7 @@
     if (m_peers.size() >= MaxPeers && !m_peers.contains(to)) {
         return report;
     }
-    dropUnknownBooks(now);
+    dropUnknownLimits(now);
     Peer &peer = m_peers[to];
     report.tableIncarnation = peer.tableIncarnation;
     report.tableSequence = peer.tableSequence;
@@ -100,25 +100,25 @@
     if (peer.sentReports.size() > MaxUnconfirmed) {
         peer.sentReports.erase(peer.sentReports.begin());
     }
-    for (auto &[key, book] : m_books) {
-        if (const auto held = heldFrom(key, book, to, now); held > 0) {
-            report.entries.push_back({key.customer, key.resource, wantedFrom(book, to, missingIn(book, now), now), held});
+    for (auto &[key, limit] : m_limits) {
+        if (const auto held = updateHeldFrom(key, limit, to, now); held > 0) {
+            report.entries.push_back({key.customer, key.resource, wantedFrom(limit, to, shortfallOf(limit, now), now), held});
         }
     }
     // What is only wanted fills the rest, starting where the last report ended.
-    auto it = m_resumeAt ? m_books.lower_bound(*m_resumeAt) : m_books.begin();
-    m_resumeAt.reset();
-    for (std::size_t i = 0; i < m_books.size(); ++i, ++it) {
-        it = it == m_books.end() ? m_books.begin() : it;
-        const auto lacking = it->second.kind == BookKind::Configured ? missingIn(it->second, now) : 0;
-        if (lacking == 0 || heldFrom(it->first, it->second, to, now) > 0) {
+    auto it = m_nextReportKey ? m_limits.lower_bound(*m_nextReportKey) : m_limits.begin();
+    m_nextReportKey.reset();
+    for (std::size_t i = 0; i < m_limits.size(); ++i, ++it) {
+        it = it == m_limits.end() ? m_limits.begin() : it;
+        const auto unmet = it->second.kind == LimitKind::Configured ? shortfallOf(it->second, now) : 0;
+        if (unmet == 0 || updateHeldFrom(it->first, it->second, to, now) > 0) {
             continue;
         }
         if (report.entries.size() >= MaxEntries) {
-            m_resumeAt = it->first;
+            m_nextReportKey = it->first;
             break;
         }
-        report.entries.push_back({it->first.customer, it->first.resource, wantedFrom(it->second, to, lacking, now), 0});
+        report.entries.push_back({it->first.customer, it->first.resource, wantedFrom(it->second, to, unmet, now), 0});
     }
     return report;
 }
@@ -140,15 +140,15 @@
     if (peer.incarnation == report.incarnation && report.sequence <= peer.lastReport) {
         return table; // late or repeated; sequence 0 is not applied
     }
-    takeReport(report, now);
+    applyReport(report, now);
     table.sequence = ++m_lastTable;
-    for (auto &[key, book] : m_books) {
-        const auto it = book.lent.find(report.from);
-        if (it == book.lent.end()) {
+    for (auto &[key, limit] : m_limits) {
+        const auto it = limit.lent.find(report.from);
+        if (it == limit.lent.end()) {
             continue;
         }
         Lent &lent = it->second;
-        const std::uint32_t amount = lent.wanted > 0 && !isRecovering(now) ? amountFor(book, report.from, now) : 0;
+        const std::uint32_t amount = lent.wanted > 0 && !isRecovering(now) ? loanFor(limit, report.from, now) : 0;
         if (amount > 0) {
             table.entries.push_back({key.customer, key.resource, amount});
             lent.unconfirmed.push_back({table.sequence, amount});
@@ -157,114 +157,114 @@
             const SentAmount all{table.sequence, committed(lent, now)};
             lent.unconfirmed.assign(1, all);
         }
-        lent.ends = now + lentTime(key.resource);
+        lent.ends = now + maxHoldTime(key.resource);
         if (lent.held == 0 && lent.unconfirmed.empty()) {
-            book.lent.erase(it);
+            limit.lent.erase(it);
         }
     }
     return table;
 }
 
-void ShareLedger::takeReport(const DemandReport &report, base::TimePoint now)
+void ShareLedger::applyReport(const DemandReport &report, base::TimePoint now)
 {
     Peer &peer = m_peers[report.from];
-    const bool isNewLife = peer.incarnation != report.incarnation;
+    const bool isNewIncarnation = peer.incarnation != report.incarnation;
     peer.incarnation = report.incarnation;
     peer.lastReport = report.sequence;
     const std::uint64_t confirmed = report.tableIncarnation == m_options.incarnation ? report.tableSequence : 0;
-    for (auto &[key, book] : m_books) {
-        const auto it = book.lent.find(report.from);
-        if (it == book.lent.end()) {
+    for (auto &[key, limit] : m_limits) {
+        const auto it = limit.lent.find(report.from);
+        if (it == limit.lent.end()) {
             continue;
         }
         Lent &lent = it->second;
         // A new life knows no table that was sent to the former one.
-        const bool isOver = isNewLife || now >= lent.ends;
+        const bool isExpired = isNewIncarnation || now >= lent.ends;
         std::erase_if(lent.unconfirmed, [&](const SentAmount &sent) {
-            return isOver || sent.sequence <= confirmed;
+            return isExpired || sent.sequence <= confirmed;
         });
         lent.held = 0;
         lent.wanted = 0;
     }
-    bool isWhole = true;
+    bool isComplete = true;
     for (const DemandEntry &it : report.entries) {
         const ShareKey key{it.customer, it.resource};
-        const bool isKnown = m_books.contains(key);
-        if (!isKnown && (it.held == 0 || m_books.size() >= MaxBooks)) {
-            isWhole = isWhole && it.held == 0;
+        const bool isKnown = m_limits.contains(key);
+        if (!isKnown && (it.held == 0 || m_limits.size() >= MaxLimits)) {
+            isComplete = isComplete && it.held == 0;
             continue;
         }
         if (it.held > 0 || it.wanted > 0) {
-            Lent &lent = m_books[key].lent[report.from];
+            Lent &lent = m_limits[key].lent[report.from];
             lent.held = it.held;
             lent.wanted = it.wanted;
-            lent.ends = now + lentTime(it.resource);
+            lent.ends = now + maxHoldTime(it.resource);
         }
     }
-    if (confirmed > 0 && isWhole) {
-        m_reported.insert(report.from);
+    if (confirmed > 0 && isComplete) {
+        m_reportedPeers.insert(report.from);
     }
 }
 
-void ShareLedger::dropUnknownBooks(base::TimePoint now)
+void ShareLedger::dropUnknownLimits(base::TimePoint now)
 {
-    std::erase_if(m_books, [now](const auto &it) {
-        const Book &book = it.second;
-        return book.kind == BookKind::Unknown && book.borrowed.empty() && committedToAll(book, now) == 0;
+    std::erase_if(m_limits, [now](const auto &it) {
+        const LimitState &limit = it.second;
+        return limit.kind == LimitKind::Unknown && limit.borrowed.empty() && totalCommitted(limit, now) == 0;
     });
 }
 
 void ShareLedger::apply(const ShareTable &table, base::TimePoint now)
 {
     const auto found = m_peers.find(table.from);
-    const bool isForThis = table.to == m_options.router && table.toIncarnation == m_options.incarnation && table.sequence > 0;
-    if (!isForThis || found == m_peers.end() || table.entries.size() > MaxEntries) {
+    const bool isAddressedHere = table.to == m_options.router && table.toIncarnation == m_options.incarnation && table.sequence > 0;
+    if (!isAddressedHere || found == m_peers.end() || table.entries.size() > MaxEntries) {
         return;
     }
     Peer &peer = found->second;
     const auto sent = peer.sentReports.find(table.reportSequence);
-    const bool isNewLife = peer.tableIncarnation != table.incarnation;
+    const bool isNewIncarnation = peer.tableIncarnation != table.incarnation;
     if (sent == peer.sentReports.end()) {
         return; // not asked for, or a later report was answered already
     }
     const base::TimePoint ends = sent->second + m_options.loanTerm;
-    if (isNewLife) {
+    if (isNewIncarnation) {
         peer.sentReports.clear(); // an answer of the former life is not applied any more
     } else {
         peer.sentReports.erase(peer.sentReports.begin(), std::next(sent));
     }
     peer.tableIncarnation = table.incarnation;
     peer.tableSequence = table.sequence;
-    for (auto &[key, book] : m_books) {
-        if (const auto it = book.borrowed.find(table.from); it != book.borrowed.end()) {
-            it->second.peak = peakOf(key, it->second, now);
+    for (auto &[key, limit] : m_limits) {
+        if (const auto it = limit.borrowed.find(table.from); it != limit.borrowed.end()) {
+            it->second.maxHeld = maxHeldOf(key, it->second, now);
             it->second.amount = 0;
             it->second.ends = ends;
         }
     }
-    std::size_t held = heldKeys(table.from, now);
+    std::size_t held = countHeldKeys(table.from, now);
     for (const ShareEntry &it : table.entries) {
-        const auto book = m_books.find({it.customer, it.resource});
-        const bool isNew = book != m_books.end() && !book->second.borrowed.contains(table.from);
-        if (book == m_books.end() || (isNew && held >= MaxEntries)) {
+        const auto limit = m_limits.find({it.customer, it.resource});
+        const bool isNew = limit != m_limits.end() && !limit->second.borrowed.contains(table.from);
+        if (limit == m_limits.end() || (isNew && held >= MaxEntries)) {
             continue; // what a report could not name is not borrowed
         }
         held += isNew ? 1 : 0;
-        Borrowed &borrowed = book->second.borrowed[table.from];
+        Borrowed &borrowed = limit->second.borrowed[table.from];
         borrowed.amount = it.amount;
-        borrowed.peak = std::max(borrowed.peak, it.amount);
+        borrowed.maxHeld = std::max(borrowed.maxHeld, it.amount);
         borrowed.ends = ends;
     }
 }
 
 std::size_t ShareLedger::memoryBytes() const
 {
-    constexpr std::size_t NodeBytes = 48; // of a map, beside the value
-    std::size_t bytes = m_peers.size() * (sizeof(Peer) + NodeBytes + MaxUnconfirmed * NodeBytes);
-    for (const auto &[key, book] : m_books) {
-        bytes += sizeof(key) + sizeof(book) + NodeBytes;
-        bytes += book.lent.size() * (sizeof(Lent) + sizeof(base::RouterId) + NodeBytes + MaxUnconfirmed * sizeof(SentAmount));
-        bytes += book.borrowed.size() * (sizeof(Borrowed) + sizeof(base::RouterId) + NodeBytes);
+    constexpr std::size_t MapNodeBytes = 48; // of a map, beside the value
+    std::size_t bytes = m_peers.size() * (sizeof(Peer) + MapNodeBytes + MaxUnconfirmed * MapNodeBytes);
+    for (const auto &[key, limit] : m_limits) {
+        bytes += sizeof(key) + sizeof(limit) + MapNodeBytes;
+        bytes += limit.lent.size() * (sizeof(Lent) + sizeof(base::RouterId) + MapNodeBytes + MaxUnconfirmed * sizeof(SentAmount));
+        bytes += limit.borrowed.size() * (sizeof(Borrowed) + sizeof(base::RouterId) + MapNodeBytes);
     }
     return bytes;
 }
@@ -281,10 +281,10 @@
     return units;
 }
 
-std::uint32_t ShareLedger::committedToAll(const Book &book, base::TimePoint now)
+std::uint32_t ShareLedger::totalCommitted(const LimitState &limit, base::TimePoint now)
 {
     std::uint32_t units = 0;
-    for (const auto &[router, lent] : book.lent) {
+    for (const auto &[router, lent] : limit.lent) {
         units += committed(lent, now);
     }
     return units;
@@ -292,9 +292,9 @@
 
 // Returns the part that is never lent: all that a restarted lender may use before
 // it knows its loans. A single unit may be lent whole.
-std::uint32_t ShareLedger::keptPart(std::uint32_t own)
+std::uint32_t ShareLedger::reservedQuota(std::uint32_t own)
 {
-    return own < 2 ? 0 : (own + KeptShare - 1) / KeptShare;
+    return own < 2 ? 0 : (own + ReservedDivisor - 1) / ReservedDivisor;
 }
 
 base::Duration ShareLedger::drainTime(Resource resource) const
@@ -303,97 +303,97 @@
 }
 
 // Returns how long after a report its sender may hold what it names or is lent.
-base::Duration ShareLedger::lentTime(Resource resource) const
+base::Duration ShareLedger::maxHoldTime(Resource resource) const
 {
-    return m_options.loanTerm + m_options.loanTerm / DriftShare + drainTime(resource);
+    return m_options.loanTerm + m_options.loanTerm / ClockDriftDivisor + drainTime(resource);
 }
 
 bool ShareLedger::isRecovering(base::TimePoint now) const
 {
-    return now < m_started + lentTime(Resource::Concurrency) && m_reported.size() + 1 < m_options.fleetSize;
+    return now < m_started + maxHoldTime(Resource::Concurrency) && m_reportedPeers.size() + 1 < m_options.fleetSize;
 }
 
-std::uint32_t ShareLedger::ownUsable(const Book &book, base::TimePoint now) const
+std::uint32_t ShareLedger::ownUsable(const LimitState &limit, base::TimePoint now) const
 {
-    const std::uint32_t unlent = saturatingSubtract(book.own, committedToAll(book, now));
-    return isRecovering(now) ? std::min(unlent, keptPart(book.own)) : unlent;
+    const std::uint32_t unlent = saturatingSubtract(limit.own, totalCommitted(limit, now));
+    return isRecovering(now) ? std::min(unlent, reservedQuota(limit.own)) : unlent;
 }
 
-std::uint32_t ShareLedger::borrowedUsable(const Book &book, base::TimePoint now)
+std::uint32_t ShareLedger::borrowedUsable(const LimitState &limit, base::TimePoint now)
 {
     std::uint32_t units = 0;
-    for (const auto &[router, borrowed] : book.borrowed) {
+    for (const auto &[router, borrowed] : limit.borrowed) {
         units += now < borrowed.ends ? borrowed.amount : 0;
     }
     return units;
 }
 
-std::uint32_t ShareLedger::peakOf(const ShareKey &key, const Borrowed &borrowed, base::TimePoint now) const
+std::uint32_t ShareLedger::maxHeldOf(const ShareKey &key, const Borrowed &borrowed, base::TimePoint now) const
 {
     if (key.resource == Resource::Rate) {
         return now < borrowed.ends ? borrowed.amount : 0;
     }
-    return now < borrowed.ends + m_options.longestRequest ? borrowed.peak : 0;
+    return now < borrowed.ends + m_options.longestRequest ? borrowed.maxHeld : 0;
 }
 
-std::uint32_t ShareLedger::missingIn(const Book &book, base::TimePoint now) const
+std::uint32_t ShareLedger::shortfallOf(const LimitState &limit, base::TimePoint now) const
 {
-    return saturatingSubtract(book.needed, ownUsable(book, now));
+    return saturatingSubtract(limit.needed, ownUsable(limit, now));
 }
 
-std::uint32_t ShareLedger::heldFrom(const ShareKey &key, Book &book, const base::RouterId &lender, base::TimePoint now)
+std::uint32_t ShareLedger::updateHeldFrom(const ShareKey &key, LimitState &limit, const base::RouterId &lender, base::TimePoint now)
 {
-    const auto it = book.borrowed.find(lender);
-    if (it == book.borrowed.end()) {
+    const auto it = limit.borrowed.find(lender);
+    if (it == limit.borrowed.end()) {
         return 0;
     }
-    std::uint64_t accounted = ownUsable(book, now);
-    for (const auto &[router, borrowed] : book.borrowed) {
-        accounted += router == lender ? 0 : peakOf(key, borrowed, now);
+    std::uint64_t accounted = ownUsable(limit, now);
+    for (const auto &[router, borrowed] : limit.borrowed) {
+        accounted += router == lender ? 0 : maxHeldOf(key, borrowed, now);
     }
     Borrowed &borrowed = it->second;
     const std::uint32_t amount = now < borrowed.ends ? borrowed.amount : 0;
-    const std::uint32_t unaccounted = key.resource == Resource::Concurrency ? saturatingSubtract(book.used, accounted) : 0;
-    borrowed.peak = std::max(amount, std::min(peakOf(key, borrowed, now), unaccounted));
-    const std::uint32_t held = borrowed.peak;
+    const std::uint32_t unaccounted = key.resource == Resource::Concurrency ? saturatingSubtract(limit.used, accounted) : 0;
+    borrowed.maxHeld = std::max(amount, std::min(maxHeldOf(key, borrowed, now), unaccounted));
+    const std::uint32_t held = borrowed.maxHeld;
     if (held == 0) {
-        book.borrowed.erase(it);
+        limit.borrowed.erase(it);
     }
     return held;
 }
 
-std::uint32_t ShareLedger::wantedFrom(const Book &book, const base::RouterId &lender, std::uint32_t missing, base::TimePoint now)
+std::uint32_t ShareLedger::wantedFrom(const LimitState &limit, const base::RouterId &lender, std::uint32_t shortfall, base::TimePoint now)
 {
-    const std::uint64_t sum = borrowedUsable(book, now);
-    const auto it = book.borrowed.find(lender);
-    const std::uint64_t amount = it != book.borrowed.end() && now < it->second.ends ? it->second.amount : 0;
-    if (sum > missing) {
-        return static_cast<std::uint32_t>(amount * missing / sum);
+    const std::uint64_t sum = borrowedUsable(limit, now);
+    const auto it = limit.borrowed.find(lender);
+    const std::uint64_t amount = it != limit.borrowed.end() && now < it->second.ends ? it->second.amount : 0;
+    if (sum > shortfall) {
+        return static_cast<std::uint32_t>(amount * shortfall / sum);
     }
-    return static_cast<std::uint32_t>(amount + missing - sum);
+    return static_cast<std::uint32_t>(amount + shortfall - sum);
 }
 
-std::uint32_t ShareLedger::amountFor(const Book &book, const base::RouterId &borrower, base::TimePoint now) const
+std::uint32_t ShareLedger::loanFor(const LimitState &limit, const base::RouterId &borrower, base::TimePoint now) const
 {
-    const std::uint32_t ownUse = std::max(std::min(book.used, ownUsable(book, now)), std::min(book.needed, book.own));
-    const std::uint32_t pool = saturatingSubtract(book.own, std::max(keptPart(book.own), ownUse));
+    const std::uint32_t ownUse = std::max(std::min(limit.used, ownUsable(limit, now)), std::min(limit.needed, limit.own));
+    const std::uint32_t pool = saturatingSubtract(limit.own, std::max(reservedQuota(limit.own), ownUse));
     std::uint64_t wantedByAll = 0;
     std::uint64_t committedToOthers = 0;
-    for (const auto &[router, lent] : book.lent) {
+    for (const auto &[router, lent] : limit.lent) {
         wantedByAll += now < lent.ends ? lent.wanted : 0;
         committedToOthers += router == borrower ? 0 : committed(lent, now);
     }
-    const std::uint64_t wanted = book.lent.at(borrower).wanted;
+    const std::uint64_t wanted = limit.lent.at(borrower).wanted;
     const std::uint64_t target = wantedByAll <= pool ? wanted : (pool * wanted + wantedByAll - 1) / wantedByAll;
     return static_cast<std::uint32_t>(std::min<std::uint64_t>(target, saturatingSubtract(pool, committedToOthers)));
 }
 
-std::size_t ShareLedger::heldKeys(const base::RouterId &lender, base::TimePoint now) const
+std::size_t ShareLedger::countHeldKeys(const base::RouterId &lender, base::TimePoint now) const
 {
     std::size_t n = 0;
-    for (const auto &[key, book] : m_books) {
-        const auto it = book.borrowed.find(lender);
-        n += it != book.borrowed.end() && peakOf(key, it->second, now) > 0 ? 1 : 0;
+    for (const auto &[key, limit] : m_limits) {
+        const auto it = limit.borrowed.find(lender);
+        n += it != limit.borrowed.end() && maxHeldOf(key, it->second, now) > 0 ? 1 : 0;
     }
     return n;
 }
--- a/carawaylatch/admission/shareledger.h
+++ b/carawaylatch/admission/shareledger.h
@@ -61,16 +61,16 @@
     // No request is in flight longer; never gets shorter.
     void raiseLongestRequest(base::Duration longest);
     // Sets this router's own part of a limit; it may be zero.
-    void setOwnPart(const ShareKey &key, std::uint32_t units);
+    void setOwnQuota(const ShareKey &key, std::uint32_t units);
     // The limit is gone; its book goes too once nothing is lent or borrowed.
-    void forget(const ShareKey &key);
+    void removeLimit(const ShareKey &key);
     // Tells what is in use and what would be used if there were enough.
-    void noteUse(const ShareKey &key, std::uint32_t used, std::uint32_t needed);
+    void setUsage(const ShareKey &key, std::uint32_t used, std::uint32_t needed);
 
     // Returns the units that may be in use here now.
     [[nodiscard]] std::uint32_t usable(const ShareKey &key, base::TimePoint now) const;
     // Returns the units that are missing and may be borrowed.
-    [[nodiscard]] std::uint32_t missing(const ShareKey &key, base::TimePoint now) const;
+    [[nodiscard]] std::uint32_t shortfall(const ShareKey &key, base::TimePoint now) const;
 
     [[nodiscard]] DemandReport report(const base::RouterId &to, base::TimePoint now);
     [[nodiscard]] ShareTable answer(const DemandReport &report, base::TimePoint now);
@@ -96,16 +96,16 @@
     struct Borrowed
     {
         std::uint32_t amount = 0; // usable until `ends`
-        std::uint32_t peak = 0; // what requests in flight may still use; at least amount
+        std::uint32_t maxHeld = 0; // what requests in flight may still use; at least amount
         base::TimePoint ends;
     };
-    enum class BookKind {
+    enum class LimitKind {
         Configured,
         Unknown, // no such limit here; kept only for what peers hold or lent
     };
-    struct Book
+    struct LimitState
     {
-        BookKind kind = BookKind::Unknown;
+        LimitKind kind = LimitKind::Unknown;
         std::uint32_t own = 0;
         std::uint32_t used = 0;
         std::uint32_t needed = 0;
@@ -122,33 +122,33 @@
     };
     static constexpr std::size_t MaxUnconfirmed = 8;
     static constexpr std::size_t MaxPeers = 4096;
-    static constexpr std::size_t MaxBooks = 8192; // a report of more proves nothing
+    static constexpr std::size_t MaxLimits = 8192; // a report of more proves nothing
 
     static std::uint32_t committed(const Lent &lent, base::TimePoint now);
-    static std::uint32_t committedToAll(const Book &book, base::TimePoint now);
-    static std::uint32_t keptPart(std::uint32_t own);
+    static std::uint32_t totalCommitted(const LimitState &limit, base::TimePoint now);
+    static std::uint32_t reservedQuota(std::uint32_t own);
     base::Duration drainTime(Resource resource) const;
-    base::Duration lentTime(Resource resource) const;
+    base::Duration maxHoldTime(Resource resource) const;
     bool isRecovering(base::TimePoint now) const;
-    std::uint32_t ownUsable(const Book &book, base::TimePoint now) const;
-    static std::uint32_t borrowedUsable(const Book &book, base::TimePoint now);
-    std::uint32_t peakOf(const ShareKey &key, const Borrowed &borrowed, base::TimePoint now) const;
-    std::uint32_t missingIn(const Book &book, base::TimePoint now) const;
-    std::uint32_t heldFrom(const ShareKey &key, Book &book, const base::RouterId &lender, base::TimePoint now);
-    static std::uint32_t wantedFrom(const Book &book, const base::RouterId &lender, std::uint32_t missing, base::TimePoint now);
-    void takeReport(const DemandReport &report, base::TimePoint now);
-    void dropUnknownBooks(base::TimePoint now);
-    std::uint32_t amountFor(const Book &book, const base::RouterId &borrower, base::TimePoint now) const;
-    std::size_t heldKeys(const base::RouterId &lender, base::TimePoint now) const;
+    std::uint32_t ownUsable(const LimitState &limit, base::TimePoint now) const;
+    static std::uint32_t borrowedUsable(const LimitState &limit, base::TimePoint now);
+    std::uint32_t maxHeldOf(const ShareKey &key, const Borrowed &borrowed, base::TimePoint now) const;
+    std::uint32_t shortfallOf(const LimitState &limit, base::TimePoint now) const;
+    std::uint32_t updateHeldFrom(const ShareKey &key, LimitState &limit, const base::RouterId &lender, base::TimePoint now);
+    static std::uint32_t wantedFrom(const LimitState &limit, const base::RouterId &lender, std::uint32_t shortfall, base::TimePoint now);
+    void applyReport(const DemandReport &report, base::TimePoint now);
+    void dropUnknownLimits(base::TimePoint now);
+    std::uint32_t loanFor(const LimitState &limit, const base::RouterId &borrower, base::TimePoint now) const;
+    std::size_t countHeldKeys(const base::RouterId &lender, base::TimePoint now) const;
 
     ShareLedgerOptions m_options;
     const base::TimePoint m_started;
-    std::set<base::RouterId> m_reported; // since the start, while recovering
-    std::map<ShareKey, Book> m_books;
+    std::set<base::RouterId> m_reportedPeers; // since the start, while recovering
+    std::map<ShareKey, LimitState> m_limits;
     std::map<base::RouterId, Peer> m_peers; // at most MaxPeers; no loans past that
     std::uint64_t m_lastReport = 0;
     std::uint64_t m_lastTable = 0;
-    std::optional<ShareKey> m_resumeAt; // first key that the last full report left out
+    std::optional<ShareKey> m_nextReportKey; // first key that the last full report left out
 };
 
 } // namespace carawaylatch::admission
--- a/carawaylatch/admission/testing/gatetest.cpp
+++ b/carawaylatch/admission/testing/admissioncontrollertest.cpp
@@ -7,7 +7,7 @@
 #include <thread>
 #include <vector>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "testing/sharedclock.h"
 
 namespace carawaylatch::admission::testing
@@ -33,12 +33,13 @@
 struct Fixture
 {
     SharedClock clock;
-    Gate gate;
+    AdmissionController admissionController;
 
     explicit Fixture(std::uint32_t concurrency, std::uint32_t capacity = 100, double perSecond = 0)
-        : gate({.limits = {.router = base::RouterId("r"), .incarnation = {1}}, .capacity = capacity, .sweepInterval = base::milliseconds{1}}, clock)
+        : admissionController({.limits = {.router = base::RouterId("r"), .incarnation = {1}}, .capacity = capacity, .recheckInterval = base::milliseconds{1}},
+                              clock)
     {
-        gate.configure(tables(concurrency, perSecond), clock.now());
+        admissionController.configure(tables(concurrency, perSecond), clock.now());
     }
     AdmissionRequest request(const base::CustomerId &customer = Acme) const
     {
@@ -49,20 +50,20 @@
                 .expectedWait = {},
                 .callerGone = {}};
     }
-    base::Result<Ticket> enter(const base::CustomerId &customer = Acme)
+    base::Result<Ticket> admit(const base::CustomerId &customer = Acme)
     {
-        return gate.enter(request(customer), clock.now());
+        return admissionController.admit(request(customer), clock.now());
     }
     void awaitWaiting(std::uint32_t n) const
     {
-        while (gate.waiting() != n) {
+        while (admissionController.waiting() != n) {
             std::this_thread::yield();
         }
     }
     std::uint64_t refused(Refusal refusal) const
     {
         std::uint64_t n = 0;
-        for (const AdmissionFigures &it : gate.figures()) {
+        for (const AdmissionStats &it : admissionController.stats()) {
             n += it.refused[static_cast<std::size_t>(refusal)];
         }
         return n;
@@ -71,21 +72,21 @@
 
 } // namespace
 
-class GateTest : public CppUnit::TestFixture
+class AdmissionControllerTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(GateTest);
-    CPPUNIT_TEST(testRefusalsOfWaiting);
-    CPPUNIT_TEST(testRefusalsAtTheDoor);
-    CPPUNIT_TEST(testTurnComes);
+    CPPUNIT_TEST_SUITE(AdmissionControllerTest);
+    CPPUNIT_TEST(testRefusalsWhileWaiting);
+    CPPUNIT_TEST(testRefusalsOnArrival);
+    CPPUNIT_TEST(testQueuedRequestIsAdmitted);
     CPPUNIT_TEST(testConfigurationKeepsTickets);
-    CPPUNIT_TEST(testLimitOfOneLeavesRoomForOthers);
+    CPPUNIT_TEST(testCustomerAtItsLimitDoesNotBlockOthers);
     CPPUNIT_TEST(testSlowDrainRefusesBeforeTheDeadline);
     CPPUNIT_TEST(testManyThreads);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // A waiting request: each event that ends its wait, and what it is told.
-    void testRefusalsOfWaiting()
+    void testRefusalsWhileWaiting()
     {
         struct Row
         {
@@ -102,7 +103,7 @@
              base::ErrorKind::Cancelled, Refusal::CallerGone},
             {"router stops",
              [](Fixture &f, std::atomic<bool> &) {
-                 f.gate.stop();
+                 f.admissionController.stop();
              },
              base::ErrorKind::Unavailable, Refusal::Stopping},
             {"half of its time is over and nothing left",
@@ -113,7 +114,7 @@
         };
         for (const Row &row : rows) {
             Fixture fixture(1);
-            auto ticket = fixture.enter();
+            auto ticket = fixture.admit();
             CPPUNIT_ASSERT(ticket.has_value());
             std::atomic<bool> gone = false;
             base::Error error;
@@ -122,7 +123,7 @@
                 request.callerGone = [&] {
                     return gone.load();
                 };
-                auto entered = fixture.gate.enter(request, fixture.clock.now());
+                auto entered = fixture.admissionController.admit(request, fixture.clock.now());
                 CPPUNIT_ASSERT(!entered);
                 error = entered.error();
             });
@@ -131,34 +132,34 @@
             thread.join();
             CPPUNIT_ASSERT_MESSAGE(row.name, error.kind == row.kind);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, std::uint64_t{1}, fixture.refused(row.refusal));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, 0U, fixture.gate.waiting());
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, 0U, fixture.admissionController.waiting());
         }
     }
 
-    void testRefusalsAtTheDoor()
+    void testRefusalsOnArrival()
     {
         Fixture fixture(0, 100, 2);
-        CPPUNIT_ASSERT(fixture.enter(base::CustomerId("nobody")).error().kind == base::ErrorKind::Forbidden);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fixture.gate.unknownCustomers());
-        CPPUNIT_ASSERT(fixture.enter().has_value());
-        const auto limited = fixture.enter();
+        CPPUNIT_ASSERT(fixture.admit(base::CustomerId("nobody")).error().kind == base::ErrorKind::Forbidden);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fixture.admissionController.unknownCustomers());
+        CPPUNIT_ASSERT(fixture.admit().has_value());
+        const auto limited = fixture.admit();
         CPPUNIT_ASSERT(limited.error().kind == base::ErrorKind::LimitExceeded);
         CPPUNIT_ASSERT(limited.error().retryAfter >= base::milliseconds{500});
         AdmissionRequest late = fixture.request(Bolt);
         late.expectedWait = base::seconds{10};
-        const auto refused = fixture.gate.enter(late, fixture.clock.now());
+        const auto refused = fixture.admissionController.admit(late, fixture.clock.now());
         CPPUNIT_ASSERT(refused.error().kind == base::ErrorKind::Overloaded && refused.error().retryAfter >= base::seconds{10});
-        fixture.gate.stop();
-        CPPUNIT_ASSERT(fixture.enter(Bolt).error().kind == base::ErrorKind::Unavailable);
+        fixture.admissionController.stop();
+        CPPUNIT_ASSERT(fixture.admit(Bolt).error().kind == base::ErrorKind::Unavailable);
     }
 
-    void testTurnComes()
+    void testQueuedRequestIsAdmitted()
     {
         Fixture fixture(0, 1);
-        auto first = fixture.enter();
+        auto first = fixture.admit();
         base::Duration waited{};
         std::thread thread([&] {
-            auto second = fixture.enter(Bolt);
+            auto second = fixture.admit(Bolt);
             CPPUNIT_ASSERT(second.has_value());
             waited = second.value().waited();
         });
@@ -167,43 +168,43 @@
         first.value().release();
         thread.join();
         CPPUNIT_ASSERT(waited == base::seconds{1});
-        CPPUNIT_ASSERT_EQUAL(0U, fixture.gate.inFlight());
+        CPPUNIT_ASSERT_EQUAL(0U, fixture.admissionController.inFlight());
     }
 
     void testConfigurationKeepsTickets()
     {
         Fixture fixture(2);
-        auto first = fixture.enter();
-        auto second = fixture.enter();
-        CPPUNIT_ASSERT_EQUAL(2U, fixture.gate.inFlight(Acme));
+        auto first = fixture.admit();
+        auto second = fixture.admit();
+        CPPUNIT_ASSERT_EQUAL(2U, fixture.admissionController.inFlight(Acme));
         base::ErrorKind kind{};
         std::thread thread([&] {
-            kind = fixture.enter().error().kind;
+            kind = fixture.admit().error().kind;
         });
         fixture.awaitWaiting(1);
-        fixture.gate.configure(tables(1), fixture.clock.now());
-        CPPUNIT_ASSERT_EQUAL(2U, fixture.gate.inFlight(Acme));
+        fixture.admissionController.configure(tables(1), fixture.clock.now());
+        CPPUNIT_ASSERT_EQUAL(2U, fixture.admissionController.inFlight(Acme));
         first.value().release(); // one is still in flight, the limit is one
-        CPPUNIT_ASSERT_EQUAL(1U, fixture.gate.waiting());
-        fixture.gate.configure({}, fixture.clock.now()); // both customers go
+        CPPUNIT_ASSERT_EQUAL(1U, fixture.admissionController.waiting());
+        fixture.admissionController.configure({}, fixture.clock.now()); // both customers go
         thread.join();
         CPPUNIT_ASSERT(kind == base::ErrorKind::Forbidden);
-        CPPUNIT_ASSERT_EQUAL(1U, fixture.gate.inFlight(Acme));
+        CPPUNIT_ASSERT_EQUAL(1U, fixture.admissionController.inFlight(Acme));
         second.value().release();
-        CPPUNIT_ASSERT_EQUAL(0U, fixture.gate.inFlight());
-        fixture.gate.configure(tables(1), fixture.clock.now());
-        CPPUNIT_ASSERT(fixture.enter().has_value());
+        CPPUNIT_ASSERT_EQUAL(0U, fixture.admissionController.inFlight());
+        fixture.admissionController.configure(tables(1), fixture.clock.now());
+        CPPUNIT_ASSERT(fixture.admit().has_value());
     }
 
-    void testLimitOfOneLeavesRoomForOthers()
+    void testCustomerAtItsLimitDoesNotBlockOthers()
     {
         Fixture fixture(1);
-        auto held = fixture.enter(Acme);
+        auto held = fixture.admit(Acme);
         std::thread thread([&] {
-            CPPUNIT_ASSERT(fixture.enter(Acme).has_value());
+            CPPUNIT_ASSERT(fixture.admit(Acme).has_value());
         });
         fixture.awaitWaiting(1);
-        CPPUNIT_ASSERT(fixture.enter(Bolt).has_value()); // passes the one that waits for its own limit
+        CPPUNIT_ASSERT(fixture.admit(Bolt).has_value()); // passes the one that waits for its own limit
         held.value().release();
         thread.join();
     }
@@ -213,27 +214,27 @@
     // the deadline comes.
     void testSlowDrainRefusesBeforeTheDeadline()
     {
-        for (const bool othersGoOn : {false, true}) {
-            Fixture fixture(1, othersGoOn ? 100 : 1);
+        for (const bool othersFinish : {false, true}) {
+            Fixture fixture(1, othersFinish ? 100 : 1);
             for (int i = 0; i < 20; ++i) {
-                auto ticket = fixture.enter(othersGoOn ? Bolt : Acme);
+                auto ticket = fixture.admit(othersFinish ? Bolt : Acme);
                 fixture.clock.advance(base::milliseconds{500}); // 2000 tokens a second
             }
-            auto held = fixture.enter();
+            auto held = fixture.admit();
             const auto start = fixture.clock.now();
             base::TimePoint refusedAt;
             base::Error error;
             std::thread thread([&] {
                 AdmissionRequest request = fixture.request();
                 request.deadline = start + base::seconds{30};
-                error = fixture.gate.enter(request, start).error();
+                error = fixture.admissionController.admit(request, start).error();
                 refusedAt = fixture.clock.now();
             });
             fixture.awaitWaiting(1);
-            while (fixture.gate.waiting() == 1) {
+            while (fixture.admissionController.waiting() == 1) {
                 fixture.clock.advance(base::milliseconds{100});
                 std::this_thread::sleep_for(base::milliseconds{2});
-                CPPUNIT_ASSERT(!othersGoOn || fixture.enter(Bolt).has_value());
+                CPPUNIT_ASSERT(!othersFinish || fixture.admit(Bolt).has_value());
             }
             thread.join();
             CPPUNIT_ASSERT(error.kind == base::ErrorKind::Overloaded && error.retryAfter > base::Duration::zero());
@@ -245,32 +246,34 @@
     void testManyThreads()
     {
         Fixture fixture(2, 3);
-        std::atomic<std::uint32_t> most = 0;
+        std::atomic<std::uint32_t> maxInFlight = 0;
         std::atomic<int> admitted = 0;
         std::vector<std::thread> threads;
         threads.reserve(8);
         for (int i = 0; i < 8; ++i) {
             threads.emplace_back([&, i] {
                 for (int n = 0; n < 100; ++n) {
-                    auto ticket = fixture.enter(i % 2 == 0 ? Acme : Bolt);
-                    most = std::max(most.load(), fixture.gate.inFlight());
+                    auto ticket = fixture.admit(i % 2 == 0 ? Acme : Bolt);
+                    maxInFlight = std::max(maxInFlight.load(), fixture.admissionController.inFlight());
                     admitted += ticket.has_value() ? 1 : 0;
                 }
             });
         }
         for (int n = 0; n < 50; ++n) {
-            fixture.gate.configure(tables(1 + n % 3), fixture.clock.now());
-            fixture.gate.apply(fixture.gate.answer(fixture.gate.report(base::RouterId("x"), fixture.clock.now()), fixture.clock.now()), fixture.clock.now());
+            fixture.admissionController.configure(tables(1 + n % 3), fixture.clock.now());
+            fixture.admissionController.apply(
+                fixture.admissionController.answer(fixture.admissionController.report(base::RouterId("x"), fixture.clock.now()), fixture.clock.now()),
+                fixture.clock.now());
         }
         for (std::thread &it : threads) {
             it.join();
         }
         CPPUNIT_ASSERT_EQUAL(800, admitted.load());
-        CPPUNIT_ASSERT(most.load() <= 3);
-        CPPUNIT_ASSERT_EQUAL(0U, fixture.gate.inFlight());
+        CPPUNIT_ASSERT(maxInFlight.load() <= 3);
+        CPPUNIT_ASSERT_EQUAL(0U, fixture.admissionController.inFlight());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(GateTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AdmissionControllerTest);
 
 } // namespace carawaylatch::admission::testing
--- a/carawaylatch/admission/testing/fairqueuetest.cpp
+++ b/carawaylatch/admission/testing/fairqueuetest.cpp
@@ -45,7 +45,7 @@
     CPPUNIT_TEST(testOneCustomerCannotStarveAnother);
     CPPUNIT_TEST(testInteractiveFirstAndBatchAges);
     CPPUNIT_TEST(testBounds);
-    CPPUNIT_TEST(testAgainstPlainLists);
+    CPPUNIT_TEST(testAgainstReferenceModel);
     CPPUNIT_TEST(testDrainRate);
     CPPUNIT_TEST(testOverload);
     CPPUNIT_TEST_SUITE_END();
@@ -114,7 +114,7 @@
 
     void testInteractiveFirstAndBatchAges()
     {
-        FairQueue queue({.batchAge = base::seconds{5}});
+        FairQueue queue({.batchAgingTime = base::seconds{5}});
         for (std::uint64_t i = 1; i <= 10; ++i) {
             CPPUNIT_ASSERT(queue.push(entry(i, "a", 1000, Batch)));
             CPPUNIT_ASSERT(queue.push(entry(100 + i, "b", 1000, Interactive)));
@@ -133,7 +133,7 @@
 
     void testBounds()
     {
-        FairQueue queue({.maxEntries = 3, .maxEntriesOfCustomer = 2});
+        FairQueue queue({.maxEntries = 3, .maxEntriesPerCustomer = 2});
         CPPUNIT_ASSERT(queue.push(entry(1, "a")) && queue.push(entry(2, "a")));
         CPPUNIT_ASSERT(queue.push(entry(3, "a")).error().kind == base::ErrorKind::LimitExceeded);
         CPPUNIT_ASSERT(queue.push(entry(1, "b")).error().kind == base::ErrorKind::InvalidArgument);
@@ -146,7 +146,7 @@
 
     // Generated pushes, pops and removals against a plain list for each customer
     // and class: nothing lost or doubled, first in first out in each list.
-    void testAgainstPlainLists()
+    void testAgainstReferenceModel()
     {
         base::Random random(carawaylatch::testing::seed());
         FairQueue queue;
--- a/carawaylatch/admission/testing/limitertest.cpp
+++ b/carawaylatch/admission/testing/limitertest.cpp
@@ -34,7 +34,7 @@
     return base::RouterId("r" + std::to_string(i));
 }
 
-enum class Trouble {
+enum class FaultMode {
     None, // all messages arrive
     Generated, // losses, cuts, restarts, pauses
 };
@@ -48,7 +48,7 @@
         , m_concurrency(concurrency)
         , m_perSecond(perSecond)
         , m_routers(routers)
-        , m_calm(1 + 15 * m_random.below(3))
+        , m_stepsBetweenFaults(1 + 15 * m_random.below(3))
     {
         for (std::size_t i = 0; i < routers; ++i) {
             m_routers[i].clockOffset = base::seconds{m_random.below(1000)};
@@ -57,19 +57,19 @@
         m_restarts = 0;
     }
 
-    void step(Trouble trouble)
+    void step(FaultMode faultMode)
     {
         m_now += Step;
-        m_trouble = trouble;
-        if (trouble == Trouble::Generated && m_random.below(m_calm) == 0) {
-            makeTrouble();
+        m_faultMode = faultMode;
+        if (faultMode == FaultMode::Generated && m_random.below(m_stepsBetweenFaults) == 0) {
+            injectFault();
         }
         for (std::size_t i = 0; i < m_routers.size(); ++i) {
             std::erase_if(m_routers[i].ends, [&](base::TimePoint end) {
                 return end <= m_now;
             });
             if (m_now >= m_routers[i].pausedUntil) {
-                live(i);
+                stepRouter(i);
             }
         }
         deliver();
@@ -128,7 +128,7 @@
         std::size_t demand = 5;
         base::TimePoint pausedUntil;
         std::uint32_t configured = 0;
-        int side = 0; // of the cut; routers of one side reach each other
+        int partition = 0; // of the cut; routers of one side reach each other
     };
     struct Message
     {
@@ -169,7 +169,7 @@
         m_routers[i].limiter->configure(customers, localTime(i));
     }
 
-    void makeTrouble()
+    void injectFault()
     {
         const std::size_t i = m_random.below(m_routers.size());
         switch (m_random.below(60)) {
@@ -182,14 +182,14 @@
         case 2:
         case 3:
             for (Router &it : m_routers) {
-                it.side = static_cast<int>(m_random.below(2));
+                it.partition = static_cast<int>(m_random.below(2));
             }
             break;
         case 4:
         case 5:
         case 6:
             for (Router &it : m_routers) {
-                it.side = 0;
+                it.partition = 0;
             }
             break;
         case 7: // all restart at once
@@ -202,7 +202,7 @@
         }
     }
 
-    void live(std::size_t i)
+    void stepRouter(std::size_t i)
     {
         Router &router = m_routers[i];
         const base::TimePoint now = localTime(i);
@@ -216,12 +216,12 @@
             router.ends.push_back(m_now + base::milliseconds{100 + m_random.below(5800)});
             ++router.counted;
         }
-        router.limiter->noteWaiting(Acme, static_cast<std::uint32_t>(router.demand - std::min(router.demand, router.ends.size())));
+        router.limiter->setWaiting(Acme, static_cast<std::uint32_t>(router.demand - std::min(router.demand, router.ends.size())));
         for (std::size_t n = 0; n < router.demand / 4; ++n) {
-            m_admittedByRate += router.limiter->takeRate(Acme, now) ? 1 : 0;
+            m_admittedByRate += router.limiter->consumeRate(Acme, now) ? 1 : 0;
         }
         for (std::size_t to = 0; to < m_routers.size(); ++to) {
-            if (to != i && m_random.below(m_trouble == Trouble::None ? 2 : 10) == 0) {
+            if (to != i && m_random.below(m_faultMode == FaultMode::None ? 2 : 10) == 0) {
                 send({.arrives = {}, .to = to, .from = i, .report = router.limiter->report(routerName(to), now), .table = {}});
             }
         }
@@ -231,11 +231,11 @@
     {
         const std::size_t entries = message.report ? message.report->entries.size() : message.table->entries.size();
         m_largestMessage = std::max(m_largestMessage, entries);
-        const bool isCut = m_routers[message.from].side != m_routers[message.to].side;
-        if (isCut || (m_trouble == Trouble::Generated && m_random.below(5) == 0)) {
+        const bool isCut = m_routers[message.from].partition != m_routers[message.to].partition;
+        if (isCut || (m_faultMode == FaultMode::Generated && m_random.below(5) == 0)) {
             return;
         }
-        const std::uint64_t longestMs = m_trouble == Trouble::Generated ? 3000 : 100;
+        const std::uint64_t longestMs = m_faultMode == FaultMode::Generated ? 3000 : 100;
         message.arrives = m_now + base::milliseconds{m_random.below(longestMs)};
         m_messages.push_back(std::move(message));
     }
@@ -261,11 +261,11 @@
 
     base::Random m_random;
     base::TimePoint m_now = Start;
-    Trouble m_trouble = Trouble::None;
+    FaultMode m_faultMode = FaultMode::None;
     std::uint32_t m_concurrency;
     double m_perSecond;
     std::vector<Router> m_routers;
-    const std::uint64_t m_calm; // steps between two troubles, on average
+    const std::uint64_t m_stepsBetweenFaults; // steps between two troubles, on average
     std::vector<Message> m_messages;
     std::uint64_t m_incarnations = 0;
     double m_restarts = 0;
@@ -281,7 +281,7 @@
     CPPUNIT_TEST(testSumStaysWithinLimit);
     CPPUNIT_TEST(testSumWhileLimitChanges);
     CPPUNIT_TEST(testSharesFollowDemand);
-    CPPUNIT_TEST(testOwnParts);
+    CPPUNIT_TEST(testOwnQuotas);
     CPPUNIT_TEST(testOnlyActiveCustomersAreReported);
     CPPUNIT_TEST(testTokenBucket);
     CPPUNIT_TEST_SUITE_END();
@@ -296,7 +296,7 @@
             const double perSecond = 1 + static_cast<double>(random.below(50));
             Fleet fleet(routers, limit, perSecond, carawaylatch::testing::seed() + run);
             for (int i = 0; i < 1500; ++i) {
-                fleet.step(Trouble::Generated);
+                fleet.step(FaultMode::Generated);
                 const std::string where = "run " + std::to_string(run) + ", step " + std::to_string(i);
                 CPPUNIT_ASSERT_MESSAGE(where + ": in flight", fleet.inFlight() <= limit);
                 CPPUNIT_ASSERT_MESSAGE(where + ": usable", fleet.usable(Resource::Concurrency) <= limit);
@@ -322,7 +322,7 @@
                     fleet.setLimit(limit);
                     since = 0;
                 }
-                fleet.step(Trouble::Generated);
+                fleet.step(FaultMode::Generated);
                 ++since;
                 CPPUNIT_ASSERT(fleet.inFlight() <= greatest);
             }
@@ -338,7 +338,7 @@
             fleet.setDemand(i, i == 0 ? 200 : 0);
         }
         for (int i = 0; i < 200; ++i) {
-            fleet.step(Trouble::None);
+            fleet.step(FaultMode::None);
         }
         // 25 own and three times 25 less a kept fourth of 7.
         CPPUNIT_ASSERT_EQUAL(79U, fleet.usable(0, Resource::Concurrency));
@@ -347,7 +347,7 @@
             fleet.setDemand(i, 200);
         }
         for (int i = 0; i < 200; ++i) {
-            fleet.step(Trouble::None);
+            fleet.step(FaultMode::None);
         }
         for (std::size_t i = 0; i < 4; ++i) {
             CPPUNIT_ASSERT_EQUAL(25U, fleet.usable(i, Resource::Concurrency));
@@ -355,15 +355,15 @@
     }
 
     // Parts of a fleet sum to the limit, with a slot; without one to max(L, F).
-    void testOwnParts()
+    void testOwnQuotas()
     {
         for (const std::uint32_t fleet : {1U, 4U, 7U, 3400U}) {
             for (const std::uint32_t limit : {1U, 3U, 4U, 100U, 5000U}) {
                 std::uint64_t withSlot = 0;
                 std::uint64_t without = 0;
                 for (std::uint32_t slot = 0; slot < fleet; ++slot) {
-                    withSlot += partOf(fleet, slot, limit);
-                    without += partOf(fleet, std::nullopt, limit);
+                    withSlot += quotaOf(fleet, slot, limit);
+                    without += quotaOf(fleet, std::nullopt, limit);
                 }
                 CPPUNIT_ASSERT_EQUAL(std::uint64_t{limit}, withSlot);
                 CPPUNIT_ASSERT(without <= std::max(limit, fleet));
@@ -381,9 +381,9 @@
         Limiter limiter({.router = routerName(0), .incarnation = {1}, .fleetSize = 50, .slot = 0}, Start);
         limiter.configure(customers, Start);
         CPPUNIT_ASSERT(limiter.report(routerName(1), Start).entries.empty());
-        CPPUNIT_ASSERT(!limiter.wantsMore(Start));
+        CPPUNIT_ASSERT(!limiter.hasUnmetDemand(Start));
         for (int i = 0; i < 100; ++i) {
-            limiter.noteWaiting(customers[i].id, 5);
+            limiter.setWaiting(customers[i].id, 5);
         }
         // More than fit: each gets its turn over the next reports.
         std::set<std::string> seen;
@@ -401,24 +401,24 @@
     {
         TokenBucket bucket(Start);
         bucket.refill(10, Start);
-        CPPUNIT_ASSERT(bucket.tryTake() && !bucket.tryTake());
-        CPPUNIT_ASSERT(bucket.untilNext() == base::milliseconds{100});
+        CPPUNIT_ASSERT(bucket.tryConsume() && !bucket.tryConsume());
+        CPPUNIT_ASSERT(bucket.timeToNextToken() == base::milliseconds{100});
         bucket.refill(10, Start + base::seconds{100});
         int taken = 0;
-        while (bucket.tryTake()) {
+        while (bucket.tryConsume()) {
             ++taken;
         }
         CPPUNIT_ASSERT_EQUAL(10, taken); // one second of the rate
         bucket.refill(1000, Start + base::seconds{101}); // credit at the lesser rate
         taken = 0;
-        while (bucket.tryTake()) {
+        while (bucket.tryConsume()) {
             ++taken;
         }
         CPPUNIT_ASSERT_EQUAL(10, taken);
     }
 
 private:
-    static std::uint32_t partOf(std::uint32_t fleet, std::optional<std::uint32_t> slot, std::uint32_t limit)
+    static std::uint32_t quotaOf(std::uint32_t fleet, std::optional<std::uint32_t> slot, std::uint32_t limit)
     {
         Limiter limiter({.router = routerName(0), .incarnation = {1}, .fleetSize = fleet, .slot = slot}, Start);
         const std::vector<config::Customer> customers = {{.id = Acme, .keyDigest = {}, .weight = 1, .requestsPerSecond = 0, .concurrency = limit}};
--- a/carawaylatch/admission/testing/shareledgertest.cpp
+++ b/carawaylatch/admission/testing/shareledgertest.cpp
@@ -17,7 +17,7 @@
 const ShareKey Key{base::CustomerId("acme"), Resource::Concurrency};
 const base::RouterId LenderName("lender");
 const base::RouterId BorrowerName("borrower");
-constexpr std::uint32_t Own = 8; // of each; a fourth is never lent
+constexpr std::uint32_t OwnQuota = 8; // of each; a fourth is never lent
 constexpr std::uint32_t Lendable = 6;
 
 // Both routers at one moment; the test carries the messages.
@@ -31,7 +31,7 @@
     {
         auto ledger = std::make_unique<ShareLedger>(
             ShareLedgerOptions{.router = name, .incarnation = {incarnation}, .fleetSize = 2, .loanTerm = Term, .longestRequest = LongestRequest}, now);
-        ledger->setOwnPart(Key, Own);
+        ledger->setOwnQuota(Key, OwnQuota);
         return ledger;
     }
     DemandReport report()
@@ -49,17 +49,17 @@
     // Two exchanges end the recovery of the lender and lend all that may be lent.
     void lendAll()
     {
-        borrower->noteUse(Key, Own, 100);
+        borrower->setUsage(Key, OwnQuota, 100);
         exchange();
         exchange();
         exchange();
         CPPUNIT_ASSERT_EQUAL(Lendable, borrowed());
-        CPPUNIT_ASSERT_EQUAL(Own - Lendable, lender->usable(Key, now));
+        CPPUNIT_ASSERT_EQUAL(OwnQuota - Lendable, lender->usable(Key, now));
     }
     // The borrower hears no report, so it recovers and uses its kept part only.
     [[nodiscard]] std::uint32_t borrowed() const
     {
-        return borrower->usable(Key, now) - (Own - Lendable);
+        return borrower->usable(Key, now) - (OwnQuota - Lendable);
     }
 };
 
@@ -70,7 +70,7 @@
     CPPUNIT_TEST_SUITE(ShareLedgerTest);
     CPPUNIT_TEST(testUnitsInFlightStayHeld);
     CPPUNIT_TEST(testSmallerTableNeedsConfirmation);
-    CPPUNIT_TEST(testTermsEndInOrder);
+    CPPUNIT_TEST(testBorrowerStopsBeforeLenderReclaims);
     CPPUNIT_TEST(testStaleTables);
     CPPUNIT_TEST(testRestartedLender);
     CPPUNIT_TEST_SUITE_END();
@@ -80,10 +80,10 @@
     {
         Pair pair;
         pair.lendAll();
-        pair.borrower->noteUse(Key, 2 + Lendable, 100);
-        pair.lender->noteUse(Key, 2, 100); // needs its part back
+        pair.borrower->setUsage(Key, 2 + Lendable, 100);
+        pair.lender->setUsage(Key, 2, 100); // needs its part back
         for (std::uint32_t ended = 0; ended <= Lendable; ++ended) {
-            pair.borrower->noteUse(Key, 2 + Lendable - ended, 100);
+            pair.borrower->setUsage(Key, 2 + Lendable - ended, 100);
             pair.exchange();
             pair.exchange();
             CPPUNIT_ASSERT_EQUAL(2 + ended, pair.lender->usable(Key, pair.now));
@@ -95,8 +95,8 @@
     {
         Pair pair;
         pair.lendAll();
-        pair.borrower->noteUse(Key, 0, 100);
-        pair.lender->noteUse(Key, 2, 100);
+        pair.borrower->setUsage(Key, 0, 100);
+        pair.lender->setUsage(Key, 2, 100);
         const ShareTable smaller = pair.answer();
         CPPUNIT_ASSERT(smaller.entries.empty());
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
@@ -105,12 +105,12 @@
         pair.borrower->apply(smaller, pair.now);
         CPPUNIT_ASSERT_EQUAL(2U, pair.borrower->usable(Key, pair.now));
         (void)pair.answer();
-        CPPUNIT_ASSERT_EQUAL(Own, pair.lender->usable(Key, pair.now));
+        CPPUNIT_ASSERT_EQUAL(OwnQuota, pair.lender->usable(Key, pair.now));
     }
 
     // A table that arrives late is good only for what is left of the term since
     // its report; the lender waits for the term and the longest request.
-    void testTermsEndInOrder()
+    void testBorrowerStopsBeforeLenderReclaims()
     {
         Pair pair;
         pair.lendAll();
@@ -125,7 +125,7 @@
         pair.now = lentAt + Term + LongestRequest;
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
         pair.now += base::seconds{1}; // past the margin for clocks
-        CPPUNIT_ASSERT_EQUAL(Own, pair.lender->usable(Key, pair.now));
+        CPPUNIT_ASSERT_EQUAL(OwnQuota, pair.lender->usable(Key, pair.now));
     }
 
     void testStaleTables()
@@ -133,7 +133,7 @@
         Pair pair;
         pair.lendAll();
         const ShareTable older = pair.answer();
-        pair.lender->noteUse(Key, 2, 100);
+        pair.lender->setUsage(Key, 2, 100);
         pair.exchange(); // lends nothing
         pair.borrower->apply(older, pair.now);
         CPPUNIT_ASSERT_EQUAL(0U, pair.borrowed());
@@ -161,19 +161,19 @@
     {
         Pair pair;
         pair.lendAll();
-        pair.borrower->noteUse(Key, 2 + Lendable, 100);
+        pair.borrower->setUsage(Key, 2 + Lendable, 100);
         pair.lender = pair.make(LenderName, 3);
-        pair.lender->noteUse(Key, 2, 100);
+        pair.lender->setUsage(Key, 2, 100);
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
         pair.exchange();
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
-        pair.borrower->noteUse(Key, 2 + Lendable - 1, 100);
+        pair.borrower->setUsage(Key, 2 + Lendable - 1, 100);
         (void)pair.answer();
         CPPUNIT_ASSERT_EQUAL(3U, pair.lender->usable(Key, pair.now)); // five are still in flight there
 
         Pair alone;
         alone.now += Term + LongestRequest + base::seconds{1};
-        CPPUNIT_ASSERT_EQUAL(Own, alone.lender->usable(Key, alone.now)); // nobody answers: by time
+        CPPUNIT_ASSERT_EQUAL(OwnQuota, alone.lender->usable(Key, alone.now)); // nobody answers: by time
     }
 };
 
--- a/carawaylatch/admission/tokenbucket.cpp
+++ b/carawaylatch/admission/tokenbucket.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 constexpr double BurstSeconds = 1;
-constexpr base::Duration LongestWait = base::hours{1};
+constexpr base::Duration MaxWait = base::hours{1};
 } // namespace
 
 TokenBucket::TokenBucket(base::TimePoint now)
@@ -27,7 +27,7 @@
     m_level = std::min(m_level, std::max(1.0, perSecond * BurstSeconds));
 }
 
-bool TokenBucket::tryTake()
+bool TokenBucket::tryConsume()
 {
     if (m_level < 1) {
         return false;
@@ -36,13 +36,13 @@
     return true;
 }
 
-base::Duration TokenBucket::untilNext() const
+base::Duration TokenBucket::timeToNextToken() const
 {
     if (m_level >= 1) {
         return base::Duration::zero();
     }
-    const double seconds = m_rate > 0 ? (1 - m_level) / m_rate : base::toSeconds(LongestWait);
-    return std::min(LongestWait, base::fromSeconds(seconds));
+    const double seconds = m_rate > 0 ? (1 - m_level) / m_rate : base::toSeconds(MaxWait);
+    return std::min(MaxWait, base::fromSeconds(seconds));
 }
 
 } // namespace carawaylatch::admission
--- a/carawaylatch/admission/tokenbucket.h
+++ b/carawaylatch/admission/tokenbucket.h
@@ -18,9 +18,9 @@
     // Brings the bucket to `now` under a rate in tokens per second.
     void refill(double perSecond, base::TimePoint now);
     // Takes one token; false if there is none.
-    [[nodiscard]] bool tryTake();
+    [[nodiscard]] bool tryConsume();
     // Returns the time until one token is there at the last rate; an hour at most.
-    [[nodiscard]] base::Duration untilNext() const;
+    [[nodiscard]] base::Duration timeToNextToken() const;
 
 private:
     double m_level = 1;
--- a/carawaylatch/prefix/cacheindex.cpp
+++ b/carawaylatch/prefix/cacheindex.cpp
@@ -16,7 +16,7 @@
 // an old incarnation under a new life.
 //
 // Holes. Engines evict the end of a chain before its start, so a block that is
-// known to be held vouches for up to MaxHole unknown ones before it. Without this
+// known to be held vouches for up to MaxGapBlocks unknown ones before it. Without this
 // one lost event in the middle of a chain would hide all that follows.
 //
 // Ageing. The age at which evictions strike entries is averaged for each upstream;
@@ -39,13 +39,13 @@
 constexpr std::size_t BucketEntries = 8;
 constexpr std::size_t HolderGroups = 4;
 static_assert(BucketEntries * HolderGroups == CacheIndex::MaxHoldersPerBlock);
-constexpr std::size_t Stripes = 4096;
-constexpr std::uint64_t GroupStep = 0x9E3779B97F4A7C15ULL;
-constexpr std::uint32_t MaxHole = 3; // blocks
+constexpr std::size_t LockStripes = 4096;
+constexpr std::uint64_t GroupHashStep = 0x9E3779B97F4A7C15ULL;
+constexpr std::uint32_t MaxGapBlocks = 3; // blocks
 constexpr std::int64_t EventLagMs = 250; // an eviction younger than this contradicts a newer touch
 constexpr std::uint32_t LifetimeSlack = 3;
-constexpr double LifetimeWeight = 0.05; // of one eviction in the average
-constexpr double AnswerWeight = 0.1; // of one answer in the averages
+constexpr double LifetimeAverageWeight = 0.05; // of one eviction in the average
+constexpr double AnswerAverageWeight = 0.1; // of one answer in the averages
 constexpr double MinConfidence = 0.25;
 constexpr std::uint32_t MinLifetimeMs = 500;
 
@@ -54,7 +54,7 @@
     std::uint64_t key = 0; // zero: free
     std::uint32_t touched = 0; // milliseconds, modulo 2^32
     std::uint16_t slot = 0;
-    std::uint16_t life = 0;
+    std::uint16_t generation = 0;
 };
 static_assert(sizeof(Entry) == 16);
 
@@ -66,7 +66,7 @@
 struct alignas(64) Upstream
 {
     std::atomic<std::uint64_t> incarnation{0}; // zero: nothing may be recorded
-    std::atomic<std::uint16_t> life{0};
+    std::atomic<std::uint16_t> generation{0};
     std::atomic<std::uint32_t> lifetimeMs{0};
     std::atomic<float> confidence{1};
     std::atomic<float> predictedMissing{1}; // blocks of an answer, averaged
@@ -92,7 +92,7 @@
 void average(std::atomic<float> &value, double sample)
 {
     const double old = value.load(std::memory_order_relaxed);
-    value.store(static_cast<float>(old + AnswerWeight * (sample - old)), std::memory_order_relaxed);
+    value.store(static_cast<float>(old + AnswerAverageWeight * (sample - old)), std::memory_order_relaxed);
 }
 
 std::uint64_t storedKey(std::uint64_t block)
@@ -106,7 +106,7 @@
 {
     std::vector<Bucket> buckets; // a power of two
     std::vector<Upstream> upstreams; // by slot
-    std::array<tbb::spin_rw_mutex, Stripes> locks;
+    std::array<tbb::spin_rw_mutex, LockStripes> locks;
 
     explicit Tables(const CacheIndexOptions &options)
         : buckets(std::bit_floor(std::max<std::size_t>(options.maxBytes / sizeof(Bucket), 1)))
@@ -119,7 +119,7 @@
 
     [[nodiscard]] std::size_t bucketOf(std::uint64_t key, std::size_t group) const
     {
-        return ((key + group * GroupStep) >> 16U) & (buckets.size() - 1);
+        return ((key + group * GroupHashStep) >> 16U) & (buckets.size() - 1);
     }
 
     [[nodiscard]] bool isLive(const Entry &entry, std::uint32_t now) const
@@ -128,14 +128,14 @@
             return false;
         }
         const Upstream &upstream = upstreams[entry.slot];
-        return entry.life == upstream.life.load(std::memory_order_relaxed)
+        return entry.generation == upstream.generation.load(std::memory_order_relaxed)
                && ageMs(now, entry.touched) <= upstream.lifetimeMs.load(std::memory_order_relaxed) * std::uint64_t{LifetimeSlack};
     }
 
     void insert(const Entry &entry, std::uint32_t now)
     {
         const std::size_t index = bucketOf(entry.key, entry.slot % HolderGroups);
-        const tbb::spin_rw_mutex::scoped_lock lock(locks[index % Stripes], true);
+        const tbb::spin_rw_mutex::scoped_lock lock(locks[index % LockStripes], true);
         Entry *victim = nullptr;
         std::uint64_t victimAge = 0;
         for (auto &it : buckets[index].entries) {
@@ -156,10 +156,10 @@
     std::int64_t evict(std::uint64_t key, upstreams::Slot slot, std::uint32_t now)
     {
         const std::size_t index = bucketOf(key, slot.index % HolderGroups);
-        const tbb::spin_rw_mutex::scoped_lock lock(locks[index % Stripes], true);
+        const tbb::spin_rw_mutex::scoped_lock lock(locks[index % LockStripes], true);
         for (auto &it : buckets[index].entries) {
             // Aged entries too: the measured lifetime may grow and make them count again.
-            if (it.key == key && it.slot == slot.index && it.life == upstreams[slot.index].life.load(std::memory_order_relaxed)) {
+            if (it.key == key && it.slot == slot.index && it.generation == upstreams[slot.index].generation.load(std::memory_order_relaxed)) {
                 const std::int64_t age = ageMs(now, it.touched);
                 if (age < EventLagMs) {
                     return -1;
@@ -185,11 +185,11 @@
     }
 
     template <typename Visit>
-    void forHolders(std::uint64_t block, std::size_t group, std::uint32_t now, const Visit &visit)
+    void forEachHolder(std::uint64_t block, std::size_t group, std::uint32_t now, const Visit &visit)
     {
         const std::uint64_t key = storedKey(block);
         const std::size_t index = bucketOf(key, group);
-        const tbb::spin_rw_mutex::scoped_lock lock(locks[index % Stripes], false);
+        const tbb::spin_rw_mutex::scoped_lock lock(locks[index % LockStripes], false);
         for (const auto &it : buckets[index].entries) {
             if (it.key == key && isLive(it, now)) {
                 visit(upstreams::Slot{it.slot});
@@ -198,10 +198,10 @@
     }
 
     template <typename Visit>
-    void forLive(std::uint32_t now, const Visit &visit)
+    void forEachLive(std::uint32_t now, const Visit &visit)
     {
         for (std::size_t i = 0; i < buckets.size(); ++i) {
-            const tbb::spin_rw_mutex::scoped_lock lock(locks[i % Stripes], false);
+            const tbb::spin_rw_mutex::scoped_lock lock(locks[i % LockStripes], false);
             for (const auto &it : buckets[i].entries) {
                 if (isLive(it, now)) {
                     visit(it);
@@ -211,21 +211,21 @@
     }
 
     // Reads the life under which `incarnation` may be recorded; false if it is not the current one.
-    [[nodiscard]] bool readLife(upstreams::Slot slot, base::Incarnation incarnation, std::uint16_t &life) const
+    [[nodiscard]] bool readGeneration(upstreams::Slot slot, base::Incarnation incarnation, std::uint16_t &generation) const
     {
         if (slot.index >= upstreams.size() || incarnation.value == 0) {
             return false;
         }
-        life = upstreams[slot.index].life.load();
+        generation = upstreams[slot.index].generation.load();
         return upstreams[slot.index].incarnation.load() == incarnation.value;
     }
 
-    void learnLifetime(Upstream &upstream, std::int64_t age)
+    void updateLifetime(Upstream &upstream, std::int64_t age)
     {
         const double old = upstream.lifetimeMs.load(std::memory_order_relaxed);
         const bool isFirst = !upstream.hasMeasuredLifetime.exchange(true);
-        const double renewed = isFirst ? static_cast<double>(age) : old + LifetimeWeight * (static_cast<double>(age) - old);
-        upstream.lifetimeMs.store(std::max(MinLifetimeMs, static_cast<std::uint32_t>(renewed)), std::memory_order_relaxed);
+        const double updated = isFirst ? static_cast<double>(age) : old + LifetimeAverageWeight * (static_cast<double>(age) - old);
+        upstream.lifetimeMs.store(std::max(MinLifetimeMs, static_cast<std::uint32_t>(updated)), std::memory_order_relaxed);
     }
 };
 
@@ -245,27 +245,27 @@
     if (incarnation.value != 0 && upstream.incarnation.load() == incarnation.value && upstream.id == id) {
         return;
     }
-    forget(slot);
+    invalidate(slot);
     upstream.id = id;
     upstream.incarnation.store(incarnation.value);
 }
 
-void CacheIndex::forget(upstreams::Slot slot)
+void CacheIndex::invalidate(upstreams::Slot slot)
 {
     if (slot.index >= m_tables->upstreams.size()) {
         return;
     }
     Upstream &upstream = m_tables->upstreams[slot.index];
     upstream.incarnation.store(0);
-    const auto life = static_cast<std::uint16_t>(upstream.life.load() + 1);
-    upstream.life.store(life);
+    const auto generation = static_cast<std::uint16_t>(upstream.generation.load() + 1);
+    upstream.generation.store(generation);
     upstream.confidence.store(1);
     upstream.nextEvent.store(0);
     upstream.hasMeasuredLifetime.store(false);
-    if (life == 0) {
+    if (generation == 0) {
         // The number wrapped: entries of its first use must not come back.
         for (std::size_t i = 0; i < m_tables->buckets.size(); ++i) {
-            const tbb::spin_rw_mutex::scoped_lock lock(m_tables->locks[i % Stripes], true);
+            const tbb::spin_rw_mutex::scoped_lock lock(m_tables->locks[i % LockStripes], true);
             for (auto &it : m_tables->buckets[i].entries) {
                 it = it.slot == slot.index ? Entry{} : it;
             }
@@ -275,20 +275,20 @@
 
 void CacheIndex::recordPlacement(upstreams::Slot slot, base::Incarnation incarnation, std::span<const std::uint64_t> chain, base::TimePoint now)
 {
-    std::uint16_t life = 0;
-    if (!m_tables->readLife(slot, incarnation, life)) {
+    std::uint16_t generation = 0;
+    if (!m_tables->readGeneration(slot, incarnation, generation)) {
         return;
     }
     const std::uint32_t touched = milliseconds32(now);
     for (const std::uint64_t block : chain) {
-        m_tables->insert(Entry{storedKey(block), touched, slot.index, life}, touched);
+        m_tables->insert(Entry{storedKey(block), touched, slot.index, generation}, touched);
     }
 }
 
 void CacheIndex::recordAnswer(const CacheAnswer &answer, base::TimePoint now)
 {
-    std::uint16_t life = 0;
-    if (!m_tables->readLife(answer.slot, answer.incarnation, life)) {
+    std::uint16_t generation = 0;
+    if (!m_tables->readGeneration(answer.slot, answer.incarnation, generation)) {
         return;
     }
     recordPlacement(answer.slot, answer.incarnation, answer.chain, now);
@@ -301,13 +301,13 @@
     auto &confidence = m_tables->upstreams[answer.slot.index].confidence;
     const double confirmed = std::min(1.0, static_cast<double>(answer.cachedBlocks) / answer.predictedBlocks);
     const double old = confidence.load(std::memory_order_relaxed);
-    confidence.store(static_cast<float>(std::max(MinConfidence, old + AnswerWeight * (confirmed - old))), std::memory_order_relaxed);
+    confidence.store(static_cast<float>(std::max(MinConfidence, old + AnswerAverageWeight * (confirmed - old))), std::memory_order_relaxed);
 }
 
 std::uint64_t CacheIndex::applyEvents(upstreams::Slot slot, const CacheEvents &events, base::TimePoint now)
 {
-    std::uint16_t life = 0;
-    if (!m_tables->readLife(slot, events.incarnation, life)) {
+    std::uint16_t generation = 0;
+    if (!m_tables->readGeneration(slot, events.incarnation, generation)) {
         return 0;
     }
     Upstream &upstream = m_tables->upstreams[slot.index];
@@ -318,9 +318,9 @@
         lost += expected != 0 && event.sequence > expected ? event.sequence - expected : 0;
         expected = std::max(expected, event.sequence + 1);
         if (event.operation == CacheOperation::Stored) {
-            m_tables->insert(Entry{storedKey(event.block), touched, slot.index, life}, touched);
+            m_tables->insert(Entry{storedKey(event.block), touched, slot.index, generation}, touched);
         } else if (const std::int64_t age = m_tables->evict(storedKey(event.block), slot, touched); age >= 0) {
-            m_tables->learnLifetime(upstream, age);
+            m_tables->updateLifetime(upstream, age);
         }
     }
     lost += expected != 0 && events.next > expected ? events.next - expected : 0;
@@ -328,7 +328,7 @@
     if (lost > 0) {
         const double kept = static_cast<double>(events.events.size()) / static_cast<double>(events.events.size() + lost);
         const double old = upstream.confidence.load(std::memory_order_relaxed);
-        upstream.confidence.store(static_cast<float>(std::max(MinConfidence, old - AnswerWeight * (1 - kept))), std::memory_order_relaxed);
+        upstream.confidence.store(static_cast<float>(std::max(MinConfidence, old - AnswerAverageWeight * (1 - kept))), std::memory_order_relaxed);
     }
     return lost;
 }
@@ -346,15 +346,15 @@
     const std::uint32_t time = milliseconds32(now);
     std::uint32_t deepest = 0;
     m_tables->prefetch(chain);
-    for (std::uint32_t i = 0; i < chain.size() && i <= deepest + MaxHole; ++i) {
+    for (std::uint32_t i = 0; i < chain.size() && i <= deepest + MaxGapBlocks; ++i) {
         for (std::size_t group = 0; group < HolderGroups; ++group) {
-            m_tables->forHolders(chain[i], group, time, [&](upstreams::Slot slot) {
+            m_tables->forEachHolder(chain[i], group, time, [&](upstreams::Slot slot) {
                 const std::uint16_t position = positions[slot.index];
                 if (position < holders.size() && holders[position].slot == slot) {
                     Holder &holder = holders[position];
-                    holder.blocks = i <= holder.blocks + MaxHole ? i + 1 : holder.blocks;
+                    holder.blocks = i <= holder.blocks + MaxGapBlocks ? i + 1 : holder.blocks;
                     deepest = std::max(deepest, holder.blocks);
-                } else if (i <= MaxHole) {
+                } else if (i <= MaxGapBlocks) {
                     positions[slot.index] = static_cast<std::uint16_t>(holders.size());
                     holders.push_back(Holder{slot, i + 1});
                     deepest = std::max(deepest, i + 1);
@@ -371,8 +371,8 @@
 {
     const std::uint32_t time = milliseconds32(now);
     std::uint32_t blocks = 0;
-    for (std::uint32_t i = 0; i < chain.size() && i <= blocks + MaxHole; ++i) {
-        m_tables->forHolders(chain[i], slot.index % HolderGroups, time, [&](upstreams::Slot holder) {
+    for (std::uint32_t i = 0; i < chain.size() && i <= blocks + MaxGapBlocks; ++i) {
+        m_tables->forEachHolder(chain[i], slot.index % HolderGroups, time, [&](upstreams::Slot holder) {
             blocks = holder == slot ? i + 1 : blocks;
         });
     }
@@ -384,14 +384,14 @@
     return slot.index < m_tables->upstreams.size() ? m_tables->upstreams[slot.index].confidence.load(std::memory_order_relaxed) : 0;
 }
 
-double CacheIndex::workRatio(upstreams::Slot slot) const
+double CacheIndex::prefillCorrection(upstreams::Slot slot) const
 {
     if (slot.index >= m_tables->upstreams.size()) {
         return 1;
     }
     const Upstream &upstream = m_tables->upstreams[slot.index];
     const double ratio = upstream.actualMissing.load(std::memory_order_relaxed) / upstream.predictedMissing.load(std::memory_order_relaxed);
-    return std::clamp(ratio, 1.0, MaxWorkRatio);
+    return std::clamp(ratio, 1.0, MaxPrefillCorrection);
 }
 
 base::Duration CacheIndex::lifetime(upstreams::Slot slot) const
@@ -406,7 +406,7 @@
     constexpr std::size_t Steps = 1024;
     std::array<std::size_t, Steps> counts{};
     const std::uint32_t time = milliseconds32(now);
-    m_tables->forLive(time, [&](const Entry &entry) {
+    m_tables->forEachLive(time, [&](const Entry &entry) {
         ++counts[std::min<std::size_t>(ageMs(time, entry.touched) / StepMs, Steps - 1)];
     });
     std::size_t step = 0;
@@ -420,7 +420,7 @@
         younger += counts[i];
     }
     std::size_t left = maxEntries - younger;
-    m_tables->forLive(time, [&](const Entry &entry) {
+    m_tables->forEachLive(time, [&](const Entry &entry) {
         const std::uint32_t age = ageMs(time, entry.touched);
         const std::size_t entryStep = std::min<std::size_t>(age / StepMs, Steps - 1);
         if (entryStep < step || (entryStep == step && left > 0)) {
@@ -450,13 +450,13 @@
             continue;
         }
         const auto slot = static_cast<std::uint16_t>(it - m_tables->upstreams.begin());
-        const std::uint16_t life = it->life.load();
+        const std::uint16_t generation = it->generation.load();
         if (!it->hasMeasuredLifetime.load() && hot.lifetimeMilliseconds > 0) {
             it->lifetimeMs.store(std::max(MinLifetimeMs, hot.lifetimeMilliseconds));
         }
         for (const auto &block : hot.blocks) {
-            if (m_tables->isLive(Entry{storedKey(block.key), time - block.ageMilliseconds, slot, life}, time)) {
-                m_tables->insert(Entry{storedKey(block.key), time - block.ageMilliseconds, slot, life}, time);
+            if (m_tables->isLive(Entry{storedKey(block.key), time - block.ageMilliseconds, slot, generation}, time)) {
+                m_tables->insert(Entry{storedKey(block.key), time - block.ageMilliseconds, slot, generation}, time);
             }
         }
     }
@@ -465,7 +465,7 @@
 std::size_t CacheIndex::size(base::TimePoint now) const
 {
     std::size_t n = 0;
-    m_tables->forLive(milliseconds32(now), [&n](const Entry &) {
+    m_tables->forEachLive(milliseconds32(now), [&n](const Entry &) {
         ++n;
     });
     return n;
--- a/carawaylatch/prefix/cacheindex.h
+++ b/carawaylatch/prefix/cacheindex.h
@@ -81,7 +81,7 @@
     // Begins a life of an upstream: what was known of the slot is void.
     void adopt(upstreams::Slot slot, const base::UpstreamId &id, base::Incarnation incarnation);
     // Voids all that is known of the slot, in constant time.
-    void forget(upstreams::Slot slot);
+    void invalidate(upstreams::Slot slot);
 
     // The chain was sent to the upstream and will be cached there.
     void recordPlacement(upstreams::Slot slot, base::Incarnation incarnation, std::span<const std::uint64_t> chain, base::TimePoint now);
@@ -100,9 +100,9 @@
     // Share, in [0, 1], of predicted blocks that answers of the upstream confirm.
     [[nodiscard]] double confidence(upstreams::Slot slot) const;
     // How much more prompt work answers of the upstream turned out to need than was
-    // predicted when they were placed: 1 where predictions hold, at most MaxWorkRatio.
-    [[nodiscard]] double workRatio(upstreams::Slot slot) const;
-    static constexpr double MaxWorkRatio = 3;
+    // predicted when they were placed: 1 where predictions hold, at most MaxPrefillCorrection.
+    [[nodiscard]] double prefillCorrection(upstreams::Slot slot) const;
+    static constexpr double MaxPrefillCorrection = 3;
     // The time after which the upstream evicts a block that nobody uses.
     [[nodiscard]] base::Duration lifetime(upstreams::Slot slot) const;
 
--- a/carawaylatch/prefix/chain.cpp
+++ b/carawaylatch/prefix/chain.cpp
@@ -6,7 +6,7 @@
 namespace carawaylatch::prefix
 {
 
-std::vector<std::uint64_t> blockChain(std::string_view prompt, base::CacheSalt salt, std::uint32_t blockBytes)
+std::vector<std::uint64_t> blockHashChain(std::string_view prompt, base::CacheSalt salt, std::uint32_t blockBytes)
 {
     std::vector<std::uint64_t> keys;
     if (blockBytes == 0) {
--- a/carawaylatch/prefix/chain.h
+++ b/carawaylatch/prefix/chain.h
@@ -18,7 +18,7 @@
 constexpr std::uint32_t BytesPerToken = 4;
 
 // Returns the keys of all complete blocks in order.
-[[nodiscard]] std::vector<std::uint64_t> blockChain(std::string_view prompt, base::CacheSalt salt, std::uint32_t blockBytes);
+[[nodiscard]] std::vector<std::uint64_t> blockHashChain(std::string_view prompt, base::CacheSalt salt, std::uint32_t blockBytes);
 
 // Returns the number of tokens in a prompt.
 [[nodiscard]] std::uint32_t promptTokens(std::string_view prompt);
--- a/carawaylatch/prefix/heat.cpp
+++ b/carawaylatch/prefix/heat.cpp
@@ -24,7 +24,7 @@
 {
 
 constexpr std::size_t BucketEntries = 8;
-constexpr std::size_t Stripes = 1024;
+constexpr std::size_t LockStripes = 1024;
 constexpr std::size_t MaxHeatBlocks = 128;
 constexpr double BranchRatio = 0.7;
 constexpr std::uint8_t MaxSpread = 6; // up to 64 replicas
@@ -54,7 +54,7 @@
 struct HeatTable::Tables
 {
     std::vector<Bucket> buckets; // a power of two
-    std::array<tbb::spin_mutex, Stripes> locks;
+    std::array<tbb::spin_mutex, LockStripes> locks;
     double halfLifeMs;
 
     explicit Tables(const HeatOptions &options)
@@ -81,7 +81,7 @@
     }
 
     // Returns the key's counter, or the coldest of its bucket emptied for it. Locked by the caller.
-    Counter &claim(std::uint64_t key, std::uint32_t now)
+    Counter &findOrReplace(std::uint64_t key, std::uint32_t now)
     {
         Counter *coldest = nullptr;
         double least = 0;
@@ -101,13 +101,13 @@
 
     double add(std::uint64_t key, std::uint32_t tokens, double share, std::uint32_t now)
     {
-        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % Stripes]);
-        Counter &counter = claim(key, now);
+        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % LockStripes]);
+        Counter &counter = findOrReplace(key, now);
         counter.sum = static_cast<float>(sumAt(counter, now) + tokens);
         counter.touched = now;
         const double heat = rate(counter.sum);
-        const bool isKnown = counter.sum >= MinRequests * tokens;
-        while (share > 0 && isKnown && counter.spread < MaxSpread && heat > share * static_cast<double>(1U << counter.spread)) {
+        const bool hasEnoughRequests = counter.sum >= MinRequests * tokens;
+        while (share > 0 && hasEnoughRequests && counter.spread < MaxSpread && heat > share * static_cast<double>(1U << counter.spread)) {
             ++counter.spread;
         }
         while (counter.spread > 0 && heat < share * static_cast<double>(1U << counter.spread) / 4) {
@@ -118,7 +118,7 @@
 
     [[nodiscard]] Counter find(std::uint64_t key)
     {
-        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % Stripes]);
+        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % LockStripes]);
         for (const auto &it : buckets[bucketOf(key)].counters) {
             if (it.key == key) {
                 return it;
@@ -174,7 +174,7 @@
     HotLevels hot;
     const std::uint32_t time = milliseconds32(now);
     for (std::size_t i = 0; i < m_tables->buckets.size(); ++i) {
-        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[i % Stripes]);
+        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[i % LockStripes]);
         for (const auto &it : m_tables->buckets[i].counters) {
             const double heat = m_tables->rate(m_tables->sumAt(it, time));
             if (heat >= 1) {
@@ -196,8 +196,8 @@
 {
     const std::uint32_t time = milliseconds32(now);
     for (const auto &it : levels.levels) {
-        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[m_tables->bucketOf(it.key) % Stripes]);
-        Counter &counter = m_tables->claim(it.key, time);
+        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[m_tables->bucketOf(it.key) % LockStripes]);
+        Counter &counter = m_tables->findOrReplace(it.key, time);
         const double sum = it.heat / m_tables->rate(1);
         if (sum > m_tables->sumAt(counter, time)) {
             counter = Counter{it.key, static_cast<float>(sum), time, std::min(it.spread, MaxSpread)};
--- a/carawaylatch/prefix/manifest.cpp
+++ b/carawaylatch/prefix/manifest.cpp
@@ -18,7 +18,7 @@
         || manifest.adapter != target.adapter) {
         return base::fail(base::ErrorKind::StaleState, "the manifest belongs to another namespace or weights version; compute the prompt instead");
     }
-    const bool isExporterAlive = manifest.incarnation.value != 0 && manifest.incarnation == target.exporterNow;
+    const bool isExporterAlive = manifest.incarnation.value != 0 && manifest.incarnation == target.liveExporterIncarnation;
     if (manifest.sealing != Sealing::Sealed && !isExporterAlive) {
         return base::fail(base::ErrorKind::StaleState, "the exporter ended before it sealed the manifest; compute the prompt instead");
     }
--- a/carawaylatch/prefix/manifest.h
+++ b/carawaylatch/prefix/manifest.h
@@ -41,7 +41,7 @@
     base::ModelId model;
     base::WeightsVersion weightsVersion;
     std::string adapter;
-    base::Incarnation exporterNow; // the exporter's incarnation if it is alive, else zero
+    base::Incarnation liveExporterIncarnation; // the exporter's incarnation if it is alive, else zero
     std::vector<std::uint64_t> chain;
 };
 
--- a/carawaylatch/prefix/testing/cacheindextest.cpp
+++ b/carawaylatch/prefix/testing/cacheindextest.cpp
@@ -20,14 +20,14 @@
 {
 
 constexpr std::uint16_t Upstreams = 5;
-constexpr std::size_t Depth = 6; // blocks in a chain
+constexpr std::size_t ChainBlocks = 6; // blocks in a chain
 
 // Chain number n; chains of one family share their first half.
 std::vector<std::uint64_t> chainOf(std::uint64_t n)
 {
     std::vector<std::uint64_t> chain;
-    for (std::size_t i = 0; i < Depth; ++i) {
-        chain.push_back(base::combineHashes(i < Depth / 2 ? n / 4 : n + 1000, i + 1));
+    for (std::size_t i = 0; i < ChainBlocks; ++i) {
+        chain.push_back(base::combineHashes(i < ChainBlocks / 2 ? n / 4 : n + 1000, i + 1));
     }
     return chain;
 }
@@ -47,12 +47,12 @@
 {
     CPPUNIT_TEST_SUITE(CacheIndexTest);
     CPPUNIT_TEST(testEqualsModelWithoutLosses);
-    CPPUNIT_TEST(testNeverClaimsMoreThanThisLifeHeld);
+    CPPUNIT_TEST(testNeverClaimsMoreThanThisIncarnationHeld);
     CPPUNIT_TEST(testGapLowersConfidenceUntilAnswersConfirm);
-    CPPUNIT_TEST(testNewIncarnationVoidsOld);
+    CPPUNIT_TEST(testNewIncarnationInvalidatesOld);
     CPPUNIT_TEST(testRecordingRacesRestart);
     CPPUNIT_TEST(testAgesByMeasuredEviction);
-    CPPUNIT_TEST(testExportsToPeerThatKnowsTheLife);
+    CPPUNIT_TEST(testExportsToPeerWithSameIncarnation);
     CPPUNIT_TEST(testBytesBound);
     CPPUNIT_TEST_SUITE_END();
 
@@ -62,7 +62,7 @@
         run(0);
     }
 
-    void testNeverClaimsMoreThanThisLifeHeld()
+    void testNeverClaimsMoreThanThisIncarnationHeld()
     {
         run(8);
     }
@@ -88,14 +88,14 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, index.nextEvent(Slot{0}));
     }
 
-    void testNewIncarnationVoidsOld()
+    void testNewIncarnationInvalidatesOld()
     {
         CacheIndex index;
         const auto chain = chainOf(1);
         index.adopt(Slot{3}, base::UpstreamId{"e3"}, {7});
         index.recordPlacement(Slot{3}, {7}, chain, m_now);
         index.recordPlacement(Slot{3}, {6}, chainOf(50), m_now);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{Depth}, index.heldBlocks(Slot{3}, chain, m_now));
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{ChainBlocks}, index.heldBlocks(Slot{3}, chain, m_now));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{3}, chainOf(50), m_now));
         index.adopt(Slot{3}, base::UpstreamId{"e3"}, {8});
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{3}, chain, m_now));
@@ -107,7 +107,7 @@
         // The life number wraps without bringing old entries back.
         index.recordPlacement(Slot{3}, {8}, chain, m_now);
         for (int i = 0; i < 65'536; ++i) {
-            index.forget(Slot{3});
+            index.invalidate(Slot{3});
         }
         index.adopt(Slot{3}, base::UpstreamId{"e3"}, {9});
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{3}, chain, m_now));
@@ -142,11 +142,11 @@
         }
         CPPUNIT_ASSERT(index.lifetime(Slot{0}) == base::seconds{2});
         index.recordPlacement(Slot{0}, {1}, chain, m_now);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{Depth}, index.heldBlocks(Slot{0}, chain, m_now + base::seconds{5}));
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{ChainBlocks}, index.heldBlocks(Slot{0}, chain, m_now + base::seconds{5}));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{0}, chain, m_now + base::seconds{7}));
     }
 
-    void testExportsToPeerThatKnowsTheLife()
+    void testExportsToPeerWithSameIncarnation()
     {
         CacheIndex index;
         CacheIndex peer;
@@ -160,11 +160,11 @@
         const auto hot = index.exportHot(1000, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, hot.upstreams.size());
         peer.importHot(hot, m_now);
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{Depth}, peer.heldBlocks(Slot{7}, chainOf(0), m_now));
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{Depth}, peer.heldBlocks(Slot{6}, chainOf(4), m_now));
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{ChainBlocks}, peer.heldBlocks(Slot{7}, chainOf(0), m_now));
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{ChainBlocks}, peer.heldBlocks(Slot{6}, chainOf(4), m_now));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, peer.heldBlocks(Slot{5}, chainOf(8), m_now));
         // The bound keeps what was touched last.
-        const auto few = index.exportHot(Depth, m_now);
+        const auto few = index.exportHot(ChainBlocks, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, few.upstreams.size());
         CPPUNIT_ASSERT(few.upstreams[0].upstream == base::UpstreamId{"e0"});
     }
--- a/carawaylatch/prefix/testing/heattest.cpp
+++ b/carawaylatch/prefix/testing/heattest.cpp
@@ -34,7 +34,7 @@
     CPPUNIT_TEST(testFindsLevels);
     CPPUNIT_TEST(testShrinksLaterThanItGrew);
     CPPUNIT_TEST(testUnknownChainIsOneLevel);
-    CPPUNIT_TEST(testHandsOver);
+    CPPUNIT_TEST(testExportsAndImports);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -55,12 +55,12 @@
     void testShrinksLaterThanItGrew()
     {
         const auto hot = chainOf(0, 0, 0);
-        mix(hot, 30); // 30% of the traffic is more than two shares of an eighth
+        recordMix(hot, 30); // 30% of the traffic is more than two shares of an eighth
         const auto grown = m_heat.path(hot, m_now).levels[0].replicas;
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, grown);
-        mix(hot, 20); // below what made it grow, above half of that
+        recordMix(hot, 20); // below what made it grow, above half of that
         CPPUNIT_ASSERT_EQUAL(grown, m_heat.path(hot, m_now).levels[0].replicas);
-        mix(hot, 3);
+        recordMix(hot, 3);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, m_heat.path(hot, m_now).levels[0].replicas);
     }
 
@@ -72,10 +72,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_heat.path({}, m_now).size);
     }
 
-    void testHandsOver()
+    void testExportsAndImports()
     {
         const auto hot = chainOf(0, 0, 0);
-        mix(hot, 60);
+        recordMix(hot, 60);
         HeatTable peer;
         peer.importHot(m_heat.exportHot(100, m_now), m_now);
         CPPUNIT_ASSERT_EQUAL(m_heat.path(hot, m_now).levels[0].replicas, peer.path(hot, m_now).levels[0].replicas);
@@ -92,7 +92,7 @@
     }
 
     // A minute of traffic of which `percent` goes to one chain and the rest to many.
-    void mix(const std::vector<std::uint64_t> &hot, std::uint64_t percent)
+    void recordMix(const std::vector<std::uint64_t> &hot, std::uint64_t percent)
     {
         for (std::uint64_t i = 0; i < 1200; ++i) {
             record(i * 37 % 100 < percent ? hot : chainOf(100 + i % 90, 0, 0));
--- a/carawaylatch/prefix/testing/namespacetest.cpp
+++ b/carawaylatch/prefix/testing/namespacetest.cpp
@@ -61,7 +61,7 @@
                     for (std::uint64_t version = 0; version < 3; ++version) {
                         const auto salt = cacheSalt(base::CustomerId{customer}, base::ModelId{model}, {version}, adapter);
                         salts.insert(salt.value);
-                        for (const auto key : blockChain("aabb", salt, 2)) {
+                        for (const auto key : blockHashChain("aabb", salt, 2)) {
                             keys.insert(key);
                         }
                         ++namespaces;
@@ -83,7 +83,7 @@
             // Unique by the version alone; all other fields may coincide.
             const auto salt = cacheSalt(base::CustomerId{randomText(random, random.below(3))}, base::ModelId{randomText(random, random.below(2))},
                                         {static_cast<std::uint64_t>(i)}, randomText(random, random.below(2)));
-            for (const auto key : blockChain(prompt, salt, 100)) {
+            for (const auto key : blockHashChain(prompt, salt, 100)) {
                 keys.insert(key);
                 ++n;
             }
@@ -94,15 +94,15 @@
     void testChainNamesWholePrefix()
     {
         const base::CacheSalt salt{7};
-        const auto chain = blockChain("aaaabbbbccccd", salt, 4);
+        const auto chain = blockHashChain("aaaabbbbccccd", salt, 4);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, chain.size());
         CPPUNIT_ASSERT_EQUAL(base::hash64("aaaa", salt.value), chain[0]);
         CPPUNIT_ASSERT_EQUAL(base::hash64("bbbb", chain[0]), chain[1]);
-        const auto other = blockChain("aaaaxxxxcccc", salt, 4);
+        const auto other = blockHashChain("aaaaxxxxcccc", salt, 4);
         CPPUNIT_ASSERT_EQUAL(chain[0], other[0]);
         CPPUNIT_ASSERT(chain[2] != other[2]);
-        CPPUNIT_ASSERT(blockChain("aaa", salt, 4).empty());
-        CPPUNIT_ASSERT(blockChain("aaa", salt, 0).empty());
+        CPPUNIT_ASSERT(blockHashChain("aaa", salt, 4).empty());
+        CPPUNIT_ASSERT(blockHashChain("aaa", salt, 0).empty());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, promptTokens("aaaab"));
     }
 
@@ -122,13 +122,13 @@
              3},
             {"open, exporter alive",
              [](Manifest &, ImportTarget &target) {
-                 target.exporterNow = {5};
+                 target.liveExporterIncarnation = {5};
              },
              3},
             {"open, exporter gone", [](Manifest &, ImportTarget &) {}, -1},
             {"open, exporter restarted",
              [](Manifest &, ImportTarget &target) {
-                 target.exporterNow = {6};
+                 target.liveExporterIncarnation = {6};
              },
              -1},
             {"open, incarnation missing",
--- a/carawaylatch/router/filterchain.cpp
+++ b/carawaylatch/router/filterchain.cpp
@@ -147,8 +147,8 @@
     return base::ok();
 }
 
-Admit::Admit(admission::Gate &gate, const WaitEstimator &estimator, const base::Clock &clock)
-    : m_gate(gate)
+Admit::Admit(admission::AdmissionController &admissionController, const WaitEstimator &estimator, const base::Clock &clock)
+    : m_admissionController(admissionController)
     , m_estimator(estimator)
     , m_clock(clock)
 {
@@ -162,7 +162,7 @@
     request.tokens = prefix::promptTokens(context.prompt) + context.maxTokens;
     request.deadline = context.deadline;
     request.expectedWait = m_estimator.expectedFirstToken(context);
-    BOOST_OUTCOME_TRY(ticket, m_gate.enter(request, m_clock.now()));
+    BOOST_OUTCOME_TRY(ticket, m_admissionController.admit(request, m_clock.now()));
     context.ticket = std::move(ticket);
     return base::ok();
 }
--- a/carawaylatch/router/filterchain.h
+++ b/carawaylatch/router/filterchain.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/base/error.h"
 #include "carawaylatch/base/time.h"
 #include "carawaylatch/config/tables.h"
@@ -92,11 +92,11 @@
 class Admit : public Filter
 {
 public:
-    Admit(admission::Gate &gate, const WaitEstimator &estimator, const base::Clock &clock);
+    Admit(admission::AdmissionController &admissionController, const WaitEstimator &estimator, const base::Clock &clock);
     [[nodiscard]] base::Result<void> apply(RequestContext &context) const override;
 
 private:
-    admission::Gate &m_gate;
+    admission::AdmissionController &m_admissionController;
     const WaitEstimator &m_estimator;
     const base::Clock &m_clock;
 };
--- a/carawaylatch/router/knowledge.h
+++ b/carawaylatch/router/knowledge.h
@@ -20,7 +20,7 @@
     {
     }
 
-    [[nodiscard]] routing::RoutingKnowledge forStrategy() const
+    [[nodiscard]] routing::SharedRoutingState forStrategy() const
     {
         return {&caches, &heat, &inflight, &routers};
     }
--- a/carawaylatch/router/membercontroller.cpp
+++ b/carawaylatch/router/membercontroller.cpp
@@ -45,12 +45,12 @@
 
 } // namespace
 
-MemberController::MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::Gate &gate, const base::Endpoint &peerEndpoint,
-                                   ViewHandler onView, RevisionHandler onRevision)
+MemberController::MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
+                                   const base::Endpoint &peerEndpoint, ViewHandler onView, RevisionHandler onRevision)
     : m_parts(parts)
     , m_state(state)
     , m_bus(bus)
-    , m_gate(gate)
+    , m_admissionController(admissionController)
     , m_onView(std::move(onView))
     , m_onRevision(std::move(onRevision))
     , m_members(memberOptions(parts.settings, parts.incarnation), selfRecord(parts.settings, parts.incarnation, peerEndpoint), parts.clock.now())
@@ -64,10 +64,10 @@
     subscribe<membership::TableRequest>();
     subscribe<membership::TablePage>();
     m_bus.subscribe<admission::DemandReport>([this](const peer::PeerIdentity &sender, const admission::DemandReport &report, base::TimePoint now) {
-        m_bus.send(sender.id, m_gate.answer(report, now));
+        m_bus.send(sender.id, m_admissionController.answer(report, now));
     });
     m_bus.subscribe<admission::ShareTable>([this](const auto &, const admission::ShareTable &table, base::TimePoint now) {
-        m_gate.apply(table, now);
+        m_admissionController.apply(table, now);
     });
 }
 
@@ -178,7 +178,7 @@
         return;
     }
     const auto &to = others[m_nextShare++ % others.size()].id;
-    m_bus.send(to, m_gate.report(to, now));
+    m_bus.send(to, m_admissionController.report(to, now));
 }
 
 base::Endpoint MemberController::endpointOf(const base::RouterId &router) const
--- a/carawaylatch/router/membercontroller.h
+++ b/carawaylatch/router/membercontroller.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <memory>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/config/distributor.h"
 #include "carawaylatch/membership/memberlist.h"
 #include "carawaylatch/router/controlstate.h"
@@ -22,8 +22,8 @@
     using RevisionHandler = std::function<void(const base::RouterId &peer, base::Revision revision, base::TimePoint now)>;
 
     // All outlive the controller.
-    MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::Gate &gate, const base::Endpoint &peerEndpoint,
-                     ViewHandler onView, RevisionHandler onRevision);
+    MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
+                     const base::Endpoint &peerEndpoint, ViewHandler onView, RevisionHandler onRevision);
 
     void start(base::TimePoint now);
     void onPlatformList(std::span<const store::VmRecord> vms, base::TimePoint now);
@@ -45,7 +45,7 @@
     const ControlParts &m_parts;
     ControlState &m_state;
     PeerBus &m_bus;
-    admission::Gate &m_gate;
+    admission::AdmissionController &m_admissionController;
     const ViewHandler m_onView;
     const RevisionHandler m_onRevision;
     membership::MemberList m_members;
--- a/carawaylatch/router/operatordesk.cpp
+++ b/carawaylatch/router/operatordesk.cpp
@@ -90,7 +90,7 @@
     if (now > m_sampledAt) {
         m_controlCoreShare = base::toSeconds(used - m_sampledProcessorTime) / base::toSeconds(now - m_sampledAt);
     }
-    m_rates = customerRates(m_parts.gate, m_rates, now - m_sampledAt);
+    m_rates = customerRates(m_parts.admissionController, m_rates, now - m_sampledAt);
     m_sampledAt = now;
     m_sampledProcessorTime = used;
 }
@@ -111,7 +111,7 @@
         share = m_controlCoreShare;
         rates = m_rates;
     }
-    return buildStatus({m_parts.published, m_parts.knowledge, m_parts.gate, m_parts.metrics, std::move(self), share, std::move(rates)}, now);
+    return buildStatus({m_parts.published, m_parts.knowledge, m_parts.admissionController, m_parts.metrics, std::move(self), share, std::move(rates)}, now);
 }
 
 base::Result<void> OperatorDesk::known(const base::UpstreamId &upstream) const
--- a/carawaylatch/router/operatordesk.h
+++ b/carawaylatch/router/operatordesk.h
@@ -25,7 +25,7 @@
     base::EventLoop &loop;
     const Published &published;
     const Knowledge &knowledge;
-    const admission::Gate &gate;
+    const admission::AdmissionController &admissionController;
     telemetry::Metrics &metrics;
     TrafficPlane &traffic;
     UpstreamController &upstreams;
--- a/carawaylatch/router/routeplacer.cpp
+++ b/carawaylatch/router/routeplacer.cpp
@@ -142,7 +142,7 @@
     }
     m_version = version;
     m_salt = prefix::cacheSalt(m_context.customer->id, m_context.model, version, m_context.pool->adapter);
-    m_chain = prefix::blockChain(m_context.prompt, m_salt, m_context.pool->blockBytes);
+    m_chain = prefix::blockHashChain(m_context.prompt, m_salt, m_context.pool->blockBytes);
 }
 
 std::uint32_t RoutePlacer::bestHeld(base::TimePoint now) const
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -38,9 +38,9 @@
 constexpr base::Duration FlushPause = base::milliseconds{200};
 constexpr std::uint32_t PercentScale = 100;
 
-admission::GateOptions gateOptions(const config::Settings &settings, base::Incarnation incarnation)
+admission::AdmissionOptions admissionOptions(const config::Settings &settings, base::Incarnation incarnation)
 {
-    admission::GateOptions options;
+    admission::AdmissionOptions options;
     options.limits.router = settings.router.id;
     options.limits.incarnation = incarnation;
     options.limits.fleetSize = settings.admission.configuredRouters;
@@ -167,7 +167,7 @@
     PeerBus m_bus{m_transport, m_loop};
 
     // Traffic.
-    admission::Gate m_gate;
+    admission::AdmissionController m_admissionController;
     relay::AttemptIds m_attemptIds;
     relay::RetryBudgets m_budgets;
     relay::HedgeDelays m_hedgeDelays;
@@ -254,13 +254,13 @@
 };
 
 Router::Impl::Controllers::Controllers(Impl &router)
-    : upstreams(router.m_controlParts, router.m_state, router.m_bus, router.m_upstreamClient, router.m_gate, router.m_metrics)
+    : upstreams(router.m_controlParts, router.m_state, router.m_bus, router.m_upstreamClient, router.m_admissionController, router.m_metrics)
     , config(router.m_controlParts, router.m_bus,
              [&router](const auto &tables, base::TimePoint now) {
                  router.applyTables(tables, now);
              })
     , members(
-          router.m_controlParts, router.m_state, router.m_bus, router.m_gate, router.m_transport.endpoint(),
+          router.m_controlParts, router.m_state, router.m_bus, router.m_admissionController, router.m_transport.endpoint(),
           [this](const auto &view, base::TimePoint now) {
               config.onMembers(view, now);
           },
@@ -272,8 +272,8 @@
                  router.onList(vms, now);
              })
     , handover(router.m_controlParts, router.m_state, router.m_bus, duties.platformLoop(), {config, members, upstreams}, router.shutdownHooks())
-    , desk({router.m_settings, router.m_incarnation, router.m_clock, router.m_loop, router.m_published, router.m_knowledge, router.m_gate, router.m_metrics,
-            *router.m_traffic, upstreams, router.m_transport, router.m_objects})
+    , desk({router.m_settings, router.m_incarnation, router.m_clock, router.m_loop, router.m_published, router.m_knowledge, router.m_admissionController,
+            router.m_metrics, *router.m_traffic, upstreams, router.m_transport, router.m_objects})
 {
 }
 
@@ -283,7 +283,7 @@
     , m_objects({settings.platform.address, settings.platform.port}, settings.router.failureDomain, settings.platform.timeout)
     , m_controlParts{m_settings, m_clock, m_incarnation, m_loop, m_objects, m_knowledge, m_published}
     , m_transport(transportOptions(settings, m_incarnation))
-    , m_gate(gateOptions(settings, m_incarnation), m_clock)
+    , m_admissionController(admissionOptions(settings, m_incarnation), m_clock)
     , m_attemptIds(settings.router.id, m_incarnation)
     , m_budgets(budgetOptions(settings))
     , m_engineClient(ConnectTimeout,
@@ -315,7 +315,7 @@
         });
     };
     m_traffic = std::make_unique<TrafficPlane>(TrafficParts{{m_published, m_knowledge, *m_strategy, m_clock, onAttempt},
-                                                            m_gate,
+                                                            m_admissionController,
                                                             m_relay,
                                                             m_orderDesk,
                                                             m_serviceClient,
@@ -358,7 +358,7 @@
 {
     m_metrics.learnTables(*tables);
     m_metrics.setRevision(tables->revision);
-    m_gate.configure(*tables, now);
+    m_admissionController.configure(*tables, now);
     m_state.setTables(tables);
     m_controllers->upstreams.configure(*tables, now);
     m_controllers->members.setRevision(tables->revision);
@@ -377,7 +377,7 @@
         return m_traffic->openRequests();
     };
     hooks.refuseRequests = [this] {
-        m_gate.stop();
+        m_admissionController.stop();
     };
     hooks.exit = [this] {
         noteStopped(StopKind::Graceful);
--- a/carawaylatch/router/statusbuilder.cpp
+++ b/carawaylatch/router/statusbuilder.cpp
@@ -96,14 +96,14 @@
     return it == rates.end() ? nullptr : &*it;
 }
 
-void addCustomers(telemetry::StatusReport &report, const config::Tables &tables, const admission::Gate &gate, std::span<const CustomerRate> rates,
-                  base::TimePoint now)
+void addCustomers(telemetry::StatusReport &report, const config::Tables &tables, const admission::AdmissionController &admissionController,
+                  std::span<const CustomerRate> rates, base::TimePoint now)
 {
-    const auto figures = gate.figures();
+    const auto figures = admissionController.stats();
     for (const auto &customer : tables.customers) {
         telemetry::CustomerStatus row;
         row.id = customer.id;
-        row.running = gate.inFlight(customer.id);
+        row.running = admissionController.inFlight(customer.id);
         if (const auto *rate = findRate(rates, customer.id)) {
             row.requestsPerSecond = rate->perSecond;
         }
@@ -111,10 +111,10 @@
             row.waiting += it.customer == customer.id ? it.waiting : 0;
         }
         if (customer.concurrency > 0) {
-            row.concurrencyShare = gate.share(customer.id, admission::Resource::Concurrency, now);
+            row.concurrencyShare = admissionController.share(customer.id, admission::Resource::Concurrency, now);
         }
         if (customer.requestsPerSecond > 0) {
-            row.rateShare = static_cast<double>(gate.share(customer.id, admission::Resource::Rate, now)) / admission::RateUnitsPerRequest;
+            row.rateShare = static_cast<double>(admissionController.share(customer.id, admission::Resource::Rate, now)) / admission::RateUnitsPerRequest;
         }
         report.customers.push_back(row);
     }
@@ -122,10 +122,11 @@
 
 } // namespace
 
-std::vector<CustomerRate> customerRates(const admission::Gate &gate, std::span<const CustomerRate> earlier, base::Duration interval)
+std::vector<CustomerRate> customerRates(const admission::AdmissionController &admissionController, std::span<const CustomerRate> earlier,
+                                        base::Duration interval)
 {
     std::vector<CustomerRate> rates;
-    for (const auto &it : gate.figures()) {
+    for (const auto &it : admissionController.stats()) {
         if (rates.empty() || rates.back().customer != it.customer) {
             rates.push_back({it.customer, 0, 0});
         }
@@ -151,7 +152,7 @@
         report.router.revision = snapshot->tables->revision;
         addPools(report, *snapshot, sources.knowledge, now);
         addRoutes(report, *snapshot->tables);
-        addCustomers(report, *snapshot->tables, sources.gate, sources.rates, now);
+        addCustomers(report, *snapshot->tables, sources.admissionController, sources.rates, now);
     }
     report.totals = sources.metrics.totals();
     report.controlCoreShare = sources.controlCoreShare;
--- a/carawaylatch/router/statusbuilder.h
+++ b/carawaylatch/router/statusbuilder.h
@@ -5,7 +5,7 @@
 #include <span>
 #include <vector>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/router/knowledge.h"
 #include "carawaylatch/router/published.h"
 #include "carawaylatch/telemetry/metrics.h"
@@ -23,14 +23,15 @@
 };
 
 // Returns the rates over an interval that began with `earlier`.
-[[nodiscard]] std::vector<CustomerRate> customerRates(const admission::Gate &gate, std::span<const CustomerRate> earlier, base::Duration interval);
+[[nodiscard]] std::vector<CustomerRate> customerRates(const admission::AdmissionController &admissionController, std::span<const CustomerRate> earlier,
+                                                      base::Duration interval);
 
 // Parts that the report is made of.
 struct StatusSources
 {
     const Published &published;
     const Knowledge &knowledge;
-    const admission::Gate &gate;
+    const admission::AdmissionController &admissionController;
     const telemetry::Metrics &metrics;
     telemetry::RouterStatus self; // without what the snapshot holds
     double controlCoreShare = 0;
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -129,7 +129,7 @@
         it->push_back(std::make_unique<MatchRoute>());
         it->push_back(std::make_unique<CheckSize>());
     }
-    m_filters.push_back(std::make_unique<Admit>(m_parts.gate, *this, m_parts.placing.clock));
+    m_filters.push_back(std::make_unique<Admit>(m_parts.admissionController, *this, m_parts.placing.clock));
 }
 
 TrafficPlane::~TrafficPlane() = default;
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/http/callerhandler.h"
 #include "carawaylatch/orders/orderdesk.h"
 #include "carawaylatch/relay/relaydriver.h"
@@ -23,7 +23,7 @@
 struct TrafficParts
 {
     PlacingParts placing;
-    admission::Gate &gate;
+    admission::AdmissionController &admissionController;
     relay::RelayDriver &relay;
     orders::OrderDesk &desk;
     orders::ServiceConnection &services;
--- a/carawaylatch/router/upstreamcontroller.cpp
+++ b/carawaylatch/router/upstreamcontroller.cpp
@@ -27,12 +27,12 @@
 
 } // namespace
 
-UpstreamController::UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client, admission::Gate &gate,
-                                       telemetry::Metrics &metrics)
+UpstreamController::UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
+                                       admission::AdmissionController &admissionController, telemetry::Metrics &metrics)
     : m_parts(parts)
     , m_state(state)
     , m_bus(bus)
-    , m_gate(gate)
+    , m_admissionController(admissionController)
     , m_metrics(metrics)
     , m_poller(client, parts.knowledge.caches, parts.settings.timings.loadPoll,
                [this](const auto &id, const auto &report) {
@@ -154,7 +154,7 @@
         auto &caches = m_parts.knowledge.caches;
         m_parts.knowledge.inflight.onIncarnation(adopted->slot);
         if (adopted->incarnation.value == 0) {
-            caches.forget(adopted->slot);
+            caches.invalidate(adopted->slot);
         } else {
             caches.adopt(adopted->slot, adopted->upstream, adopted->incarnation);
         }
@@ -236,7 +236,7 @@
         }
         m_metrics.setUpstreamState(it.id, shownState(it.state));
     }
-    m_gate.setCapacity(std::max(MinCapacity, capacity));
+    m_admissionController.setCapacity(std::max(MinCapacity, capacity));
 }
 
 std::vector<base::RouterId> UpstreamController::otherRouters() const
--- a/carawaylatch/router/upstreamcontroller.h
+++ b/carawaylatch/router/upstreamcontroller.h
@@ -8,7 +8,7 @@
 #include <span>
 #include <vector>
 
-#include "carawaylatch/admission/gate.h"
+#include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/base/hash.h"
 #include "carawaylatch/http/upstreamclient.h"
 #include "carawaylatch/router/controlstate.h"
@@ -26,8 +26,8 @@
 {
 public:
     // All outlive the controller.
-    UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client, admission::Gate &gate,
-                       telemetry::Metrics &metrics);
+    UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
+                       admission::AdmissionController &admissionController, telemetry::Metrics &metrics);
 
     void start(base::TimePoint now);
     void stop();
@@ -55,7 +55,7 @@
     const ControlParts &m_parts;
     ControlState &m_state;
     PeerBus &m_bus;
-    admission::Gate &m_gate;
+    admission::AdmissionController &m_admissionController;
     telemetry::Metrics &m_metrics;
     upstreams::Registry m_registry;
     UpstreamPoller m_poller;
--- a/carawaylatch/routing/adaptive.cpp
+++ b/carawaylatch/routing/adaptive.cpp
@@ -34,28 +34,28 @@
 namespace
 {
 
-constexpr std::size_t ScanLimit = 32; // pools up to this size are looked at whole
-constexpr std::size_t LoadSamples = 8;
+constexpr std::size_t MaxScannedUpstreams = 32; // pools up to this size are looked at whole
+constexpr std::size_t SampleCount = 8;
 // Share of a copy's prefill that is charged for the blocks it displaces.
-constexpr double Displacement = 0.25;
+constexpr double DisplacementCostRatio = 0.25;
 // Extra weight of computed tokens for each second of typical wait.
-constexpr double PressurePerSecond = 32;
+constexpr double MissWeightPerSecond = 32;
 // Waits above this many medians and seconds are cut off in the typical wait.
 constexpr double OutlierRatio = 2;
 constexpr double OutlierSeconds = 0.5;
 // Waits closer than this are taken as equal, since estimates are no finer.
-constexpr double WaitNoise = 0.05;
+constexpr double WaitNoiseRatio = 0.05;
 
 // Typical wait over the options in seconds: the mean, with outliers cut off so that
 // one upstream with a long queue doesn't make the others look busy.
-double typicalWait(const std::vector<Option> &options)
+double typicalWait(const std::vector<UpstreamEstimate> &estimates)
 {
-    if (options.empty()) {
+    if (estimates.empty()) {
         return 0;
     }
     std::vector<double> waits;
-    waits.reserve(options.size());
-    for (const auto &it : options) {
+    waits.reserve(estimates.size());
+    for (const auto &it : estimates) {
         waits.push_back(base::toSeconds(it.queue.wait));
     }
     const auto middle = waits.begin() + static_cast<std::ptrdiff_t>(waits.size() / 2);
@@ -70,67 +70,67 @@
 
 } // namespace
 
-AdaptiveStrategy::AdaptiveStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : ScoringStrategy(knowledge, seed)
+AdaptiveStrategy::AdaptiveStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : ScoringStrategy(sharedState, seed)
 {
 }
 
 std::uint32_t AdaptiveStrategy::assumedRouters() const
 {
-    return knowledge().routers->load(std::memory_order_relaxed);
+    return sharedState().routers->load(std::memory_order_relaxed);
 }
 
-double AdaptiveStrategy::workRatio(upstreams::Slot slot) const
+double AdaptiveStrategy::prefillCorrection(upstreams::Slot slot) const
 {
-    return knowledge().caches->workRatio(slot);
+    return sharedState().caches->prefillCorrection(slot);
 }
 
-std::vector<std::uint32_t> AdaptiveStrategy::homes(const Decision &decision) const
+std::vector<std::uint32_t> AdaptiveStrategy::homes(const PlacementContext &context) const
 {
-    const auto &request = decision.request;
+    const auto &request = context.request;
     if (request.chain.empty()) {
         return {};
     }
-    return homeSet(decision.view, decision.pool, knowledge().heat->path(request.chain, request.now));
+    return homeSet(context.view, context.pool, sharedState().heat->path(request.chain, request.now));
 }
 
-std::vector<std::uint32_t> AdaptiveStrategy::prefilter(const Decision &decision) const
+std::vector<std::uint32_t> AdaptiveStrategy::prefilter(const PlacementContext &context) const
 {
-    if (decision.pool.eligible.size() <= ScanLimit) {
-        return decision.pool.eligible;
+    if (context.pool.eligible.size() <= MaxScannedUpstreams) {
+        return context.pool.eligible;
     }
-    std::vector<std::uint32_t> indexes = decision.homes;
-    const auto drawn = sample(decision, LoadSamples);
-    indexes.insert(indexes.end(), drawn.begin(), drawn.end());
-    addHolders(decision, indexes);
+    std::vector<std::uint32_t> indexes = context.homes;
+    const auto sampled = sample(context, SampleCount);
+    indexes.insert(indexes.end(), sampled.begin(), sampled.end());
+    addHolders(context, indexes);
     return indexes;
 }
 
-void AdaptiveStrategy::score(const Decision &decision, std::vector<Option> &options) const
+void AdaptiveStrategy::score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const
 {
-    const auto &home = decision.homes;
-    const auto &request = decision.request;
-    const double pressure = 1 + PressurePerSecond * typicalWait(options);
-    for (auto &it : options) {
-        const auto &status = decision.view.upstreams[it.index];
-        const double held = static_cast<double>(request.promptTokens - it.missingTokens) * knowledge().caches->confidence(status.slot);
+    const auto &home = context.homes;
+    const auto &request = context.request;
+    const double missWeight = 1 + MissWeightPerSecond * typicalWait(estimates);
+    for (auto &it : estimates) {
+        const auto &status = context.view.upstreams[it.index];
+        const double held = static_cast<double>(request.promptTokens - it.missingTokens) * sharedState().caches->confidence(status.slot);
         const double missing = request.promptTokens - held;
         const bool isHome = std::find(home.begin(), home.end(), it.index) != home.end();
         const bool isFull = status.load.usedBlocks >= status.load.capacityBlocks;
         const double copied = isHome || !isFull ? 0 : missing;
-        it.penalty = prefillTime(copied * Displacement, it.queue);
-        const double noise = 1 + WaitNoise * static_cast<double>(draw() % 1024) / 1024;
-        it.score = base::toSeconds(it.queue.wait) * noise + pressure * base::toSeconds(prefillTime(missing, it.queue)) + base::toSeconds(it.penalty);
+        it.penalty = prefillTime(copied * DisplacementCostRatio, it.queue);
+        const double noise = 1 + WaitNoiseRatio * static_cast<double>(nextRandom() % 1024) / 1024;
+        it.score = base::toSeconds(it.queue.wait) * noise + missWeight * base::toSeconds(prefillTime(missing, it.queue)) + base::toSeconds(it.penalty);
     }
 }
 
-Explanation AdaptiveStrategy::describe(const Decision &decision) const
+Explanation AdaptiveStrategy::describe(const PlacementContext &context) const
 {
     Explanation explanation;
-    const auto path = knowledge().heat->path(decision.request.chain, decision.request.now);
+    const auto path = sharedState().heat->path(context.request.chain, context.request.now);
     if (path.size > 0) {
         explanation.homeBlocks = path.levels[path.size - 1].blocks;
-        explanation.homeReplicas = static_cast<std::uint32_t>(decision.homes.size());
+        explanation.homeReplicas = static_cast<std::uint32_t>(context.homes.size());
     }
     return explanation;
 }
--- a/carawaylatch/routing/adaptive.h
+++ b/carawaylatch/routing/adaptive.h
@@ -10,15 +10,15 @@
 class AdaptiveStrategy : public ScoringStrategy
 {
 public:
-    AdaptiveStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    AdaptiveStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 protected:
-    [[nodiscard]] std::vector<std::uint32_t> homes(const Decision &decision) const override;
-    [[nodiscard]] std::vector<std::uint32_t> prefilter(const Decision &decision) const override;
-    void score(const Decision &decision, std::vector<Option> &options) const override;
+    [[nodiscard]] std::vector<std::uint32_t> homes(const PlacementContext &context) const override;
+    [[nodiscard]] std::vector<std::uint32_t> prefilter(const PlacementContext &context) const override;
+    void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
     [[nodiscard]] std::uint32_t assumedRouters() const override;
-    [[nodiscard]] double workRatio(upstreams::Slot slot) const override;
-    [[nodiscard]] Explanation describe(const Decision &decision) const override;
+    [[nodiscard]] double prefillCorrection(upstreams::Slot slot) const override;
+    [[nodiscard]] Explanation describe(const PlacementContext &context) const override;
 };
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/baselines.cpp
+++ b/carawaylatch/routing/baselines.cpp
@@ -15,125 +15,125 @@
 namespace
 {
 
-constexpr std::size_t ScanLimit = 64; // pools up to this size are looked at whole
-constexpr std::size_t LoadSamples = 16;
+constexpr std::size_t MaxScannedUpstreams = 64; // pools up to this size are looked at whole
+constexpr std::size_t SampleCount = 16;
 constexpr double LoadBound = 1.25;
 constexpr double ImbalanceRequests = 8;
 constexpr double ImbalanceRatio = 1.5;
 
-std::size_t sampleSize(const Decision &decision)
+std::size_t sampleSize(const PlacementContext &context)
 {
-    return decision.pool.eligible.size() <= ScanLimit ? ScanLimit : LoadSamples;
+    return context.pool.eligible.size() <= MaxScannedUpstreams ? MaxScannedUpstreams : SampleCount;
 }
 
 } // namespace
 
-RandomStrategy::RandomStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : ScoringStrategy(knowledge, seed)
+RandomStrategy::RandomStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : ScoringStrategy(sharedState, seed)
 {
 }
 
-std::vector<std::uint32_t> RandomStrategy::prefilter(const Decision &decision) const
+std::vector<std::uint32_t> RandomStrategy::prefilter(const PlacementContext &context) const
 {
-    const auto &eligible = decision.pool.eligible;
-    return eligible.empty() ? eligible : std::vector<std::uint32_t>{eligible[draw() % eligible.size()]};
+    const auto &eligible = context.pool.eligible;
+    return eligible.empty() ? eligible : std::vector<std::uint32_t>{eligible[nextRandom() % eligible.size()]};
 }
 
-void RandomStrategy::score(const Decision &, std::vector<Option> &options) const
+void RandomStrategy::score(const PlacementContext &, std::vector<UpstreamEstimate> &estimates) const
 {
-    for (auto &it : options) {
-        it.score = static_cast<double>(draw());
+    for (auto &it : estimates) {
+        it.score = static_cast<double>(nextRandom());
     }
 }
 
-RoundRobinStrategy::RoundRobinStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : ScoringStrategy(knowledge, seed)
+RoundRobinStrategy::RoundRobinStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : ScoringStrategy(sharedState, seed)
     , m_turn(seed)
 {
 }
 
-std::vector<std::uint32_t> RoundRobinStrategy::prefilter(const Decision &decision) const
+std::vector<std::uint32_t> RoundRobinStrategy::prefilter(const PlacementContext &context) const
 {
-    const auto &eligible = decision.pool.eligible;
+    const auto &eligible = context.pool.eligible;
     return eligible.empty() ? eligible : std::vector<std::uint32_t>{eligible[m_turn.fetch_add(1, std::memory_order_relaxed) % eligible.size()]};
 }
 
-void RoundRobinStrategy::score(const Decision &, std::vector<Option> &options) const
+void RoundRobinStrategy::score(const PlacementContext &, std::vector<UpstreamEstimate> &estimates) const
 {
     // More than one option only if the one in turn may not be chosen.
-    const std::uint64_t turn = options.size() > 1 ? m_turn.fetch_add(1, std::memory_order_relaxed) : 0;
-    for (std::size_t i = 0; i < options.size(); ++i) {
-        options[i].score = i == turn % options.size() ? 0 : 1;
+    const std::uint64_t turn = estimates.size() > 1 ? m_turn.fetch_add(1, std::memory_order_relaxed) : 0;
+    for (std::size_t i = 0; i < estimates.size(); ++i) {
+        estimates[i].score = i == turn % estimates.size() ? 0 : 1;
     }
 }
 
-LeastLoadedStrategy::LeastLoadedStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : ScoringStrategy(knowledge, seed)
+LeastLoadedStrategy::LeastLoadedStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : ScoringStrategy(sharedState, seed)
 {
 }
 
-std::vector<std::uint32_t> LeastLoadedStrategy::prefilter(const Decision &decision) const
+std::vector<std::uint32_t> LeastLoadedStrategy::prefilter(const PlacementContext &context) const
 {
-    return sample(decision, sampleSize(decision));
+    return sample(context, sampleSize(context));
 }
 
-void LeastLoadedStrategy::score(const Decision &, std::vector<Option> &options) const
+void LeastLoadedStrategy::score(const PlacementContext &, std::vector<UpstreamEstimate> &estimates) const
 {
-    for (auto &it : options) {
+    for (auto &it : estimates) {
         it.score = it.queue.requests;
     }
 }
 
-RendezvousStrategy::RendezvousStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : ScoringStrategy(knowledge, seed)
+RendezvousStrategy::RendezvousStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : ScoringStrategy(sharedState, seed)
 {
 }
 
-std::vector<std::uint32_t> RendezvousStrategy::prefilter(const Decision &decision) const
+std::vector<std::uint32_t> RendezvousStrategy::prefilter(const PlacementContext &context) const
 {
     constexpr std::size_t Homes = 16;
-    return homeOrder(decision.view, decision.pool, spreadKey(decision), std::max(Homes, sampleSize(decision)));
+    return homeOrder(context.view, context.pool, spreadKey(context), std::max(Homes, sampleSize(context)));
 }
 
-void RendezvousStrategy::score(const Decision &decision, std::vector<Option> &options) const
+void RendezvousStrategy::score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const
 {
     double requests = 0;
-    for (const auto &it : options) {
+    for (const auto &it : estimates) {
         requests += it.queue.requests;
     }
-    const double bound = LoadBound * (requests + 1) / static_cast<double>(std::max<std::size_t>(options.size(), 1));
-    const auto order = homeOrder(decision.view, decision.pool, spreadKey(decision), decision.pool.eligible.size());
-    for (auto &it : options) {
+    const double bound = LoadBound * (requests + 1) / static_cast<double>(std::max<std::size_t>(estimates.size(), 1));
+    const auto order = homeOrder(context.view, context.pool, spreadKey(context), context.pool.eligible.size());
+    for (auto &it : estimates) {
         const auto rank = static_cast<double>(std::find(order.begin(), order.end(), it.index) - order.begin());
         const bool isFull = it.queue.requests > bound;
         it.score = rank + (isFull ? static_cast<double>(order.size()) : 0);
     }
 }
 
-PrefixIndexStrategy::PrefixIndexStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : ScoringStrategy(knowledge, seed)
+PrefixIndexStrategy::PrefixIndexStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : ScoringStrategy(sharedState, seed)
 {
 }
 
-std::vector<std::uint32_t> PrefixIndexStrategy::prefilter(const Decision &decision) const
+std::vector<std::uint32_t> PrefixIndexStrategy::prefilter(const PlacementContext &context) const
 {
-    std::vector<std::uint32_t> indexes = sample(decision, sampleSize(decision));
-    addHolders(decision, indexes);
+    std::vector<std::uint32_t> indexes = sample(context, sampleSize(context));
+    addHolders(context, indexes);
     return indexes;
 }
 
-void PrefixIndexStrategy::score(const Decision &, std::vector<Option> &options) const
+void PrefixIndexStrategy::score(const PlacementContext &, std::vector<UpstreamEstimate> &estimates) const
 {
-    const auto [least, most] = std::minmax_element(options.begin(), options.end(), [](const Option &left, const Option &right) {
+    const auto [least, most] = std::minmax_element(estimates.begin(), estimates.end(), [](const UpstreamEstimate &left, const UpstreamEstimate &right) {
         return left.queue.requests < right.queue.requests;
     });
-    if (least == options.end()) {
+    if (least == estimates.end()) {
         return;
     }
     constexpr double BlockWeight = 1e6; // a held block outweighs any number of requests
-    const bool isUneven = most->queue.requests - least->queue.requests > ImbalanceRequests && most->queue.requests > ImbalanceRatio * least->queue.requests;
-    for (auto &it : options) {
-        it.score = it.queue.requests - (isUneven ? 0 : BlockWeight * it.heldBlocks);
+    const bool isImbalanced = most->queue.requests - least->queue.requests > ImbalanceRequests && most->queue.requests > ImbalanceRatio * least->queue.requests;
+    for (auto &it : estimates) {
+        it.score = it.queue.requests - (isImbalanced ? 0 : BlockWeight * it.heldBlocks);
     }
 }
 
--- a/carawaylatch/routing/baselines.h
+++ b/carawaylatch/routing/baselines.h
@@ -10,22 +10,22 @@
 class RandomStrategy : public ScoringStrategy
 {
 public:
-    RandomStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    RandomStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 protected:
-    [[nodiscard]] std::vector<std::uint32_t> prefilter(const Decision &decision) const override;
-    void score(const Decision &decision, std::vector<Option> &options) const override;
+    [[nodiscard]] std::vector<std::uint32_t> prefilter(const PlacementContext &context) const override;
+    void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
 };
 
 // Each eligible upstream in turn.
 class RoundRobinStrategy : public ScoringStrategy
 {
 public:
-    RoundRobinStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    RoundRobinStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 protected:
-    [[nodiscard]] std::vector<std::uint32_t> prefilter(const Decision &decision) const override;
-    void score(const Decision &decision, std::vector<Option> &options) const override;
+    [[nodiscard]] std::vector<std::uint32_t> prefilter(const PlacementContext &context) const override;
+    void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
 
 private:
     mutable std::atomic<std::uint64_t> m_turn;
@@ -35,11 +35,11 @@
 class LeastLoadedStrategy : public ScoringStrategy
 {
 public:
-    LeastLoadedStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    LeastLoadedStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 protected:
-    [[nodiscard]] std::vector<std::uint32_t> prefilter(const Decision &decision) const override;
-    void score(const Decision &decision, std::vector<Option> &options) const override;
+    [[nodiscard]] std::vector<std::uint32_t> prefilter(const PlacementContext &context) const override;
+    void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
 };
 
 // Rendezvous hash of the first block with bounded load (Mirrokni, Thorup and
@@ -47,22 +47,22 @@
 class RendezvousStrategy : public ScoringStrategy
 {
 public:
-    RendezvousStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    RendezvousStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 protected:
-    [[nodiscard]] std::vector<std::uint32_t> prefilter(const Decision &decision) const override;
-    void score(const Decision &decision, std::vector<Option> &options) const override;
+    [[nodiscard]] std::vector<std::uint32_t> prefilter(const PlacementContext &context) const override;
+    void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
 };
 
 // Most held blocks while the load is even, fewest requests where it is not.
 class PrefixIndexStrategy : public ScoringStrategy
 {
 public:
-    PrefixIndexStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    PrefixIndexStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 protected:
-    [[nodiscard]] std::vector<std::uint32_t> prefilter(const Decision &decision) const override;
-    void score(const Decision &decision, std::vector<Option> &options) const override;
+    [[nodiscard]] std::vector<std::uint32_t> prefilter(const PlacementContext &context) const override;
+    void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
 };
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/estimate.cpp
+++ b/carawaylatch/routing/estimate.cpp
@@ -1,6 +1,6 @@
 // Queue estimates.
 //
-//   queue = max( reported + routers * sentSince - rate * age,  ownWaiting )
+//   queue = max( reported + routers * sentSince - rate * age,  ownWaitingTokens )
 //
 // The report says what stood at the upstream `age` ago. Since then it computed at
 // most rate * age, and got what the routers sent. This router knows its own part
@@ -28,17 +28,17 @@
 constexpr double DefaultTokensPerSecond = 10'000; // until an upstream reported its own
 } // namespace
 
-QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuestion &question)
+QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuery &query)
 {
     QueueEstimate queue;
     queue.tokensPerSecond = status.load.prefillTokensPerSecond > 0 ? status.load.prefillTokensPerSecond : DefaultTokensPerSecond;
-    const double age = std::max(0.0, base::toSeconds(question.now - status.loadAt));
-    const double routers = std::max(1U, question.routers);
-    const auto ownWaiting = static_cast<double>(own.tokensBeforeFirst);
+    const double age = std::max(0.0, base::toSeconds(query.now - status.loadAt));
+    const double routers = std::max(1U, query.routers);
+    const auto ownWaitingTokens = static_cast<double>(own.tokensBeforeFirst);
     const double corrected = static_cast<double>(status.load.queuedTokens) + static_cast<double>(own.tokensSince) * routers - queue.tokensPerSecond * age;
-    queue.tokens = std::max(corrected, ownWaiting) * question.workRatio;
-    if (question.trafficClass == base::TrafficClass::Interactive && ownWaiting > 0) {
-        queue.tokens *= 1 - static_cast<double>(std::min(own.batchBeforeFirst, own.tokensBeforeFirst)) / ownWaiting;
+    queue.tokens = std::max(corrected, ownWaitingTokens) * query.prefillCorrection;
+    if (query.trafficClass == base::TrafficClass::Interactive && ownWaitingTokens > 0) {
+        queue.tokens *= 1 - static_cast<double>(std::min(own.batchBeforeFirst, own.tokensBeforeFirst)) / ownWaitingTokens;
     }
     queue.requests = status.load.running + status.load.waiting + static_cast<double>(own.requestsSince) * routers;
     queue.wait = prefillTime(queue.tokens, queue);
--- a/carawaylatch/routing/estimate.h
+++ b/carawaylatch/routing/estimate.h
@@ -19,16 +19,16 @@
 };
 
 // Who asks: interactive requests pass waiting batch work.
-struct QueueQuestion
+struct QueueQuery
 {
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
     std::uint32_t routers = 1; // that are taken to send as much as this one does
-    double workRatio = 1; // prompt work that answers needed over what was predicted
+    double prefillCorrection = 1; // prompt work that answers needed over what was predicted
     base::TimePoint now;
 };
 
 // Corrects the last report by the time that passed and by what was sent since.
-[[nodiscard]] QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuestion &question);
+[[nodiscard]] QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuery &query);
 
 // Returns the time to compute that many prompt tokens.
 [[nodiscard]] base::Duration prefillTime(double tokens, const QueueEstimate &queue);
--- a/carawaylatch/routing/rendezvous.cpp
+++ b/carawaylatch/routing/rendezvous.cpp
@@ -26,7 +26,7 @@
 };
 
 // Keeps the first n of the set in the key's order.
-void narrow(const upstreams::UpstreamView &view, std::uint64_t key, std::size_t n, std::vector<std::uint32_t> &set)
+void keepHighestRanked(const upstreams::UpstreamView &view, std::uint64_t key, std::size_t n, std::vector<std::uint32_t> &set)
 {
     std::vector<Ranked> ranked;
     ranked.reserve(set.size());
@@ -72,7 +72,7 @@
     const std::size_t group = pool.groupEnds.size() == 1 ? 0 : chooseGroup(pool, key);
     const auto begin = static_cast<std::ptrdiff_t>(group == 0 ? 0 : pool.groupEnds[group - 1]);
     std::vector<std::uint32_t> set(pool.eligible.begin() + begin, pool.eligible.begin() + static_cast<std::ptrdiff_t>(pool.groupEnds[group]));
-    narrow(view, key, n, set);
+    keepHighestRanked(view, key, n, set);
     return set;
 }
 
@@ -83,7 +83,7 @@
     }
     std::vector<std::uint32_t> set = homeOrder(view, pool, path.levels[0].key, path.levels[0].replicas);
     for (std::size_t i = 1; i < path.size && set.size() > 1; ++i) {
-        narrow(view, path.levels[i].key, path.levels[i].replicas, set);
+        keepHighestRanked(view, path.levels[i].key, path.levels[i].replicas, set);
     }
     return set;
 }
