--- a/carawaylatch/routing/scoring.cpp
+++ b/carawaylatch/routing/scoring.cpp
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr base::Duration ViewRetry = base::milliseconds{100};
+constexpr base::Duration ViewRetryDelay = base::milliseconds{100};
 constexpr base::Duration MinImportSaving = base::milliseconds{20};
 
 bool isExcluded(const PlacementRequest &request, const base::UpstreamId &id)
@@ -26,47 +26,47 @@
     return std::find(request.excluded.begin(), request.excluded.end(), id) != request.excluded.end();
 }
 
-bool isAllowed(const Decision &decision, std::uint32_t index)
+bool isAllowed(const PlacementContext &context, std::uint32_t index)
 {
-    const auto &status = decision.view.upstreams[index];
-    return status.takesWork(decision.request.now) && !isExcluded(decision.request, status.id);
+    const auto &status = context.view.upstreams[index];
+    return status.takesWork(context.request.now) && !isExcluded(context.request, status.id);
 }
 
 // The earliest time from now at which the upstream may take work again.
 base::Duration retryAfter(const upstreams::UpstreamStatus &status, base::TimePoint now)
 {
-    constexpr base::Duration LoadingRetry = base::milliseconds{600};
-    constexpr base::Duration LongRetry = base::seconds{1};
+    constexpr base::Duration LoadingRetryDelay = base::milliseconds{600};
+    constexpr base::Duration LongRetryDelay = base::seconds{1};
     switch (status.state) {
     case upstreams::UpstreamState::Ejected:
         return std::max<base::Duration>(status.ejectedUntil - now, base::milliseconds{1});
     case upstreams::UpstreamState::Loading:
-        return LoadingRetry;
+        return LoadingRetryDelay;
     case upstreams::UpstreamState::Live:
     case upstreams::UpstreamState::Suspect:
     case upstreams::UpstreamState::Unknown:
         return 2 * upstreams::PollPeriod;
     case upstreams::UpstreamState::Dead:
     case upstreams::UpstreamState::Leaving:
-        return LongRetry;
+        return LongRetryDelay;
     }
-    return LongRetry;
+    return LongRetryDelay;
 }
 
-base::Error noUpstream(const Decision &decision)
+base::Error noUpstreamError(const PlacementContext &context)
 {
     base::Duration earliest = base::seconds{1};
-    for (const std::uint32_t it : decision.pool.members) {
-        earliest = std::min(earliest, retryAfter(decision.view.upstreams[it], decision.request.now));
+    for (const std::uint32_t it : context.pool.members) {
+        earliest = std::min(earliest, retryAfter(context.view.upstreams[it], context.request.now));
     }
-    return base::fail(base::ErrorKind::Unavailable, "no upstream of pool " + decision.pool.name.value() + " takes new work; retry after the time given",
+    return base::fail(base::ErrorKind::Unavailable, "no upstream of pool " + context.pool.name.value() + " takes new work; retry after the time given",
                       earliest);
 }
 
 base::Result<const upstreams::PoolView *> findPool(const PlacementRequest &request, const upstreams::UpstreamView &view)
 {
     if (!view.isUsable(request.now)) {
-        return base::fail(base::ErrorKind::Unavailable, "the router's view of upstreams is out of date; retry after the time given", ViewRetry);
+        return base::fail(base::ErrorKind::Unavailable, "the router's view of upstreams is out of date; retry after the time given", ViewRetryDelay);
     }
     const auto *pool = view.pool(request.pool);
     if (pool == nullptr) {
@@ -75,57 +75,57 @@
     return pool;
 }
 
-bool isBetter(const Decision &decision, const Option &left, const Option &right)
+bool isBetter(const PlacementContext &context, const UpstreamEstimate &left, const UpstreamEstimate &right)
 {
     if (left.score != right.score) {
         return left.score < right.score;
     }
-    const std::uint64_t key = decision.request.chain.empty() ? decision.request.spreadKey : decision.request.chain.back();
-    return base::combineHashes(key, decision.view.upstreams[left.index].nodeHash) > base::combineHashes(key, decision.view.upstreams[right.index].nodeHash);
+    const std::uint64_t key = context.request.chain.empty() ? context.request.spreadKey : context.request.chain.back();
+    return base::combineHashes(key, context.view.upstreams[left.index].nodeHash) > base::combineHashes(key, context.view.upstreams[right.index].nodeHash);
 }
 
-const Option &best(const Decision &decision, const std::vector<Option> &options)
+const UpstreamEstimate &bestEstimate(const PlacementContext &context, const std::vector<UpstreamEstimate> &estimates)
 {
-    return *std::min_element(options.begin(), options.end(), [&](const Option &left, const Option &right) {
-        return isBetter(decision, left, right);
+    return *std::min_element(estimates.begin(), estimates.end(), [&](const UpstreamEstimate &left, const UpstreamEstimate &right) {
+        return isBetter(context, left, right);
     });
 }
 
 // Blocks that another upstream holds and the chosen one lacks were hot enough to be exported.
-std::optional<ImportHint> importHint(const Decision &decision, const Option &chosen, const std::vector<Option> &options)
+std::optional<ImportHint> importHint(const PlacementContext &context, const UpstreamEstimate &chosen, const std::vector<UpstreamEstimate> &estimates)
 {
-    if (!decision.pool.hasKvStore) {
+    if (!context.pool.hasKvStore) {
         return std::nullopt;
     }
     std::uint32_t most = 0;
-    for (const auto &it : options) {
+    for (const auto &it : estimates) {
         most = std::max(most, it.heldBlocks);
     }
     if (most <= chosen.heldBlocks) {
         return std::nullopt;
     }
     const std::uint32_t blocks = most - chosen.heldBlocks;
-    const base::Duration saving = prefix::importSaving(blocks, decision.request.blockTokens, chosen.queue.tokensPerSecond, {});
+    const base::Duration saving = prefix::importSaving(blocks, context.request.blockTokens, chosen.queue.tokensPerSecond, {});
     if (saving < MinImportSaving) {
         return std::nullopt;
     }
     return ImportHint{chosen.heldBlocks, blocks, saving};
 }
 
-Placement toPlacement(const Decision &decision, const Option &chosen, const std::vector<Option> &options)
+Placement toPlacement(const PlacementContext &context, const UpstreamEstimate &chosen, const std::vector<UpstreamEstimate> &estimates)
 {
-    const auto &status = decision.view.upstreams[chosen.index];
+    const auto &status = context.view.upstreams[chosen.index];
     Placement placement;
     placement.upstream = status.id;
     placement.slot = status.slot;
     placement.incarnation = status.incarnation;
     placement.endpoint = status.endpoint;
-    placement.weightsVersion = decision.pool.servingVersion;
+    placement.weightsVersion = context.pool.servingVersion;
     placement.predictedBlocks = chosen.heldBlocks;
     placement.missingTokens = chosen.missingTokens;
     placement.expectedWait = chosen.queue.wait;
     placement.expectedFirstToken = chosen.queue.wait + chosen.prefill;
-    placement.importHint = importHint(decision, chosen, options);
+    placement.importHint = importHint(context, chosen, estimates);
     return placement;
 }
 
@@ -148,8 +148,8 @@
     return "unknown";
 }
 
-ScoringStrategy::ScoringStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed)
-    : m_knowledge(knowledge)
+ScoringStrategy::ScoringStrategy(const SharedRoutingState &sharedState, std::uint64_t seed)
+    : m_sharedState(sharedState)
     , m_seed(seed)
 {
 }
@@ -157,32 +157,32 @@
 base::Result<Placement> ScoringStrategy::place(const PlacementRequest &request, const upstreams::UpstreamView &view) const
 {
     BOOST_OUTCOME_TRY(pool, findPool(request, view));
-    const Decision decision = decide(request, view, *pool);
-    std::vector<Option> all = options(decision);
+    const PlacementContext context = makeContext(request, view, *pool);
+    std::vector<UpstreamEstimate> all = estimates(context);
     if (all.empty()) {
-        return noUpstream(decision);
+        return noUpstreamError(context);
     }
-    score(decision, all);
-    return toPlacement(decision, best(decision, all), all);
+    score(context, all);
+    return toPlacement(context, bestEstimate(context, all), all);
 }
 
 base::Result<Explanation> ScoringStrategy::explain(const PlacementRequest &request, const upstreams::UpstreamView &view) const
 {
     BOOST_OUTCOME_TRY(pool, findPool(request, view));
-    const Decision decision = decide(request, view, *pool);
-    std::vector<Option> all = options(decision);
-    score(decision, all);
-    const std::uint32_t chosen = all.empty() ? upstreams::UpstreamView::NoUpstream : best(decision, all).index;
-    Explanation explanation = describe(decision);
+    const PlacementContext context = makeContext(request, view, *pool);
+    std::vector<UpstreamEstimate> all = estimates(context);
+    score(context, all);
+    const std::uint32_t chosen = all.empty() ? upstreams::UpstreamView::NoUpstream : bestEstimate(context, all).index;
+    Explanation explanation = describe(context);
     for (const std::uint32_t index : pool->members) {
         const auto &status = view.upstreams[index];
-        Option option = makeOption(decision, index);
+        UpstreamEstimate estimate = makeEstimate(context, index);
         Candidate candidate;
-        const auto it = std::find_if(all.begin(), all.end(), [index](const Option &other) {
+        const auto it = std::find_if(all.begin(), all.end(), [index](const UpstreamEstimate &other) {
             return other.index == index;
         });
         if (it != all.end()) {
-            option = *it;
+            estimate = *it;
             candidate.verdict = index == chosen ? Candidate::Verdict::Chosen : Candidate::Verdict::Possible;
         } else if (isExcluded(request, status.id)) {
             candidate.verdict = Candidate::Verdict::Excluded;
@@ -192,12 +192,12 @@
         }
         candidate.upstream = status.id;
         candidate.state = status.state;
-        candidate.heldBlocks = option.heldBlocks;
-        candidate.missingTokens = option.missingTokens;
-        candidate.expectedWait = option.queue.wait;
-        candidate.prefill = option.prefill;
-        candidate.penalty = option.penalty;
-        candidate.score = option.score;
+        candidate.heldBlocks = estimate.heldBlocks;
+        candidate.missingTokens = estimate.missingTokens;
+        candidate.expectedWait = estimate.queue.wait;
+        candidate.prefill = estimate.prefill;
+        candidate.penalty = estimate.penalty;
+        candidate.score = estimate.score;
         explanation.candidates.push_back(std::move(candidate));
     }
     std::sort(explanation.candidates.begin(), explanation.candidates.end(), [](const Candidate &left, const Candidate &right) {
@@ -206,72 +206,72 @@
     return explanation;
 }
 
-Decision ScoringStrategy::decide(const PlacementRequest &request, const upstreams::UpstreamView &view, const upstreams::PoolView &pool) const
+PlacementContext ScoringStrategy::makeContext(const PlacementRequest &request, const upstreams::UpstreamView &view, const upstreams::PoolView &pool) const
 {
-    Decision decision{request, view, pool, {}, {}};
-    m_knowledge.caches->findHolders(request.chain, request.now, decision.holders);
-    decision.homes = homes(decision);
-    return decision;
+    PlacementContext context{request, view, pool, {}, {}};
+    m_sharedState.caches->findHolders(request.chain, request.now, context.holders);
+    context.homes = homes(context);
+    return context;
 }
 
-std::vector<std::uint32_t> ScoringStrategy::homes(const Decision &) const
+std::vector<std::uint32_t> ScoringStrategy::homes(const PlacementContext &) const
 {
     return {};
 }
 
-std::vector<Option> ScoringStrategy::options(const Decision &decision) const
+std::vector<UpstreamEstimate> ScoringStrategy::estimates(const PlacementContext &context) const
 {
-    std::vector<std::uint32_t> indexes = prefilter(decision);
+    std::vector<std::uint32_t> indexes = prefilter(context);
     std::sort(indexes.begin(), indexes.end());
     indexes.erase(std::unique(indexes.begin(), indexes.end()), indexes.end());
-    const auto notAllowed = [&decision](std::uint32_t index) {
-        return !isAllowed(decision, index);
+    const auto notAllowed = [&context](std::uint32_t index) {
+        return !isAllowed(context, index);
     };
     std::erase_if(indexes, notAllowed);
     if (indexes.empty()) {
-        indexes = decision.pool.eligible;
+        indexes = context.pool.eligible;
         std::erase_if(indexes, notAllowed);
     }
-    std::vector<Option> result;
+    std::vector<UpstreamEstimate> result;
     result.reserve(indexes.size());
     for (const std::uint32_t it : indexes) {
-        result.push_back(makeOption(decision, it));
+        result.push_back(makeEstimate(context, it));
     }
-    addHeldBlocks(decision, result);
+    addHeldBlocks(context, result);
     return result;
 }
 
-Option ScoringStrategy::makeOption(const Decision &decision, std::uint32_t index) const
+UpstreamEstimate ScoringStrategy::makeEstimate(const PlacementContext &context, std::uint32_t index) const
 {
-    const auto &status = decision.view.upstreams[index];
-    const base::TimePoint now = decision.request.now;
-    Option option;
-    option.index = index;
-    option.queue = estimateQueue(status, m_knowledge.inflight->counts(status.slot, status.loadAt, now),
-                                 {decision.request.trafficClass, assumedRouters(), workRatio(status.slot), now});
-    option.missingTokens = decision.request.promptTokens;
-    option.prefill = prefillTime(option.missingTokens, option.queue);
-    return option;
+    const auto &status = context.view.upstreams[index];
+    const base::TimePoint now = context.request.now;
+    UpstreamEstimate estimate;
+    estimate.index = index;
+    estimate.queue = estimateQueue(status, m_sharedState.inflight->counts(status.slot, status.loadAt, now),
+                                   {context.request.trafficClass, assumedRouters(), prefillCorrection(status.slot), now});
+    estimate.missingTokens = context.request.promptTokens;
+    estimate.prefill = prefillTime(estimate.missingTokens, estimate.queue);
+    return estimate;
 }
 
-void ScoringStrategy::addHeldBlocks(const Decision &decision, std::vector<Option> &options)
+void ScoringStrategy::addHeldBlocks(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates)
 {
-    const auto &holders = decision.holders;
-    for (auto &option : options) {
-        const upstreams::Slot slot = decision.view.upstreams[option.index].slot;
+    const auto &holders = context.holders;
+    for (auto &estimate : estimates) {
+        const upstreams::Slot slot = context.view.upstreams[estimate.index].slot;
         const auto it = std::lower_bound(holders.begin(), holders.end(), slot, [](const prefix::Holder &holder, upstreams::Slot wanted) {
             return holder.slot < wanted;
         });
         if (it != holders.end() && it->slot == slot) {
-            option.heldBlocks = it->blocks;
-            const std::uint64_t held = std::uint64_t{it->blocks} * decision.request.blockTokens;
-            option.missingTokens -= static_cast<std::uint32_t>(std::min<std::uint64_t>(held, option.missingTokens));
-            option.prefill = prefillTime(option.missingTokens, option.queue);
+            estimate.heldBlocks = it->blocks;
+            const std::uint64_t held = std::uint64_t{it->blocks} * context.request.blockTokens;
+            estimate.missingTokens -= static_cast<std::uint32_t>(std::min<std::uint64_t>(held, estimate.missingTokens));
+            estimate.prefill = prefillTime(estimate.missingTokens, estimate.queue);
         }
     }
 }
 
-double ScoringStrategy::workRatio(upstreams::Slot) const
+double ScoringStrategy::prefillCorrection(upstreams::Slot) const
 {
     return 1;
 }
@@ -281,50 +281,50 @@
     return 1;
 }
 
-Explanation ScoringStrategy::describe(const Decision &) const
+Explanation ScoringStrategy::describe(const PlacementContext &) const
 {
     return {};
 }
 
-const RoutingKnowledge &ScoringStrategy::knowledge() const
+const SharedRoutingState &ScoringStrategy::sharedState() const
 {
-    return m_knowledge;
+    return m_sharedState;
 }
 
-std::uint64_t ScoringStrategy::draw() const
+std::uint64_t ScoringStrategy::nextRandom() const
 {
-    return base::combineHashes(m_seed, m_draws.fetch_add(1, std::memory_order_relaxed));
+    return base::combineHashes(m_seed, m_randomCount.fetch_add(1, std::memory_order_relaxed));
 }
 
-std::vector<std::uint32_t> ScoringStrategy::sample(const Decision &decision, std::size_t n) const
+std::vector<std::uint32_t> ScoringStrategy::sample(const PlacementContext &context, std::size_t n) const
 {
-    const auto &eligible = decision.pool.eligible;
+    const auto &eligible = context.pool.eligible;
     if (eligible.size() <= n) {
         return eligible;
     }
-    std::vector<std::uint32_t> drawn;
+    std::vector<std::uint32_t> sampled;
     for (std::size_t i = 0; i < n; ++i) {
-        drawn.push_back(eligible[draw() % eligible.size()]);
+        sampled.push_back(eligible[nextRandom() % eligible.size()]);
     }
-    return drawn;
+    return sampled;
 }
 
-void ScoringStrategy::addHolders(const Decision &decision, std::vector<std::uint32_t> &indexes)
+void ScoringStrategy::addHolders(const PlacementContext &context, std::vector<std::uint32_t> &indexes)
 {
-    for (const auto &it : decision.holders) {
-        const auto *status = decision.view.find(it.slot);
+    for (const auto &it : context.holders) {
+        const auto *status = context.view.find(it.slot);
         if (status != nullptr) {
-            const auto index = static_cast<std::uint32_t>(status - decision.view.upstreams.data());
-            if (decision.pool.isEligible[index]) {
+            const auto index = static_cast<std::uint32_t>(status - context.view.upstreams.data());
+            if (context.pool.isEligible[index]) {
                 indexes.push_back(index);
             }
         }
     }
 }
 
-std::uint64_t ScoringStrategy::spreadKey(const Decision &decision)
+std::uint64_t ScoringStrategy::spreadKey(const PlacementContext &context)
 {
-    return decision.request.chain.empty() ? decision.request.spreadKey : decision.request.chain.front();
+    return context.request.chain.empty() ? context.request.spreadKey : context.request.chain.front();
 }
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/scoring.h
+++ b/carawaylatch/routing/scoring.h
@@ -15,7 +15,7 @@
 {
 
 // Inputs of one decision and what is looked up once for it.
-struct Decision
+struct PlacementContext
 {
     const PlacementRequest &request;
     const upstreams::UpstreamView &view;
@@ -25,7 +25,7 @@
 };
 
 // An upstream under consideration.
-struct Option
+struct UpstreamEstimate
 {
     std::uint32_t index = 0; // in view.upstreams
     std::uint32_t heldBlocks = 0;
@@ -43,40 +43,40 @@
     [[nodiscard]] base::Result<Explanation> explain(const PlacementRequest &request, const upstreams::UpstreamView &view) const override;
 
 protected:
-    ScoringStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    ScoringStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
     // Returns where the chain should be, as indexes into view.upstreams.
-    [[nodiscard]] virtual std::vector<std::uint32_t> homes(const Decision &decision) const;
+    [[nodiscard]] virtual std::vector<std::uint32_t> homes(const PlacementContext &context) const;
     // Returns the upstreams to look at, as indexes into view.upstreams; may name one twice.
-    [[nodiscard]] virtual std::vector<std::uint32_t> prefilter(const Decision &decision) const = 0;
+    [[nodiscard]] virtual std::vector<std::uint32_t> prefilter(const PlacementContext &context) const = 0;
     // Sets the score of each option.
-    virtual void score(const Decision &decision, std::vector<Option> &options) const = 0;
+    virtual void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const = 0;
     // Returns how many routers' work the queue estimate assumes.
     [[nodiscard]] virtual std::uint32_t assumedRouters() const;
     // Returns what the queue estimate multiplies queued work by.
-    [[nodiscard]] virtual double workRatio(upstreams::Slot slot) const;
+    [[nodiscard]] virtual double prefillCorrection(upstreams::Slot slot) const;
     // Returns the home set that explain() shows.
-    [[nodiscard]] virtual Explanation describe(const Decision &decision) const;
+    [[nodiscard]] virtual Explanation describe(const PlacementContext &context) const;
 
-    [[nodiscard]] const RoutingKnowledge &knowledge() const;
+    [[nodiscard]] const SharedRoutingState &sharedState() const;
     // Returns a random number; the sequence repeats under the seed.
-    [[nodiscard]] std::uint64_t draw() const;
+    [[nodiscard]] std::uint64_t nextRandom() const;
     // Returns up to n random eligible upstreams, perhaps one twice; all if there are no more than n.
-    [[nodiscard]] std::vector<std::uint32_t> sample(const Decision &decision, std::size_t n) const;
+    [[nodiscard]] std::vector<std::uint32_t> sample(const PlacementContext &context, std::size_t n) const;
     // Adds the pool's upstreams that hold the start of the request's chain.
-    static void addHolders(const Decision &decision, std::vector<std::uint32_t> &indexes);
+    static void addHolders(const PlacementContext &context, std::vector<std::uint32_t> &indexes);
     // Returns the key that spreads a request without blocks.
-    [[nodiscard]] static std::uint64_t spreadKey(const Decision &decision);
+    [[nodiscard]] static std::uint64_t spreadKey(const PlacementContext &context);
 
 private:
-    [[nodiscard]] Decision decide(const PlacementRequest &request, const upstreams::UpstreamView &view, const upstreams::PoolView &pool) const;
-    [[nodiscard]] std::vector<Option> options(const Decision &decision) const;
-    [[nodiscard]] Option makeOption(const Decision &decision, std::uint32_t index) const;
-    static void addHeldBlocks(const Decision &decision, std::vector<Option> &options);
+    [[nodiscard]] PlacementContext makeContext(const PlacementRequest &request, const upstreams::UpstreamView &view, const upstreams::PoolView &pool) const;
+    [[nodiscard]] std::vector<UpstreamEstimate> estimates(const PlacementContext &context) const;
+    [[nodiscard]] UpstreamEstimate makeEstimate(const PlacementContext &context, std::uint32_t index) const;
+    static void addHeldBlocks(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates);
 
-    RoutingKnowledge m_knowledge;
+    SharedRoutingState m_sharedState;
     std::uint64_t m_seed;
-    mutable std::atomic<std::uint64_t> m_draws{0};
+    mutable std::atomic<std::uint64_t> m_randomCount{0};
 };
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/strategy.cpp
+++ b/carawaylatch/routing/strategy.cpp
@@ -10,26 +10,27 @@
 namespace
 {
 
-using Maker = std::unique_ptr<RoutingStrategy> (*)(const RoutingKnowledge &knowledge, std::uint64_t seed);
+using Factory = std::unique_ptr<RoutingStrategy> (*)(const SharedRoutingState &sharedState, std::uint64_t seed);
 
 template <typename Strategy>
-std::unique_ptr<RoutingStrategy> make(const RoutingKnowledge &knowledge, std::uint64_t seed)
+std::unique_ptr<RoutingStrategy> create(const SharedRoutingState &sharedState, std::uint64_t seed)
 {
-    return std::make_unique<Strategy>(knowledge, seed);
+    return std::make_unique<Strategy>(sharedState, seed);
 }
 
 // In the order of StrategyNames.
-constexpr std::array<Maker, StrategyNames.size()> Makers{
-    make<RandomStrategy>, make<RoundRobinStrategy>, make<LeastLoadedStrategy>, make<RendezvousStrategy>, make<PrefixIndexStrategy>, make<AdaptiveStrategy>,
+constexpr std::array<Factory, StrategyNames.size()> Factories{
+    create<RandomStrategy>,     create<RoundRobinStrategy>,  create<LeastLoadedStrategy>,
+    create<RendezvousStrategy>, create<PrefixIndexStrategy>, create<AdaptiveStrategy>,
 };
 
 } // namespace
 
-base::Result<std::unique_ptr<RoutingStrategy>> makeStrategy(std::string_view name, const RoutingKnowledge &knowledge, std::uint64_t seed)
+base::Result<std::unique_ptr<RoutingStrategy>> makeStrategy(std::string_view name, const SharedRoutingState &sharedState, std::uint64_t seed)
 {
     for (std::size_t i = 0; i < StrategyNames.size(); ++i) {
         if (StrategyNames[i] == name) {
-            return Makers[i](knowledge, seed);
+            return Factories[i](sharedState, seed);
         }
     }
     return base::fail(base::ErrorKind::InvalidArgument,
--- a/carawaylatch/routing/strategy.h
+++ b/carawaylatch/routing/strategy.h
@@ -109,7 +109,7 @@
 };
 
 // The router's shared knowledge; outlives the strategy. All parts must be set.
-struct RoutingKnowledge
+struct SharedRoutingState
 {
     const prefix::CacheIndex *caches = nullptr;
     const prefix::HeatTable *heat = nullptr;
@@ -134,6 +134,6 @@
 constexpr std::array<std::string_view, 6> StrategyNames{"random", "round-robin", "least-loaded", "rendezvous", "prefix-index", "adaptive"};
 
 // Returns the strategy of that name, or InvalidArgument.
-[[nodiscard]] base::Result<std::unique_ptr<RoutingStrategy>> makeStrategy(std::string_view name, const RoutingKnowledge &knowledge, std::uint64_t seed);
+[[nodiscard]] base::Result<std::unique_ptr<RoutingStrategy>> makeStrategy(std::string_view name, const SharedRoutingState &sharedState, std::uint64_t seed);
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/testing/strategytest.cpp
+++ b/carawaylatch/routing/testing/strategytest.cpp
@@ -111,20 +111,20 @@
 class StrategyTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(StrategyTest);
-    CPPUNIT_TEST(testChoosesOnlyWhatMayTakeWork);
-    CPPUNIT_TEST(testSaysWhenToComeBack);
+    CPPUNIT_TEST(testChoosesOnlyEligibleUpstreams);
+    CPPUNIT_TEST(testReturnsRetryTime);
     CPPUNIT_TEST(testExplainAgreesWithPlace);
     CPPUNIT_TEST(testRepeatsUnderSeed);
-    CPPUNIT_TEST(testUnknownNames);
+    CPPUNIT_TEST(testUnknownStrategyAndPool);
     CPPUNIT_TEST(testWeighsWaitAgainstMisses);
     CPPUNIT_TEST(testRoutersAgreeOnHomes);
-    CPPUNIT_TEST(testRoutersDoNotHerd);
-    CPPUNIT_TEST(testHintsAtImport);
+    CPPUNIT_TEST(testRoutersDoNotOverloadOneUpstream);
+    CPPUNIT_TEST(testSuggestsCacheImport);
     CPPUNIT_TEST(testLargePoolSpreads);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testChoosesOnlyWhatMayTakeWork()
+    void testChoosesOnlyEligibleUpstreams()
     {
         for (const auto name : StrategyNames) {
             Router router(6, name);
@@ -150,7 +150,7 @@
         }
     }
 
-    void testSaysWhenToComeBack()
+    void testReturnsRetryTime()
     {
         for (const auto name : StrategyNames) {
             Router router(2, name);
@@ -201,9 +201,9 @@
         }
     }
 
-    void testUnknownNames()
+    void testUnknownStrategyAndPool()
     {
-        const RoutingKnowledge none;
+        const SharedRoutingState none;
         CPPUNIT_ASSERT(makeStrategy("best", none, 1).error().kind == base::ErrorKind::InvalidArgument);
     }
 
@@ -236,7 +236,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{9}, used.size());
     }
 
-    void testRoutersDoNotHerd()
+    void testRoutersDoNotOverloadOneUpstream()
     {
         // One upstream looks idle, the others busy. Four routers place 16 requests each
         // before the next report; none may get more than twice its share of the wait.
@@ -260,7 +260,7 @@
         CPPUNIT_ASSERT(tokens[Router::id(0).value()] <= 250'000);
     }
 
-    void testHintsAtImport()
+    void testSuggestsCacheImport()
     {
         Router router(3);
         const auto chain = chainOf(1);
--- a/examples/placement.cpp
+++ b/examples/placement.cpp
@@ -71,7 +71,7 @@
     routing::Placement place(const std::string &customer, const std::string &prompt)
     {
         const auto salt = prefix::cacheSalt(base::CustomerId(customer), base::ModelId("clause-1"), {1}, "");
-        const auto chain = prefix::blockChain(prompt, salt, BlockBytes);
+        const auto chain = prefix::blockHashChain(prompt, salt, BlockBytes);
         routing::PlacementRequest request;
         request.now = m_now;
         request.pool = base::PoolName("readers");
