--- a/carawaylatch/admission/admissioncontroller.cpp
+++ b/carawaylatch/admission/admissioncontroller.cpp
@@ -1,18 +1,18 @@
-// All state is under one mutex; a request costs two short critical sections.
+// All state is guarded by one mutex; a request needs two short critical sections.
 //
-// A request that finds a place and an empty queue takes it. Any other is queued,
-// and every event that may free a place (a ticket given back, a new share, a new
-// capacity, new tables) pumps the queue: entries leave in fair order while there
-// is capacity and their customer may start. The waiting threads sleep on their own
-// condition variable; each wakes at least every recheckInterval, and the first to do
-// so sweeps: it refuses entries whose expected wait no longer fits.
+// A request that finds free capacity and an empty queue is admitted at once. Any other
+// is queued, and every event that may free capacity (a released ticket, a new share, a
+// new capacity, new tables) admits queued requests: entries leave in fair order
+// while there is capacity and their customer may start. Each waiting thread blocks on
+// its own condition variable and wakes at least every recheckInterval; the first to
+// do so refuses entries whose expected wait no longer fits their deadline.
 //
-// The expected wait of an entry: what its customer has ahead of it, stretched by
-// the weight of all waiting customers against its own (each gets its share of the
-// drain), but never more than all that is queued; then divided by the drain rate.
-// A customer that is held by its own limit waits for its own requests, so its own
-// drain rate counts too. While a rate is unknown (nothing left yet) an entry is
-// given half its time.
+// Expected wait of an entry: the tokens that its customer has ahead of it, times the
+// ratio of the weight of all queued customers to its own (each gets its share of the
+// drain rate), but at most all queued tokens; divided by the drain rate. A customer
+// at its own limit waits for its own requests, so its own drain rate counts too.
+// While a rate is unknown (nothing has completed yet), an entry may wait for half of
+// the time to its deadline.
 #include "carawaylatch/admission/admissioncontroller.h"
 
 #include <algorithm>
@@ -53,7 +53,7 @@
     base::Error error;
 };
 
-// One thread in enter(). All members are guarded by the gate's mutex.
+// One thread waiting in admit(). All members are guarded by the controller's mutex.
 struct Waiter
 {
     std::condition_variable changed;
@@ -97,7 +97,7 @@
         return entry;
     }
 
-    // Takes a place without waiting; only while nobody waits.
+    // Starts the request at once if there is capacity and the queue is empty.
     bool tryStartNow(const AdmissionRequest &request, base::TimePoint now)
     {
         if (queue.size() > 0 || inFlight >= capacity || !limiter.tryStart(request.customer, now)) {
@@ -107,7 +107,7 @@
         return true;
     }
 
-    // Admits from the queue while there is room.
+    // Admits queued requests while there is capacity.
     void admitQueued(base::TimePoint now)
     {
         while (inFlight < capacity) {
@@ -125,13 +125,13 @@
         }
     }
 
-    // Says whether a customer waits for its own requests to end, and not for others.
+    // Returns whether the customer waits for its own requests to end rather than for other customers'.
     bool isAtOwnLimit(const base::CustomerId &customer, base::TimePoint now) const
     {
         return !limiter.mayStart(customer, now);
     }
 
-    // Returns the wait behind so many tokens of the customer, nothing if unknown.
+    // Returns the wait behind that many tokens of the customer, or nothing if it is unknown.
     std::optional<base::Duration> expectedWaitOf(const base::CustomerId &customer, std::uint64_t ownTokensAhead, base::TimePoint now) const
     {
         const double weightRatio = queue.queuedWeight() / queue.weight(customer);
@@ -150,7 +150,7 @@
         return expectedWaitOf(customer, ownTokensAhead, now).value_or(base::Duration::zero());
     }
 
-    // Refuses what will not leave the queue in time.
+    // Refuses entries that will not leave the queue before their deadline.
     void refuseLate(base::TimePoint now)
     {
         nextRecheck = now + options.recheckInterval;
@@ -171,7 +171,7 @@
         }
     }
 
-    // Takes a waiting entry out of the queue with a refusal.
+    // Removes a waiting entry from the queue and refuses it.
     void refuse(std::uint64_t id, Refused refused)
     {
         if (queue.remove(id)) {
@@ -231,7 +231,7 @@
         return std::nullopt;
     }
 
-    // Sleeps until the entry is admitted or refused.
+    // Blocks until the entry is admitted or refused.
     std::optional<Refused> awaitDecision(std::unique_lock<std::mutex> &lock, const AdmissionRequest &request, std::uint64_t id, Waiter &waiter)
     {
         while (!waiter.isAdmitted && !waiter.refused) {
@@ -241,7 +241,7 @@
                 break;
             }
             if (request.callerGone && request.callerGone()) {
-                refuse(id, {Refusal::CallerGone, base::fail(ErrorKind::Cancelled, "the caller left before its request ran")});
+                refuse(id, {Refusal::CallerGone, base::fail(ErrorKind::Cancelled, "the caller disconnected before its request started")});
             } else if (now >= nextRecheck) {
                 refuseLate(now);
                 admitQueued(now);
@@ -254,7 +254,7 @@
 
     const AdmissionOptions options;
     const base::Clock &clock;
-    mutable std::mutex mutex; // guards all below
+    mutable std::mutex mutex; // guards all members below
     Limiter limiter;
     FairQueue queue;
     OverloadPolicy overload;
@@ -264,9 +264,9 @@
     std::uint64_t lastId = 0;
     std::uint64_t unknownCustomers = 0;
     base::TimePoint nextRecheck;
-    std::map<std::uint64_t, Waiter *> waiters; // of every entry in the queue, and of those just decided
-    std::map<base::CustomerId, DrainRate> drainRates; // of customers of the tables
-    std::map<StatsKey, AdmissionStats> stats; // of customers of the tables
+    std::map<std::uint64_t, Waiter *> waiters; // by entry id: queued entries, and decided ones whose thread has not resumed
+    std::map<base::CustomerId, DrainRate> drainRates; // of configured customers
+    std::map<StatsKey, AdmissionStats> stats; // of configured customers
 };
 
 AdmissionController::AdmissionController(const AdmissionOptions &options, const base::Clock &clock)
@@ -348,7 +348,7 @@
             return std::nullopt;
         }
         return Refused{Refusal::UnknownCustomer,
-                       base::fail(ErrorKind::Forbidden, "the customer was taken out of the tables; add it with carawaylatchctl apply")};
+                       base::fail(ErrorKind::Forbidden, "the customer was removed from the configuration; add it with carawaylatchctl apply")};
     });
     m_impl->queue.setWeights(std::move(weights));
     m_impl->admitQueued(now);
--- a/carawaylatch/admission/admissioncontroller.h
+++ b/carawaylatch/admission/admissioncontroller.h
@@ -1,12 +1,13 @@
-// Admission for traffic threads: limits, fair queue and overload in one place.
+// Admission control for traffic threads: limits, fair queueing and overload control.
 //
-//     auto ticket = gate.enter(request, clock.now());
+//     auto ticket = admissionController.admit(request, clock.now());
 //     if (!ticket) { refuse(ticket.error()); return; }   // error has retryAfter
-//     ... relay the request ...                          // ticket gives its place back
+//     ... relay the request ...                          // ~Ticket() ends it
 //
-// enter() takes the customer's rate, then a place in flight; where none is free
-// it waits its turn in the fair queue, as long as the expected wait fits the
-// deadline. A request that no longer fits is refused when that becomes clear.
+// admit() consumes the customer's rate and then reserves one request in flight. If
+// none is free, it waits in the fair queue as long as the expected wait fits the
+// deadline. A request that can no longer meet its deadline is refused as soon as
+// that is known.
 #pragma once
 
 #include <array>
@@ -31,7 +32,7 @@
     UnknownCustomer,
     RateLimit,
     QueueFull,
-    Overload, // the expected wait passes the deadline
+    Overload, // the expected wait exceeds the deadline
     CallerGone,
     Stopping,
 };
@@ -43,10 +44,10 @@
 {
     base::CustomerId customer;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    std::uint64_t tokens = 1; // expected work: prompt tokens missed plus answer
+    std::uint64_t tokens = 1; // expected work: uncached prompt tokens plus response tokens
     base::TimePoint deadline; // for the first token
-    base::Duration expectedWait{}; // at the upstreams, after admission
-    // Polled while waiting; a caller that left gives its place up. May be empty.
+    base::Duration expectedWait{}; // at the upstream, after admission
+    // Polled while waiting; if it returns true the request is refused. May be empty.
     std::function<bool()> callerGone;
 };
 
@@ -55,25 +56,26 @@
     LimiterOptions limits{};
     FairQueueOptions queue{};
     OverloadOptions overload{};
-    std::uint32_t capacity = 256; // requests in flight on this router
-    base::Duration recheckInterval = base::milliseconds{20}; // between two looks at waiting requests
+    std::uint32_t capacity = 256; // maximum requests in flight on this router
+    base::Duration recheckInterval = base::milliseconds{20}; // between two checks of waiting requests
 };
 
-// Figures of one customer and class.
+// Statistics of one customer and traffic class.
 struct AdmissionStats
 {
     base::CustomerId customer;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
     std::uint64_t admitted = 0;
-    std::uint64_t queued = 0; // of the admitted, those that had to wait
-    std::array<std::uint64_t, AllRefusals.size()> refused{}; // by Refusal
-    base::Duration waited{}; // sum over all admitted
-    std::uint32_t waiting = 0; // now
+    std::uint64_t queued = 0; // admitted requests that had to wait
+    std::array<std::uint64_t, AllRefusals.size()> refused{}; // indexed by Refusal
+    base::Duration waited{}; // sum over all admitted requests
+    std::uint32_t waiting = 0; // queued now
 };
 
 class AdmissionController;
 
-// A place in flight; given back when it is destroyed. Must not outlive the gate.
+// An admitted request, counted as in flight until the ticket is released or destroyed.
+// Must not outlive the controller.
 class Ticket
 {
 public:
@@ -83,9 +85,9 @@
     Ticket(const Ticket &) = delete;
     Ticket &operator=(const Ticket &) = delete;
     ~Ticket();
-    // Time spent in the queue.
+    // Returns the time spent in the queue.
     [[nodiscard]] base::Duration waited() const;
-    // Gives the place back now.
+    // Ends the request; it is no longer counted as in flight.
     void release();
 
 private:
@@ -96,7 +98,7 @@
     base::Duration m_waited{};
 };
 
-// Safe for use from any thread.
+// Thread-safe.
 class AdmissionController
 {
 public:
@@ -105,26 +107,27 @@
     AdmissionController(const AdmissionController &) = delete;
     AdmissionController &operator=(const AdmissionController &) = delete;
 
-    // Waits for a place or refuses. Errors: Forbidden (unknown customer),
-    // LimitExceeded (rate), Overloaded (queue full or too slow), Cancelled
-    // (caller left), Unavailable (stopping); nothing ran in any of these.
+    // Blocks until the request is admitted or refused. Errors: Forbidden (unknown
+    // customer), LimitExceeded (rate), Overloaded (queue full or deadline would be
+    // missed), Cancelled (caller left), Unavailable (stopping). The request has not
+    // been executed in any of these cases.
     [[nodiscard]] base::Result<Ticket> admit(const AdmissionRequest &request, base::TimePoint now);
 
-    // Swaps limits and weights; tickets and waiting requests are kept.
+    // Replaces limits and weights. Tickets stay valid; waiting requests of removed customers are refused.
     void configure(const config::Tables &tables, base::TimePoint now);
-    // Requests in flight that the upstreams of this router's share can use.
+    // Sets the maximum requests in flight: this router's share of the upstreams' capacity.
     void setCapacity(std::uint32_t capacity);
-    // Refuses all that wait and all that come (Unavailable); tickets stay good.
+    // Refuses all waiting and new requests (Unavailable); tickets stay valid.
     void stop();
 
-    // Exchange of shares with peers, see Limiter.
+    // Exchange of shares with peers; see Limiter.
     [[nodiscard]] DemandReport report(const base::RouterId &to, base::TimePoint now);
     [[nodiscard]] ShareTable answer(const DemandReport &report, base::TimePoint now);
     void apply(const ShareTable &table, base::TimePoint now);
 
-    // Returns figures of the tables' customers that sent requests.
+    // Returns statistics of the configured customers that sent requests.
     [[nodiscard]] std::vector<AdmissionStats> stats() const;
-    // Returns how many requests were refused for an unknown customer.
+    // Returns the number of requests refused because the customer is unknown.
     [[nodiscard]] std::uint64_t unknownCustomers() const;
     [[nodiscard]] std::uint32_t inFlight() const;
     [[nodiscard]] std::uint32_t inFlight(const base::CustomerId &customer) const;
--- a/carawaylatch/admission/fairqueue.cpp
+++ b/carawaylatch/admission/fairqueue.cpp
@@ -1,13 +1,14 @@
-// Each ring keeps its customers in the order of their first entry. A customer at
-// the pointer is served while its deficit covers its head; then the pointer moves
-// on and the next visit adds quantum x weight. A customer that leaves the ring
-// (its queue is empty) loses its deficit, so nobody saves up turns.
+// Each ring keeps its customers in the order of their first entry. The current
+// customer is served while its deficit covers its first entry; then the ring
+// advances, and the next customer receives quantum x weight. A customer whose queue
+// becomes empty leaves the ring and loses its deficit, so idle customers cannot
+// accumulate credit.
 //
-// A head may need many visits (a long prompt, a small weight). In place of going
-// round, pop() works out how many whole rounds pass before the first head is
-// covered and adds them at once: a pop costs one pass over the waiting customers,
-// whatever the sizes are. Customers that may not start now (their concurrency is
-// used up) are passed over and earn nothing.
+// A first entry may need many visits (a long prompt or a small weight). Instead of
+// iterating, pop() computes how many whole rounds pass before the first entry is
+// covered and adds them at once: a pop takes one pass over the queued customers,
+// whatever the entries' sizes. Customers that may not start now (their concurrency
+// limit is reached) are skipped and receive no deficit.
 #include "carawaylatch/admission/fairqueue.h"
 
 #include <algorithm>
@@ -25,9 +26,9 @@
 struct CustomerQueue
 {
     base::CustomerId customer;
-    std::deque<QueueEntry> entries; // never empty while in a ring
+    std::deque<QueueEntry> entries; // never empty while the customer is in a ring
     double deficit = 0;
-    bool hasQuantum = false; // the current visit has added its quantum
+    bool hasQuantum = false; // the quantum of the current visit was added
 };
 
 struct EntryLocation
@@ -41,8 +42,8 @@
 class FairQueue::Ring
 {
 public:
-    std::vector<CustomerQueue> queues; // in order of visits
-    std::size_t current = 0; // the customer that is visited now
+    std::vector<CustomerQueue> queues; // in visiting order
+    std::size_t current = 0; // index of the customer being visited
 
     CustomerQueue *find(const base::CustomerId &customer)
     {
@@ -103,7 +104,7 @@
         return rings[trafficClass == base::TrafficClass::Interactive ? 0 : 1];
     }
 
-    // Adds the whole rounds after which the first eligible head is nearly covered.
+    // Adds the deficit of all whole rounds before the one in which the first eligible entry is covered.
     void skipRounds(Ring &ring, const std::vector<char> &isEligible) const
     {
         double rounds = -1;
@@ -130,7 +131,7 @@
             return std::nullopt;
         }
         skipRounds(ring, isEligible);
-        // After skipRounds two passes cover the first head.
+        // After skipRounds() two passes are enough to cover an entry.
         for (std::size_t steps = 0; steps <= 2 * ring.queues.size(); ++steps) {
             CustomerQueue &queue = ring.queues[ring.current];
             if (isEligible[ring.current] == 0) {
@@ -169,10 +170,10 @@
     FairQueueOptions options;
     std::array<Ring, 2> rings; // interactive, batch
     std::map<base::CustomerId, double> weights; // of configured customers
-    std::map<base::CustomerId, std::size_t> depths; // above zero
+    std::map<base::CustomerId, std::size_t> depths; // positive counts only
     std::unordered_map<std::uint64_t, EntryLocation> locations; // of all entries
     std::uint64_t tokens = 0;
-    bool wasAgedBatchLast = false; // the last pop was an aged batch entry
+    bool wasAgedBatchLast = false; // the last pop took an aged batch entry
 };
 
 FairQueue::FairQueue(const FairQueueOptions &options)
@@ -195,13 +196,13 @@
 base::Result<void> FairQueue::push(const QueueEntry &entry)
 {
     if (depth(entry.customer) >= m_impl->options.maxEntriesPerCustomer) {
-        return base::fail(base::ErrorKind::LimitExceeded, "too many requests of the customer wait; send more slowly or raise its concurrency");
+        return base::fail(base::ErrorKind::LimitExceeded, "the customer has too many queued requests; send more slowly or raise its concurrency");
     }
     if (size() >= m_impl->options.maxEntries) {
         return base::fail(base::ErrorKind::Overloaded, "the router's queue is full; try again later or add capacity");
     }
     if (!m_impl->locations.try_emplace(entry.id, EntryLocation{entry.customer, entry.trafficClass}).second) {
-        return base::fail(base::ErrorKind::InvalidArgument, "the entry's id is in the queue already; use a new one");
+        return base::fail(base::ErrorKind::InvalidArgument, "an entry with this id is already queued; use a unique id");
     }
     QueueEntry copy = entry;
     copy.tokens = std::max<std::uint64_t>(1, copy.tokens);
--- a/carawaylatch/admission/fairqueue.h
+++ b/carawaylatch/admission/fairqueue.h
@@ -1,12 +1,12 @@
 // Fair queueing between customers.
 //
-// Deficit round robin (Shreedhar and Varghese, 1995) over customers, one ring
-// for each class: a visit adds quantum x weight tokens to a customer's deficit,
-// and its head leaves when the deficit covers the head's tokens. So customers
-// share by the work they ask for, not by how many requests they send. The
-// interactive ring goes first; batch requests older than the ageing time take
-// every second turn, so batch never starves. Bounded in length, over all and for
-// each customer.
+// Deficit round robin (Shreedhar and Varghese, 1995) over customers, with one ring
+// per traffic class: each visit adds quantum x weight tokens to a customer's
+// deficit, and its first entry is dequeued when the deficit covers the entry's
+// tokens. Customers thus share capacity by the work they request, not by their
+// number of requests. The interactive ring is served first; batch requests older
+// than batchAgingTime take every second turn, so that batch work is not starved.
+// The queue's length is bounded, both in total and per customer.
 #pragma once
 
 #include <cstdint>
@@ -28,14 +28,14 @@
     std::uint64_t id = 0; // unique in the queue
     base::CustomerId customer;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    std::uint64_t tokens = 1; // expected work, at least one
+    std::uint64_t tokens = 1; // expected work, at least 1
     base::TimePoint enqueued;
     base::TimePoint deadline; // latest time to leave the queue
 };
 
 struct FairQueueOptions
 {
-    std::uint64_t quantum = 4000; // tokens for each visit and weight 1
+    std::uint64_t quantum = 4000; // tokens added per visit at weight 1
     base::Duration batchAgingTime = base::seconds{5};
     std::size_t maxEntries = 10'000;
     std::size_t maxEntriesPerCustomer = 2'000;
@@ -49,23 +49,23 @@
     FairQueue(FairQueue &&) noexcept;
     FairQueue &operator=(FairQueue &&) noexcept;
 
-    // Replaces all weights; 1 where none above zero is set.
+    // Replaces all weights. A customer without a positive weight has weight 1.
     void setWeights(std::map<base::CustomerId, double> weights);
-    // LimitExceeded when the customer's part is full, Overloaded when all is.
+    // Returns LimitExceeded if the customer's queue is full, Overloaded if the whole queue is.
     [[nodiscard]] base::Result<void> push(const QueueEntry &entry);
-    // Removes and returns the next entry among customers that may start now.
+    // Removes and returns the next entry of a customer for which `eligible` is true.
     using Eligible = std::function<bool(const base::CustomerId &)>;
     [[nodiscard]] std::optional<QueueEntry> pop(base::TimePoint now, const Eligible &eligible);
-    // Removes an entry; false if it is not there.
+    // Removes an entry; returns false if there is none with this id.
     bool remove(std::uint64_t id);
-    // Visits all entries: interactive before batch, each customer's in their order.
+    // Visits all entries, interactive before batch; those of one customer in arrival order.
     void forEach(const std::function<void(const QueueEntry &)> &visit) const;
 
     [[nodiscard]] std::size_t size() const;
     [[nodiscard]] std::uint64_t queuedTokens() const;
     [[nodiscard]] std::size_t depth(const base::CustomerId &customer) const;
     [[nodiscard]] double weight(const base::CustomerId &customer) const;
-    // Returns the sum of weights of customers that have an entry.
+    // Returns the sum of the weights of all customers with a queued entry.
     [[nodiscard]] double queuedWeight() const;
 
 private:
--- a/carawaylatch/admission/limiter.cpp
+++ b/carawaylatch/admission/limiter.cpp
@@ -1,12 +1,13 @@
-// The limiter turns customers' limits into own parts of the ledger, counts
-// requests in flight, and runs a token bucket at the rate that the ledger allows.
+// Computes own quotas for the ledger from the customers' limits, counts requests in
+// flight, and runs a token bucket at the rate that the ledger allows.
 //
-// Own part of L units over F routers: L / F each, and the L mod F units left over
-// go to the slots that follow hash(customer) mod F, so that remainders of many
-// customers spread. Without a slot nobody can own a remainder: each router owns
-// L / F rounded down, but at least one unit, and the bound is then max(L, F).
+// Own quota of L units over F routers: L / F each, and the remaining L mod F units go
+// to the slots that follow hash(customer) mod F, so that the remainders of many
+// customers are spread over the routers. Without a slot no router can own a
+// remainder: each owns L / F rounded down, but at least one unit, and the bound is
+// then max(L, F).
 //
-// A router that has demand says so with headroom of a quarter, so that it borrows
+// A router reports its demand with a headroom of a quarter, so that it borrows
 // before it has to refuse.
 #include "carawaylatch/admission/limiter.h"
 
@@ -26,7 +27,7 @@
 
 constexpr double DemandHeadroom = 1.25;
 constexpr double ArrivalHalfLifeSeconds = 2;
-constexpr double MinArrivalsPerSecond = 0.01; // arrivals per second that count as none
+constexpr double MinArrivalsPerSecond = 0.01; // lower rates count as zero
 
 std::uint32_t ownQuota(std::uint64_t limit, const base::CustomerId &customer, const LimiterOptions &options)
 {
@@ -40,7 +41,7 @@
     return static_cast<std::uint32_t>(evenQuota + (place < limit % fleet ? 1 : 0));
 }
 
-// Arrivals per second, averaged with a half-life.
+// Exponentially decayed average of arrivals per second.
 class ArrivalRate
 {
 public:
@@ -89,7 +90,7 @@
     {
     }
 
-    // A limit of zero means none.
+    // A limit of zero means unlimited.
     void setLimit(const ShareKey &key, std::uint64_t units)
     {
         if (units == 0) {
@@ -112,7 +113,7 @@
         ledger.setUsage({state.limits.id, Resource::Rate}, 0, static_cast<std::uint32_t>(units));
     }
 
-    // Brings buckets and demand to `now`; before shares change and after.
+    // Updates token buckets and demand to `now`. Called before and after shares change.
     void refresh(base::TimePoint now)
     {
         for (auto &[id, state] : customers) {
@@ -130,7 +131,7 @@
 
     LimiterOptions options;
     ShareLedger ledger;
-    // Configured customers, and former ones until their requests ended.
+    // Configured customers, and removed ones until their requests have ended.
     std::map<base::CustomerId, CustomerState> customers;
 };
 
@@ -182,7 +183,7 @@
 {
     const auto it = m_impl->customers.find(customer);
     if (it == m_impl->customers.end()) {
-        return base::fail(base::ErrorKind::Forbidden, "the customer is not in the tables; add it with carawaylatchctl apply");
+        return base::fail(base::ErrorKind::Forbidden, "the customer is not configured; add it with carawaylatchctl apply");
     }
     CustomerState &state = it->second;
     state.arrivals.add(now);
@@ -191,7 +192,7 @@
     }
     m_impl->refill(state, now);
     if (!state.bucket.tryConsume()) {
-        return base::fail(base::ErrorKind::LimitExceeded, "the customer's request rate is used up; send more slowly or raise requests_per_second",
+        return base::fail(base::ErrorKind::LimitExceeded, "the customer's request rate limit is reached; send more slowly or raise requests_per_second",
                           state.bucket.timeToNextToken());
     }
     return base::ok();
@@ -280,7 +281,7 @@
 
 std::size_t Limiter::memoryBytes() const
 {
-    constexpr std::size_t MapNodeBytes = 48; // of a map, beside the value
+    constexpr std::size_t MapNodeBytes = 48; // overhead of a map node in addition to its value
     return m_impl->ledger.memoryBytes() + m_impl->customers.size() * (sizeof(CustomerState) + sizeof(base::CustomerId) + MapNodeBytes);
 }
 
--- a/carawaylatch/admission/overload.cpp
+++ b/carawaylatch/admission/overload.cpp
@@ -1,8 +1,8 @@
-// The drain rate is an exponentially decayed sum of tokens times ln 2 / halfLife:
-// its value for a steady rate r is r once a few half-lives have passed. Before
-// that the sum is divided by the time there was, so that the first seconds do not
-// look slow. When nothing leaves, the rate decays and the expected wait grows, so
-// a stalled router begins to refuse within a half-life.
+// The drain rate is an exponentially decayed sum of tokens times ln 2 / halfLife,
+// which equals a steady rate r after a few half-lives. Before that the sum is
+// divided by the decayed length of the observed time, so that the rate is not
+// underestimated in the first seconds. When no work completes, the rate decays and
+// the expected wait grows, so a stalled router starts to refuse within a half-life.
 #include "carawaylatch/admission/overload.h"
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 namespace
 {
-constexpr double MinObservedSeconds = 0.1; // below this a rate would be noise
+constexpr double MinObservedSeconds = 0.1; // a shorter observation gives no usable rate
 constexpr double MaxWaitSeconds = 3600;
 } // namespace
 
@@ -39,7 +39,7 @@
     }
     const double halfLife = base::toSeconds(m_halfLife);
     const double sum = m_sum * std::exp2(-base::toSeconds(now - m_last) / halfLife);
-    // The decayed length of the time that was observed.
+    // The observed time, from which the decayed length is computed.
     const double span = std::max(MinObservedSeconds, base::toSeconds(now - *m_first));
     return sum / ((1 - std::exp2(-span / halfLife)) * halfLife / std::log(2.0));
 }
@@ -66,7 +66,7 @@
     if (now + expectedWait < deadline) {
         return base::ok();
     }
-    return base::fail(base::ErrorKind::Overloaded, "the expected wait passes the deadline; try again later or set a later deadline", retryAfter(expectedWait));
+    return base::fail(base::ErrorKind::Overloaded, "the expected wait exceeds the deadline; try again later or set a later deadline", retryAfter(expectedWait));
 }
 
 base::Duration OverloadPolicy::retryAfter(base::Duration expectedWait)
--- a/carawaylatch/admission/shareledger.cpp
+++ b/carawaylatch/admission/shareledger.cpp
@@ -1,20 +1,21 @@
-// The arithmetic of loans; the header has the rules and the bound.
+// Arithmetic of loans; see the header for the rules and the bound.
 //
-// Lender: committed(borrower) = the greatest of what the borrower last said it
-// holds and of every table that it did not confirm. Own use is bounded by own part
-// less all that is committed, and a new loan takes only what is neither committed
-// nor in use, so the two never overlap.
+// Lender: committed(borrower) is the maximum of what the borrower last reported as
+// held and of every table that it has not confirmed. Own use is bounded by the own
+// quota less everything committed, and a new loan uses only units that are neither
+// committed nor in use, so the two never overlap.
 //
-// Borrower: `amount` may be used for new requests until `ends`; `peak` is what
-// requests in flight may still stand on. A report says max(amount, what other
-// parts can't account for) and lowers peak to it, so what was reported as free is
-// not used again without a new table.
+// Borrower: `amount` may be used for new requests until `ends`; `maxHeld` is the
+// number of units that requests in flight may still use. A report states the maximum
+// of `amount` and of the use that other sources cannot account for, and lowers
+// maxHeld to it, so units that were reported as free are not used again without a
+// new table.
 //
-// How much is asked of whom: every lender that gives keeps its loan as long as the
-// sum is not above what is missing, and what is still missing is asked of each.
-// Loans in excess are scaled down in the next reports. So loans settle instead of
-// swinging between lenders. A lender serves its own need first and divides the
-// rest by what the borrowers want.
+// How much is requested from whom: each lender keeps its loan as long as the sum of
+// loans does not exceed the shortfall, and the remaining shortfall is requested from
+// every lender. Excess loans are scaled down in the next reports. Loans therefore
+// converge instead of oscillating between lenders. A lender covers its own need
+// first and divides the rest in proportion to what the borrowers want.
 #include "carawaylatch/admission/shareledger.h"
 
 #include <algorithm>
@@ -26,8 +27,8 @@
 namespace
 {
 
-constexpr std::uint32_t ReservedDivisor = 4; // a fourth of the own part is never lent
-constexpr int ClockDriftDivisor = 50; // clocks may differ in rate by one part in this
+constexpr std::uint32_t ReservedDivisor = 4; // a quarter of the own quota is never lent
+constexpr int ClockDriftDivisor = 50; // clock rates may differ by 1/50
 
 std::uint32_t saturatingSubtract(std::uint64_t from, std::uint64_t n)
 {
@@ -105,7 +106,7 @@
             report.entries.push_back({key.customer, key.resource, wantedFrom(limit, to, shortfallOf(limit, now), now), held});
         }
     }
-    // What is only wanted fills the rest, starting where the last report ended.
+    // Entries that are only wanted use the remaining space, starting where the last report ended.
     auto it = m_nextReportKey ? m_limits.lower_bound(*m_nextReportKey) : m_limits.begin();
     m_nextReportKey.reset();
     for (std::size_t i = 0; i < m_limits.size(); ++i, ++it) {
@@ -138,7 +139,7 @@
     }
     Peer &peer = m_peers[report.from];
     if (peer.incarnation == report.incarnation && report.sequence <= peer.lastReport) {
-        return table; // late or repeated; sequence 0 is not applied
+        return table; // late or duplicate report; a table with sequence 0 is not applied
     }
     applyReport(report, now);
     table.sequence = ++m_lastTable;
@@ -178,7 +179,7 @@
             continue;
         }
         Lent &lent = it->second;
-        // A new life knows no table that was sent to the former one.
+        // A new incarnation did not receive tables that were sent to the former one.
         const bool isExpired = isNewIncarnation || now >= lent.ends;
         std::erase_if(lent.unconfirmed, [&](const SentAmount &sent) {
             return isExpired || sent.sequence <= confirmed;
@@ -225,11 +226,11 @@
     const auto sent = peer.sentReports.find(table.reportSequence);
     const bool isNewIncarnation = peer.tableIncarnation != table.incarnation;
     if (sent == peer.sentReports.end()) {
-        return; // not asked for, or a later report was answered already
+        return; // unsolicited, or a later report was already answered
     }
     const base::TimePoint ends = sent->second + m_options.loanTerm;
     if (isNewIncarnation) {
-        peer.sentReports.clear(); // an answer of the former life is not applied any more
+        peer.sentReports.clear(); // answers from the former incarnation must no longer be applied
     } else {
         peer.sentReports.erase(peer.sentReports.begin(), std::next(sent));
     }
@@ -247,7 +248,7 @@
         const auto limit = m_limits.find({it.customer, it.resource});
         const bool isNew = limit != m_limits.end() && !limit->second.borrowed.contains(table.from);
         if (limit == m_limits.end() || (isNew && held >= MaxEntries)) {
-            continue; // what a report could not name is not borrowed
+            continue; // units that a report has no room to list must not be borrowed
         }
         held += isNew ? 1 : 0;
         Borrowed &borrowed = limit->second.borrowed[table.from];
@@ -259,7 +260,7 @@
 
 std::size_t ShareLedger::memoryBytes() const
 {
-    constexpr std::size_t MapNodeBytes = 48; // of a map, beside the value
+    constexpr std::size_t MapNodeBytes = 48; // overhead of a map node in addition to its value
     std::size_t bytes = m_peers.size() * (sizeof(Peer) + MapNodeBytes + MaxUnconfirmed * MapNodeBytes);
     for (const auto &[key, limit] : m_limits) {
         bytes += sizeof(key) + sizeof(limit) + MapNodeBytes;
@@ -290,8 +291,8 @@
     return units;
 }
 
-// Returns the part that is never lent: all that a restarted lender may use before
-// it knows its loans. A single unit may be lent whole.
+// Returns the units that are never lent, which are all that a restarted lender may
+// use before it knows its loans. A quota of a single unit may be lent.
 std::uint32_t ShareLedger::reservedQuota(std::uint32_t own)
 {
     return own < 2 ? 0 : (own + ReservedDivisor - 1) / ReservedDivisor;
@@ -302,7 +303,7 @@
     return resource == Resource::Concurrency ? m_options.longestRequest : base::Duration::zero();
 }
 
-// Returns how long after a report its sender may hold what it names or is lent.
+// Returns how long after a report its sender may hold the units that it lists or is lent.
 base::Duration ShareLedger::maxHoldTime(Resource resource) const
 {
     return m_options.loanTerm + m_options.loanTerm / ClockDriftDivisor + drainTime(resource);
--- a/carawaylatch/admission/shareledger.h
+++ b/carawaylatch/admission/shareledger.h
@@ -1,25 +1,28 @@
-// One router's book of a divided limit: own part, what is lent, what is borrowed.
+// Quotas of one router in limits that are divided over a fleet: its own quota, the
+// units that it lent and the units that it borrowed.
 //
-// A limit of L units is divided over the routers of the fleet: each owns a fixed
-// part, and the parts sum to L. Units move only by loans, and a unit is usable by
+// A limit of L units is divided over the routers of the fleet: each has a fixed own
+// quota, and the quotas sum to L. Units move only by loans, and a unit is usable by
 // one router at a time:
 //
 //   - The lender stops using units before it sends the table that lends them.
 //   - The borrower uses them until its own clock shows loanTerm after it *sent*
-//     the report that the table answers. The lender takes them back no earlier
-//     than loanTerm (and the drain time) after it *received* that report. The
-//     report was sent before it was received, so the borrower always stops
-//     first, whatever was delayed, lost or paused, with no common clock.
-//   - A smaller table lowers a loan only when a later report confirms that it was
-//     applied and says what is still held.
-//   - Units of requests in flight stay held until these end: that is the drain
-//     time, the longest request; rates have none.
-//   - A lender that restarts forgot its loans. It uses only the part that it never
-//     lends until every other router has reported what it holds, or until all
-//     loans must have ended. A router's name has one live process at a time.
+//     the report that the table answers. The lender reclaims them no earlier than
+//     loanTerm (and the drain time) after it *received* that report. A report is
+//     sent before it is received, so the borrower always stops first, even if
+//     messages are delayed or lost or a process is paused, and without a common
+//     clock.
+//   - A smaller table reduces a loan only when a later report confirms that it was
+//     applied and states what is still held.
+//   - Units used by requests in flight stay held until the requests end: the drain
+//     time is the longest request. Rates have no drain time.
+//   - A restarted lender has lost its record of loans. It uses only the reserved
+//     quota, which is never lent, until every other router has reported what it
+//     holds, or until all loans must have ended. No two processes may run under
+//     the same router name at a time.
 //
-// Bound: at any moment the units in use by all routers sum to at most L. While an
-// edit of L spreads, the greater of the old and the new L holds.
+// Bound: at any moment the units in use by all routers sum to at most L. While a
+// change of L propagates, the greater of the old and the new L applies.
 #pragma once
 
 #include <cstdint>
@@ -35,7 +38,7 @@
 namespace carawaylatch::admission
 {
 
-// One limit of one customer.
+// Identifies one limit of one customer.
 struct ShareKey
 {
     base::CustomerId customer;
@@ -58,18 +61,18 @@
 public:
     ShareLedger(const ShareLedgerOptions &options, base::TimePoint now);
 
-    // No request is in flight longer; never gets shorter.
+    // Raises the longest time that a request may be in flight; a lower value is ignored.
     void raiseLongestRequest(base::Duration longest);
-    // Sets this router's own part of a limit; it may be zero.
+    // Sets this router's own quota of a limit; it may be zero.
     void setOwnQuota(const ShareKey &key, std::uint32_t units);
-    // The limit is gone; its book goes too once nothing is lent or borrowed.
+    // Removes a limit. Its state is kept until nothing is lent or borrowed.
     void removeLimit(const ShareKey &key);
-    // Tells what is in use and what would be used if there were enough.
+    // Sets the units in use and the units that would be used without the limit.
     void setUsage(const ShareKey &key, std::uint32_t used, std::uint32_t needed);
 
-    // Returns the units that may be in use here now.
+    // Returns the units that this router may use now.
     [[nodiscard]] std::uint32_t usable(const ShareKey &key, base::TimePoint now) const;
-    // Returns the units that are missing and may be borrowed.
+    // Returns the units needed beyond the own quota, which may be borrowed.
     [[nodiscard]] std::uint32_t shortfall(const ShareKey &key, base::TimePoint now) const;
 
     [[nodiscard]] DemandReport report(const base::RouterId &to, base::TimePoint now);
@@ -80,28 +83,28 @@
 private:
     struct SentAmount
     {
-        std::uint64_t sequence = 0; // of the table
+        std::uint64_t sequence = 0; // the table's sequence number
         std::uint32_t amount = 0;
     };
-    // Units lent to one router. Committed: the greatest of what it said it holds
-    // and of all tables that it did not confirm.
+    // Units lent to one router. The committed amount is the maximum of what it reported
+    // as held and of all tables that it has not confirmed.
     struct Lent
     {
         std::uint32_t held = 0;
         std::uint32_t wanted = 0;
         std::vector<SentAmount> unconfirmed; // at most MaxUnconfirmed, ascending
-        base::TimePoint ends; // with no further report, nothing is held after this
+        base::TimePoint ends; // without a further report nothing is held after this time
     };
     // Units borrowed from one router.
     struct Borrowed
     {
         std::uint32_t amount = 0; // usable until `ends`
-        std::uint32_t maxHeld = 0; // what requests in flight may still use; at least amount
+        std::uint32_t maxHeld = 0; // units that requests in flight may still use; at least `amount`
         base::TimePoint ends;
     };
     enum class LimitKind {
         Configured,
-        Unknown, // no such limit here; kept only for what peers hold or lent
+        Unknown, // not configured here; kept only while units are lent or borrowed
     };
     struct LimitState
     {
@@ -115,14 +118,14 @@
     struct Peer
     {
         base::Incarnation incarnation;
-        std::uint64_t lastReport = 0; // greatest sequence received
+        std::uint64_t lastReport = 0; // highest sequence number received
         base::Incarnation tableIncarnation; // of the last table applied
         std::uint64_t tableSequence = 0;
         std::map<std::uint64_t, base::TimePoint> sentReports; // at most MaxUnconfirmed
     };
     static constexpr std::size_t MaxUnconfirmed = 8;
     static constexpr std::size_t MaxPeers = 4096;
-    static constexpr std::size_t MaxLimits = 8192; // a report of more proves nothing
+    static constexpr std::size_t MaxLimits = 8192; // a report that would exceed this does not count as complete
 
     static std::uint32_t committed(const Lent &lent, base::TimePoint now);
     static std::uint32_t totalCommitted(const LimitState &limit, base::TimePoint now);
@@ -143,12 +146,12 @@
 
     ShareLedgerOptions m_options;
     const base::TimePoint m_started;
-    std::set<base::RouterId> m_reportedPeers; // since the start, while recovering
+    std::set<base::RouterId> m_reportedPeers; // reported completely since the start; used while recovering
     std::map<ShareKey, LimitState> m_limits;
-    std::map<base::RouterId, Peer> m_peers; // at most MaxPeers; no loans past that
+    std::map<base::RouterId, Peer> m_peers; // at most MaxPeers; further peers get no loans
     std::uint64_t m_lastReport = 0;
     std::uint64_t m_lastTable = 0;
-    std::optional<ShareKey> m_nextReportKey; // first key that the last full report left out
+    std::optional<ShareKey> m_nextReportKey; // first key that did not fit into the last report
 };
 
 } // namespace carawaylatch::admission
--- a/carawaylatch/admission/shares.h
+++ b/carawaylatch/admission/shares.h
@@ -1,9 +1,9 @@
 // Messages by which routers share customers' limits.
 //
-// A router sends a DemandReport to peers, and each answers with a ShareTable:
-// what it lends of its own part. Both name only customers with something to say
-// and hold at most MaxEntries entries, so that 640 customers over thousands of
-// routers stay within the control traffic of a node.
+// A router sends a DemandReport to its peers, and each peer answers with a ShareTable
+// that states what it lends of its own quota. Both list only customers with demand or
+// loans and hold at most MaxEntries entries, so that the control traffic of a node
+// stays bounded with 640 customers and thousands of routers.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,28 @@
 
 enum class Resource {
     Concurrency, // unit: one request in flight
-    Rate, // unit: a thousandth of a request each second
+    Rate, // unit: 1/1000 request per second
 };
 inline constexpr std::uint32_t RateUnitsPerRequest = 1000;
 
-// Entries of one message; what is left out is sent first the next time.
+// Maximum entries of one message; the next message starts with those left out.
 inline constexpr std::size_t MaxEntries = 48;
 
 struct DemandEntry
 {
     base::CustomerId customer;
     Resource resource = Resource::Concurrency;
-    std::uint32_t wanted = 0; // units of the receiver's that the sender would use
-    std::uint32_t held = 0; // units of the receiver's that the sender uses or may use
+    std::uint32_t wanted = 0; // units of the receiver's quota that the sender would use
+    std::uint32_t held = 0; // units of the receiver's quota that the sender uses or may use
 };
 
-// What is not named is not held and not wanted.
+// Customers that are not listed are neither held nor wanted.
 struct DemandReport
 {
     base::RouterId from;
     base::Incarnation incarnation;
-    std::uint64_t sequence = 0; // grows with every report of this incarnation
-    // The receiver's last table that the sender applied; zero for none.
+    std::uint64_t sequence = 0; // increases with every report of this incarnation
+    // The receiver's last table that the sender applied; zero if none.
     base::Incarnation tableIncarnation;
     std::uint64_t tableSequence = 0;
     std::vector<DemandEntry> entries;
@@ -48,10 +48,10 @@
 {
     base::CustomerId customer;
     Resource resource = Resource::Concurrency;
-    std::uint32_t amount = 0; // units lent, replacing what was lent before
+    std::uint32_t amount = 0; // units lent; replaces the previous amount
 };
 
-// Answer to one report. What is not named is lent no more.
+// Answer to one report. Customers that are not listed are no longer lent any units.
 struct ShareTable
 {
     base::RouterId from;
@@ -59,7 +59,7 @@
     std::uint64_t sequence = 0;
     base::RouterId to;
     base::Incarnation toIncarnation;
-    std::uint64_t reportSequence = 0; // the loan's time runs from this report's sending
+    std::uint64_t reportSequence = 0; // loanTerm starts when this report was sent
     std::vector<ShareEntry> entries;
 };
 
--- a/carawaylatch/admission/testing/admissioncontrollertest.cpp
+++ b/carawaylatch/admission/testing/admissioncontrollertest.cpp
@@ -1,4 +1,4 @@
-// The gate with real threads; time stands still unless the test moves it.
+// The admission controller with real threads and a clock that only the test advances.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <atomic>
@@ -85,7 +85,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // A waiting request: each event that ends its wait, and what it is told.
+    // Each event that refuses a waiting request, and the error that it gets.
     void testRefusalsWhileWaiting()
     {
         struct Row
@@ -106,7 +106,7 @@
                  f.admissionController.stop();
              },
              base::ErrorKind::Unavailable, Refusal::Stopping},
-            {"half of its time is over and nothing left",
+            {"half of the time to the deadline is over and nothing completed",
              [](Fixture &f, std::atomic<bool> &) {
                  f.clock.advance(base::seconds{5});
              },
@@ -184,9 +184,9 @@
         fixture.awaitWaiting(1);
         fixture.admissionController.configure(tables(1), fixture.clock.now());
         CPPUNIT_ASSERT_EQUAL(2U, fixture.admissionController.inFlight(Acme));
-        first.value().release(); // one is still in flight, the limit is one
+        first.value().release(); // one request is still in flight and the limit is now one
         CPPUNIT_ASSERT_EQUAL(1U, fixture.admissionController.waiting());
-        fixture.admissionController.configure({}, fixture.clock.now()); // both customers go
+        fixture.admissionController.configure({}, fixture.clock.now()); // removes both customers
         thread.join();
         CPPUNIT_ASSERT(kind == base::ErrorKind::Forbidden);
         CPPUNIT_ASSERT_EQUAL(1U, fixture.admissionController.inFlight(Acme));
@@ -204,21 +204,21 @@
             CPPUNIT_ASSERT(fixture.admit(Acme).has_value());
         });
         fixture.awaitWaiting(1);
-        CPPUNIT_ASSERT(fixture.admit(Bolt).has_value()); // passes the one that waits for its own limit
+        CPPUNIT_ASSERT(fixture.admit(Bolt).has_value()); // overtakes the request that waits for its own limit
         held.value().release();
         thread.join();
     }
 
-    // The drain was fast and stops, for all or for this customer only: a waiting
-    // request is refused when the expected wait grows past its deadline, not when
-    // the deadline comes.
+    // Requests completed quickly and then stop, for all customers or for this one only:
+    // a waiting request is refused when its expected wait exceeds the deadline, not
+    // when the deadline expires.
     void testSlowDrainRefusesBeforeTheDeadline()
     {
         for (const bool othersFinish : {false, true}) {
             Fixture fixture(1, othersFinish ? 100 : 1);
             for (int i = 0; i < 20; ++i) {
                 auto ticket = fixture.admit(othersFinish ? Bolt : Acme);
-                fixture.clock.advance(base::milliseconds{500}); // 2000 tokens a second
+                fixture.clock.advance(base::milliseconds{500}); // 2000 tokens per second
             }
             auto held = fixture.admit();
             const auto start = fixture.clock.now();
@@ -242,7 +242,7 @@
         }
     }
 
-    // Many threads with churning tables; for the thread sanitizer. All places come back.
+    // Many threads while the tables change, for the thread sanitizer. No request stays counted as in flight.
     void testManyThreads()
     {
         Fixture fixture(2, 3);
--- a/carawaylatch/admission/testing/fairqueuetest.cpp
+++ b/carawaylatch/admission/testing/fairqueuetest.cpp
@@ -1,4 +1,4 @@
-// Fair queueing and refusal of late work.
+// Fair queueing, drain rate and early rejection.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -51,7 +51,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Backlogged customers get tokens as their weights are, whatever the sizes.
+    // Backlogged customers get tokens in proportion to their weights, whatever the request sizes.
     void testSharesByWeightAndTokens()
     {
         FairQueue queue;
@@ -75,7 +75,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5 / 3.5, served["c"] / sum, 0.03);
     }
 
-    // However much one customer queues, another one's request waits for one round.
+    // However many requests one customer queues, another customer's request waits for one round at most.
     void testOneCustomerCannotStarveAnother()
     {
         FairQueue queue;
@@ -89,7 +89,7 @@
             ++before;
         }
         CPPUNIT_ASSERT(before <= 2);
-        // A customer that leaves the ring does not cost another one its visit.
+        // A customer that leaves the ring does not make another one lose its visit.
         FairQueue ring;
         for (std::uint64_t id = 0; id < 12; ++id) {
             CPPUNIT_ASSERT(ring.push(entry(id, std::string(1, static_cast<char>('a' + id % 3)), 2000)));
@@ -98,12 +98,12 @@
         for (int i = 0; i < 5; ++i) {
             order += ring.pop(Start, All)->customer.value();
         }
-        CPPUNIT_ASSERT(ring.remove(6) && ring.remove(9)); // the rest of a
+        CPPUNIT_ASSERT(ring.remove(6) && ring.remove(9)); // the remaining entries of a
         for (int i = 0; i < 3; ++i) {
             order += ring.pop(Start, All)->customer.value();
         }
         CPPUNIT_ASSERT_EQUAL(std::string("aabbccbb"), order);
-        // One that may not start is passed over and keeps its place.
+        // A customer that may not start is skipped and keeps its position.
         CPPUNIT_ASSERT(queue.push(entry(5001, "small", 4000)));
         const auto onlySmall = [](const base::CustomerId &it) {
             return it.value() == "small";
@@ -121,7 +121,7 @@
         }
         CPPUNIT_ASSERT(queue.pop(Start + base::seconds{4}, All)->trafficClass == Interactive);
         const auto late = Start + base::seconds{5};
-        for (int i = 0; i < 4; ++i) { // every second turn, no more
+        for (int i = 0; i < 4; ++i) { // aged batch work gets every second turn and no more
             CPPUNIT_ASSERT(queue.pop(late, All)->trafficClass == Batch);
             CPPUNIT_ASSERT(queue.pop(late, All)->trafficClass == Interactive);
         }
@@ -144,8 +144,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3000}, queue.queuedTokens());
     }
 
-    // Generated pushes, pops and removals against a plain list for each customer
-    // and class: nothing lost or doubled, first in first out in each list.
+    // Compares generated pushes, pops and removals with one list per customer and
+    // class: no entry is lost or returned twice, and each list is first in, first out.
     void testAgainstReferenceModel()
     {
         base::Random random(carawaylatch::testing::seed());
@@ -197,7 +197,7 @@
             now += base::milliseconds{100};
         }
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1000, *rate.perSecond(now), 50);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(500, *rate.perSecond(now + base::seconds{5}), 30); // nothing left since
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(500, *rate.perSecond(now + base::seconds{5}), 30); // no completion since
     }
 
     void testOverload()
--- a/carawaylatch/admission/testing/limitertest.cpp
+++ b/carawaylatch/admission/testing/limitertest.cpp
@@ -1,9 +1,9 @@
-// The bound of divided limits, under cuts, losses, restarts and pauses.
+// Bound of divided limits under partitions, message loss, restarts and pauses.
 //
-// A generated run moves several routers with their own clocks: demand comes and
-// goes, reports and tables are delayed, lost and reordered, the network is cut and
-// heals, routers restart empty or pause. After every step the sums over all
-// routers are compared with the limit.
+// Generated runs simulate several routers with their own clocks: demand varies,
+// reports and tables are delayed, lost and reordered, the network partitions and
+// recovers, routers pause or restart without state. After every step the sums over
+// all routers are compared with the limit.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -35,8 +35,8 @@
 }
 
 enum class FaultMode {
-    None, // all messages arrive
-    Generated, // losses, cuts, restarts, pauses
+    None, // all messages are delivered
+    Generated, // message loss, partitions, restarts, pauses
 };
 
 // Several routers, their clocks and the messages between them.
@@ -75,14 +75,14 @@
         deliver();
     }
 
-    // Lets the routers want so many requests in flight each.
+    // Sets the number of requests that the router would have in flight without a limit.
     void setDemand(std::size_t router, std::size_t demand)
     {
         m_routers[router].demand = demand;
     }
     void setLimit(std::uint32_t concurrency)
     {
-        m_concurrency = concurrency; // each router takes it over at its own time
+        m_concurrency = concurrency; // each router applies it at a different time
     }
 
     [[nodiscard]] std::size_t inFlight() const
@@ -124,11 +124,11 @@
         std::unique_ptr<Limiter> limiter;
         base::Duration clockOffset{};
         std::vector<base::TimePoint> ends; // of requests in flight
-        std::size_t counted = 0; // of those, what the limiter still counts
+        std::size_t counted = 0; // requests that the limiter still counts
         std::size_t demand = 5;
         base::TimePoint pausedUntil;
         std::uint32_t configured = 0;
-        int partition = 0; // of the cut; routers of one side reach each other
+        int partition = 0; // routers can only reach others in the same partition
     };
     struct Message
     {
@@ -265,7 +265,7 @@
     std::uint32_t m_concurrency;
     double m_perSecond;
     std::vector<Router> m_routers;
-    const std::uint64_t m_stepsBetweenFaults; // steps between two troubles, on average
+    const std::uint64_t m_stepsBetweenFaults; // average number of steps between two faults
     std::vector<Message> m_messages;
     std::uint64_t m_incarnations = 0;
     double m_restarts = 0;
@@ -311,7 +311,7 @@
         for (std::uint64_t run = 0; run < 10; ++run) {
             base::Random random(carawaylatch::testing::seed() + run);
             Fleet fleet(4, 40, 40, carawaylatch::testing::seed() + run);
-            std::uint32_t greatest = 40; // of the limits that requests in flight may stand on
+            std::uint32_t greatest = 40; // highest limit under which requests in flight may have started
             int since = 0;
             std::uint32_t limit = 40;
             for (int i = 0; i < 1500; ++i) {
@@ -329,8 +329,8 @@
         }
     }
 
-    // One router has all demand: it gets what the others may lend; when demand
-    // comes back to them, they get their parts back.
+    // A router that has all the demand borrows what the others may lend; when they have
+    // demand again, they get their quotas back.
     void testSharesFollowDemand()
     {
         Fleet fleet(4, 100, 100, carawaylatch::testing::seed());
@@ -340,7 +340,7 @@
         for (int i = 0; i < 200; ++i) {
             fleet.step(FaultMode::None);
         }
-        // 25 own and three times 25 less a kept fourth of 7.
+        // Own quota of 25, and from each of three lenders 25 less the reserved quarter of 7.
         CPPUNIT_ASSERT_EQUAL(79U, fleet.usable(0, Resource::Concurrency));
         CPPUNIT_ASSERT(fleet.usable(0, Resource::Rate) >= 75'000U);
         for (std::size_t i = 0; i < 4; ++i) {
@@ -354,7 +354,7 @@
         }
     }
 
-    // Parts of a fleet sum to the limit, with a slot; without one to max(L, F).
+    // Own quotas of a fleet sum to the limit L; without slots, to at most max(L, F).
     void testOwnQuotas()
     {
         for (const std::uint32_t fleet : {1U, 4U, 7U, 3400U}) {
@@ -385,7 +385,7 @@
         for (int i = 0; i < 100; ++i) {
             limiter.setWaiting(customers[i].id, 5);
         }
-        // More than fit: each gets its turn over the next reports.
+        // More customers than fit into a message are reported in turn.
         std::set<std::string> seen;
         for (int i = 0; i < 3; ++i) {
             const auto report = limiter.report(routerName(1), Start);
@@ -408,8 +408,8 @@
         while (bucket.tryConsume()) {
             ++taken;
         }
-        CPPUNIT_ASSERT_EQUAL(10, taken); // one second of the rate
-        bucket.refill(1000, Start + base::seconds{101}); // credit at the lesser rate
+        CPPUNIT_ASSERT_EQUAL(10, taken); // the capacity is one second of the rate
+        bucket.refill(1000, Start + base::seconds{101}); // refilled at the lower of the two rates
         taken = 0;
         while (bucket.tryConsume()) {
             ++taken;
@@ -423,7 +423,7 @@
         Limiter limiter({.router = routerName(0), .incarnation = {1}, .fleetSize = fleet, .slot = slot}, Start);
         const std::vector<config::Customer> customers = {{.id = Acme, .keyDigest = {}, .weight = 1, .requestsPerSecond = 0, .concurrency = limit}};
         limiter.configure(customers, Start);
-        // Past the recovery time of a restarted lender.
+        // After the recovery time of a restarted lender.
         return limiter.share(Acme, Resource::Concurrency, Start + base::hours{1});
     }
 };
--- a/carawaylatch/admission/testing/shareledgertest.cpp
+++ b/carawaylatch/admission/testing/shareledgertest.cpp
@@ -1,4 +1,4 @@
-// The rules of loans, one by one, between a lender and a borrower.
+// The rules of loans between one lender and one borrower.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <memory>
@@ -17,10 +17,10 @@
 const ShareKey Key{base::CustomerId("acme"), Resource::Concurrency};
 const base::RouterId LenderName("lender");
 const base::RouterId BorrowerName("borrower");
-constexpr std::uint32_t OwnQuota = 8; // of each; a fourth is never lent
+constexpr std::uint32_t OwnQuota = 8; // each router's own quota; a quarter of it is never lent
 constexpr std::uint32_t Lendable = 6;
 
-// Both routers at one moment; the test carries the messages.
+// A lender and a borrower with the same clock; the test delivers the messages.
 struct Pair
 {
     base::TimePoint now = Start;
@@ -46,7 +46,7 @@
     {
         borrower->apply(answer(), now);
     }
-    // Two exchanges end the recovery of the lender and lend all that may be lent.
+    // Ends the lender's recovery and lends all units that may be lent.
     void lendAll()
     {
         borrower->setUsage(Key, OwnQuota, 100);
@@ -56,7 +56,7 @@
         CPPUNIT_ASSERT_EQUAL(Lendable, borrowed());
         CPPUNIT_ASSERT_EQUAL(OwnQuota - Lendable, lender->usable(Key, now));
     }
-    // The borrower hears no report, so it recovers and uses its kept part only.
+    // The borrower receives no report, so it stays in recovery and uses only its reserved quota.
     [[nodiscard]] std::uint32_t borrowed() const
     {
         return borrower->usable(Key, now) - (OwnQuota - Lendable);
@@ -81,7 +81,7 @@
         Pair pair;
         pair.lendAll();
         pair.borrower->setUsage(Key, 2 + Lendable, 100);
-        pair.lender->setUsage(Key, 2, 100); // needs its part back
+        pair.lender->setUsage(Key, 2, 100); // the lender needs its quota back
         for (std::uint32_t ended = 0; ended <= Lendable; ++ended) {
             pair.borrower->setUsage(Key, 2 + Lendable - ended, 100);
             pair.exchange();
@@ -100,7 +100,7 @@
         const ShareTable smaller = pair.answer();
         CPPUNIT_ASSERT(smaller.entries.empty());
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
-        (void)pair.answer(); // a report that does not confirm it changes nothing
+        (void)pair.answer(); // a report that does not confirm the table changes nothing
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
         pair.borrower->apply(smaller, pair.now);
         CPPUNIT_ASSERT_EQUAL(2U, pair.borrower->usable(Key, pair.now));
@@ -108,8 +108,9 @@
         CPPUNIT_ASSERT_EQUAL(OwnQuota, pair.lender->usable(Key, pair.now));
     }
 
-    // A table that arrives late is good only for what is left of the term since
-    // its report; the lender waits for the term and the longest request.
+    // A table that arrives late is valid only for the rest of the loan term, which
+    // starts when the report is sent; the lender waits for the term and the longest
+    // request.
     void testBorrowerStopsBeforeLenderReclaims()
     {
         Pair pair;
@@ -124,7 +125,7 @@
         CPPUNIT_ASSERT_EQUAL(0U, pair.borrowed());
         pair.now = lentAt + Term + LongestRequest;
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
-        pair.now += base::seconds{1}; // past the margin for clocks
+        pair.now += base::seconds{1}; // exceeds the margin for clock drift
         CPPUNIT_ASSERT_EQUAL(OwnQuota, pair.lender->usable(Key, pair.now));
     }
 
@@ -134,7 +135,7 @@
         pair.lendAll();
         const ShareTable older = pair.answer();
         pair.lender->setUsage(Key, 2, 100);
-        pair.exchange(); // lends nothing
+        pair.exchange(); // the new table lends nothing
         pair.borrower->apply(older, pair.now);
         CPPUNIT_ASSERT_EQUAL(0U, pair.borrowed());
 
@@ -150,13 +151,13 @@
         third.lendAll();
         ShareTable toFormerBorrower = third.answer();
         third.borrower = third.make(BorrowerName, 3);
-        toFormerBorrower.reportSequence = third.report().sequence; // sequences start anew
+        toFormerBorrower.reportSequence = third.report().sequence; // sequence numbers restart
         third.borrower->apply(toFormerBorrower, third.now);
         CPPUNIT_ASSERT_EQUAL(0U, third.borrowed());
     }
 
-    // A lender that forgot its loans uses the kept part until the borrower told it
-    // what it holds, after a table of the new life.
+    // A restarted lender has no record of its loans. It uses only the reserved quota
+    // until the borrower, after a table of the new incarnation, reports what it holds.
     void testRestartedLender()
     {
         Pair pair;
@@ -169,11 +170,11 @@
         CPPUNIT_ASSERT_EQUAL(2U, pair.lender->usable(Key, pair.now));
         pair.borrower->setUsage(Key, 2 + Lendable - 1, 100);
         (void)pair.answer();
-        CPPUNIT_ASSERT_EQUAL(3U, pair.lender->usable(Key, pair.now)); // five are still in flight there
+        CPPUNIT_ASSERT_EQUAL(3U, pair.lender->usable(Key, pair.now)); // the borrower still has five in flight
 
         Pair alone;
         alone.now += Term + LongestRequest + base::seconds{1};
-        CPPUNIT_ASSERT_EQUAL(OwnQuota, alone.lender->usable(Key, alone.now)); // nobody answers: by time
+        CPPUNIT_ASSERT_EQUAL(OwnQuota, alone.lender->usable(Key, alone.now)); // no peer reports: recovery ends by time
     }
 };
 
--- a/carawaylatch/admission/tokenbucket.cpp
+++ b/carawaylatch/admission/tokenbucket.cpp
@@ -1,4 +1,4 @@
-// The bucket keeps level, rate and the time of the last look; see the header.
+// Bucket level and rate, updated lazily at each refill.
 #include "carawaylatch/admission/tokenbucket.h"
 
 #include <algorithm>
--- a/carawaylatch/admission/tokenbucket.h
+++ b/carawaylatch/admission/tokenbucket.h
@@ -1,8 +1,9 @@
 // A token bucket whose rate may change at any time.
 //
-// Credit for the time since the last look is given at the lesser of the old and
-// the new rate, and the level is cut to the new capacity: a change of rate never
-// makes tokens. Capacity is one second of the rate, at least one request.
+// Tokens for the time since the last refill are added at the lower of the old and
+// the new rate, and the level is capped at the new capacity, so that a change of
+// rate never creates tokens. The capacity is one second of the rate, at least one
+// token.
 #pragma once
 
 #include "carawaylatch/base/time.h"
@@ -13,13 +14,13 @@
 class TokenBucket
 {
 public:
-    // Starts with one token, so that the first request of a new router passes.
+    // Starts with one token, so that the first request after a start is admitted.
     explicit TokenBucket(base::TimePoint now);
-    // Brings the bucket to `now` under a rate in tokens per second.
+    // Refills the bucket up to `now` and sets the rate, in tokens per second.
     void refill(double perSecond, base::TimePoint now);
-    // Takes one token; false if there is none.
+    // Takes one token; returns false if there is none.
     [[nodiscard]] bool tryConsume();
-    // Returns the time until one token is there at the last rate; an hour at most.
+    // Returns the time until a token is available at the current rate, one hour at most.
     [[nodiscard]] base::Duration timeToNextToken() const;
 
 private:
--- a/carawaylatch/prefix/cacheindex.cpp
+++ b/carawaylatch/prefix/cacheindex.cpp
@@ -1,27 +1,26 @@
 // A set-associative table of (block, holder) entries.
 //
-// An entry is 16 bytes: block key, time of the last touch, slot and life of the
-// holder. Entries stand in buckets of eight, two cache lines each. The holders of
-// one block are spread over HolderGroups buckets by slot, so that a block that many
-// upstreams hold doesn't fill a bucket alone, and a lookup of all holders reads
-// that many buckets. The table never grows: a full bucket gives up an entry that
-// is void, else the one touched longest ago. Node-based concurrent maps were
-// weighed: two pointers, a lock and the allocator's share for each entry pass the
-// 32 bytes before the entry itself is counted.
+// An entry is 16 bytes: block key, time of the last touch, slot and generation of the
+// holder. Entries are stored in buckets of eight, two cache lines each. The holders of
+// one block are spread over HolderGroups buckets by slot, so that a block with many
+// holders does not fill one bucket, and a lookup of all holders reads that many
+// buckets. The table never grows: a full bucket replaces an invalid entry or else
+// the least recently touched one. Node-based concurrent maps would exceed 32 bytes per
+// entry with two pointers, a lock and allocator overhead, before the entry itself.
 //
-// Lives. Each slot has a life number; voiding a slot raises it, so that all
-// entries of the old life stop counting at once and are overwritten in passing.
-// Recording reads the life before the incarnation, and adopt() clears the
-// incarnation before it raises the life; an entry is therefore never recorded for
-// an old incarnation under a new life.
+// Generations. Each slot has a generation number. Invalidating a slot increments it,
+// so that all entries of the old generation are invalid at once and are overwritten
+// later. Recording reads the generation before the incarnation, and adopt() clears
+// the incarnation before it increments the generation; an entry of an old incarnation
+// is therefore never recorded under a new generation.
 //
-// Holes. Engines evict the end of a chain before its start, so a block that is
-// known to be held vouches for up to MaxGapBlocks unknown ones before it. Without this
-// one lost event in the middle of a chain would hide all that follows.
+// Gaps. Engines evict the end of a chain before its start, so a block that is known to
+// be held implies up to MaxGapBlocks unknown blocks before it. Otherwise one lost
+// event in the middle of a chain would hide all blocks after it.
 //
-// Ageing. The age at which evictions strike entries is averaged for each upstream;
-// an entry older than LifetimeSlack times that no longer counts. The slack is there
-// because touches by other routers cause no event.
+// Expiry. The age of entries at eviction is averaged per upstream; an entry older than
+// LifetimeSlack times the average is not valid. The slack is needed because requests
+// of other routers refresh blocks without an event.
 #include "carawaylatch/prefix/cacheindex.h"
 
 #include <tbb/spin_rw_mutex.h>
@@ -42,10 +41,10 @@
 constexpr std::size_t LockStripes = 4096;
 constexpr std::uint64_t GroupHashStep = 0x9E3779B97F4A7C15ULL;
 constexpr std::uint32_t MaxGapBlocks = 3; // blocks
-constexpr std::int64_t EventLagMs = 250; // an eviction younger than this contradicts a newer touch
+constexpr std::int64_t EventLagMs = 250; // events are delayed: an eviction does not apply to an entry touched within this time
 constexpr std::uint32_t LifetimeSlack = 3;
-constexpr double LifetimeAverageWeight = 0.05; // of one eviction in the average
-constexpr double AnswerAverageWeight = 0.1; // of one answer in the averages
+constexpr double LifetimeAverageWeight = 0.05; // weight of one eviction in the moving average
+constexpr double AnswerAverageWeight = 0.1; // weight of one response in the moving averages
 constexpr double MinConfidence = 0.25;
 constexpr std::uint32_t MinLifetimeMs = 500;
 
@@ -69,7 +68,7 @@
     std::atomic<std::uint16_t> generation{0};
     std::atomic<std::uint32_t> lifetimeMs{0};
     std::atomic<float> confidence{1};
-    std::atomic<float> predictedMissing{1}; // blocks of an answer, averaged
+    std::atomic<float> predictedMissing{1}; // blocks per response, moving average
     std::atomic<float> actualMissing{1};
     std::atomic<std::uint64_t> nextEvent{0};
     std::atomic<bool> hasMeasuredLifetime{false};
@@ -81,7 +80,7 @@
     return static_cast<std::uint32_t>(std::chrono::duration_cast<base::milliseconds>(time.time_since_epoch()).count());
 }
 
-// Age of a touch; a touch slightly ahead of `now` has age zero.
+// Returns the age of a touch, zero if it is slightly later than `now`.
 std::uint32_t ageMs(std::uint32_t now, std::uint32_t touched)
 {
     constexpr std::uint32_t MaxAhead = 60'000;
@@ -152,13 +151,14 @@
         *victim = entry;
     }
 
-    // Removes the entry and returns its age, or -1 if it was not there or was touched just now.
+    // Removes the entry and returns its age in milliseconds, or -1 if it does not exist or was
+    // touched within EventLagMs.
     std::int64_t evict(std::uint64_t key, upstreams::Slot slot, std::uint32_t now)
     {
         const std::size_t index = bucketOf(key, slot.index % HolderGroups);
         const tbb::spin_rw_mutex::scoped_lock lock(locks[index % LockStripes], true);
         for (auto &it : buckets[index].entries) {
-            // Aged entries too: the measured lifetime may grow and make them count again.
+            // Removes expired entries too: a longer measured lifetime would make them valid again.
             if (it.key == key && it.slot == slot.index && it.generation == upstreams[slot.index].generation.load(std::memory_order_relaxed)) {
                 const std::int64_t age = ageMs(now, it.touched);
                 if (age < EventLagMs) {
@@ -171,7 +171,7 @@
         return -1;
     }
 
-    // Starts to load the buckets of a chain's start, so that the misses overlap.
+    // Prefetches the buckets of the chain's first blocks, so that the cache misses overlap.
     void prefetch(std::span<const std::uint64_t> chain) const
     {
         constexpr std::size_t MaxPrefetched = 64;
@@ -210,7 +210,7 @@
         }
     }
 
-    // Reads the life under which `incarnation` may be recorded; false if it is not the current one.
+    // Reads the generation under which `incarnation` may be recorded; returns false if it is not the current incarnation.
     [[nodiscard]] bool readGeneration(upstreams::Slot slot, base::Incarnation incarnation, std::uint16_t &generation) const
     {
         if (slot.index >= upstreams.size() || incarnation.value == 0) {
@@ -263,7 +263,7 @@
     upstream.nextEvent.store(0);
     upstream.hasMeasuredLifetime.store(false);
     if (generation == 0) {
-        // The number wrapped: entries of its first use must not come back.
+        // The generation number wrapped: remove entries of earlier uses of the number.
         for (std::size_t i = 0; i < m_tables->buckets.size(); ++i) {
             const tbb::spin_rw_mutex::scoped_lock lock(m_tables->locks[i % LockStripes], true);
             for (auto &it : m_tables->buckets[i].entries) {
@@ -292,7 +292,7 @@
         return;
     }
     recordPlacement(answer.slot, answer.incarnation, answer.chain, now);
-    const auto total = static_cast<double>(answer.chain.size()) + 1; // the last, incomplete block is always computed
+    const auto total = static_cast<double>(answer.chain.size()) + 1; // the last, incomplete block is never cached
     average(m_tables->upstreams[answer.slot.index].predictedMissing, std::max(1.0, total - answer.predictedBlocks));
     average(m_tables->upstreams[answer.slot.index].actualMissing, std::max(1.0, total - answer.cachedBlocks));
     if (answer.predictedBlocks == 0) {
@@ -340,7 +340,7 @@
 
 void CacheIndex::findHolders(std::span<const std::uint64_t> chain, base::TimePoint now, std::vector<Holder> &holders) const
 {
-    // Sparse set: position of a slot in `holders`, valid only if the row there names the slot.
+    // Sparse set: position of a slot in `holders`, valid only if the holder there has that slot.
     thread_local std::vector<std::uint16_t> positions(upstreams::MaxSlots);
     holders.clear();
     const std::uint32_t time = milliseconds32(now);
@@ -401,7 +401,7 @@
 
 HotPlacements CacheIndex::exportHot(std::size_t maxEntries, base::TimePoint now) const
 {
-    // First pass: how old the maxEntries youngest are, to a quarter of a second.
+    // First pass: a histogram of ages in steps of 250 ms gives the age of the maxEntries youngest entries.
     constexpr std::uint32_t StepMs = 250;
     constexpr std::size_t Steps = 1024;
     std::array<std::size_t, Steps> counts{};
@@ -413,7 +413,7 @@
     for (std::size_t n = 0; step < Steps && n + counts[step] <= maxEntries; ++step) {
         n += counts[step];
     }
-    // Second pass: all that are younger than that step, and as many of the step as still fit.
+    // Second pass: all entries younger than that step, and as many of that step as fit.
     std::vector<std::vector<HotBlock>> blocks(m_tables->upstreams.size());
     std::size_t younger = 0;
     for (std::size_t i = 0; i < step; ++i) {
--- a/carawaylatch/prefix/cacheindex.h
+++ b/carawaylatch/prefix/cacheindex.h
@@ -1,14 +1,15 @@
-// Who caches what: a concurrent index of blocks and their holders, bounded in
-// bytes, with 16 bytes for each (block, upstream).
+// A concurrent index of cached blocks and the upstreams that hold them, bounded in
+// bytes, with 16 bytes per (block, upstream).
 //
-// Knowledge comes from four sources, the most trusted first: cached-token counts
-// in answers, the router's own placements, the engines' cache events, peers' hot
-// placements. Entries belong to one incarnation; a new one voids them at once.
-// Entries age out after the time in which the upstream was seen to evict.
+// Entries come from four sources, the most reliable first: cached-token counts in
+// responses, the router's own placements, the engines' cache events, and hot
+// placements of peers. Entries belong to one incarnation of an upstream; a new
+// incarnation invalidates them at once. Entries expire after the time in which the
+// upstream was observed to evict blocks.
 //
-// Traffic threads call the record and find functions, the control thread the
-// others; all are safe together. When a bucket is full the entry that was touched
-// longest ago is dropped; of one block at most MaxHoldersPerBlock holders are kept.
+// Traffic threads call the record and find functions, the control thread the others;
+// all are safe to call concurrently. If a bucket is full, the least recently touched
+// entry is replaced; at most MaxHoldersPerBlock holders are kept per block.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +29,7 @@
 {
     std::size_t maxBytes = 64U << 20U; // of the table of entries; rounded down to a power of two
     std::size_t maxUpstreams = upstreams::MaxSlots;
-    base::Duration initialLifetime = base::seconds{30}; // until evictions were measured
+    base::Duration initialLifetime = base::seconds{30}; // until evictions have been observed
 };
 
 enum class CacheOperation {
@@ -58,14 +59,14 @@
     std::uint32_t blocks = 0; // leading blocks of the chain
 };
 
-// What one answer said about the cache.
+// Cache usage that one response reported.
 struct CacheAnswer
 {
     upstreams::Slot slot;
     base::Incarnation incarnation;
     std::span<const std::uint64_t> chain;
     std::uint32_t predictedBlocks = 0;
-    std::uint32_t cachedBlocks = 0; // by the engine's count
+    std::uint32_t cachedBlocks = 0; // as counted by the engine
 };
 
 class CacheIndex
@@ -78,42 +79,42 @@
     CacheIndex(const CacheIndex &) = delete;
     CacheIndex &operator=(const CacheIndex &) = delete;
 
-    // Begins a life of an upstream: what was known of the slot is void.
+    // Starts an incarnation of an upstream; invalidates earlier entries of the slot.
     void adopt(upstreams::Slot slot, const base::UpstreamId &id, base::Incarnation incarnation);
-    // Voids all that is known of the slot, in constant time.
+    // Invalidates all entries of the slot, in constant time.
     void invalidate(upstreams::Slot slot);
 
-    // The chain was sent to the upstream and will be cached there.
+    // Records that the chain was sent to the upstream and will be cached there.
     void recordPlacement(upstreams::Slot slot, base::Incarnation incarnation, std::span<const std::uint64_t> chain, base::TimePoint now);
-    // The upstream said how much of a chain it had cached.
+    // Records how much of a chain the upstream reported as cached.
     void recordAnswer(const CacheAnswer &answer, base::TimePoint now);
-    // Events of the upstream; returns how many its sequence numbers show as lost.
+    // Applies cache events; returns the number of events lost, by gaps in their sequence numbers.
     std::uint64_t applyEvents(upstreams::Slot slot, const CacheEvents &events, base::TimePoint now);
     // Returns the sequence number to ask the upstream for.
     [[nodiscard]] std::uint64_t nextEvent(upstreams::Slot slot) const;
 
-    // Fills `holders` with the upstreams that hold the start of the chain, at most
-    // one row each, ordered by slot.
+    // Sets `holders` to the upstreams that hold the start of the chain, each at most
+    // once, ordered by slot.
     void findHolders(std::span<const std::uint64_t> chain, base::TimePoint now, std::vector<Holder> &holders) const;
-    // Returns how many leading blocks of the chain one upstream holds.
+    // Returns how many leading blocks of the chain the upstream holds.
     [[nodiscard]] std::uint32_t heldBlocks(upstreams::Slot slot, std::span<const std::uint64_t> chain, base::TimePoint now) const;
-    // Share, in [0, 1], of predicted blocks that answers of the upstream confirm.
+    // Returns the fraction of predicted blocks, in [0, 1], that the upstream's responses confirmed.
     [[nodiscard]] double confidence(upstreams::Slot slot) const;
-    // How much more prompt work answers of the upstream turned out to need than was
-    // predicted when they were placed: 1 where predictions hold, at most MaxPrefillCorrection.
+    // Returns the ratio of actual to predicted prompt work of the upstream's responses:
+    // 1 if predictions hold, at most MaxPrefillCorrection.
     [[nodiscard]] double prefillCorrection(upstreams::Slot slot) const;
     static constexpr double MaxPrefillCorrection = 3;
-    // The time after which the upstream evicts a block that nobody uses.
+    // Returns the time after which the upstream evicts an unused block.
     [[nodiscard]] base::Duration lifetime(upstreams::Slot slot) const;
 
-    // Returns the entries touched last, at most `maxEntries`.
+    // Returns the most recently touched entries, at most `maxEntries`.
     [[nodiscard]] HotPlacements exportHot(std::size_t maxEntries, base::TimePoint now) const;
-    // Takes a peer's entries for lives that this router knows too; others are ignored.
+    // Adds a peer's entries for incarnations that this router knows; others are ignored.
     void importHot(const HotPlacements &placements, base::TimePoint now);
 
-    // Counts the live entries of the whole table.
+    // Returns the number of valid entries in the whole table.
     [[nodiscard]] std::size_t size(base::TimePoint now) const;
-    // Bytes that the table of entries and the table of upstreams occupy.
+    // Returns the memory used by the tables of entries and of upstreams, in bytes.
     [[nodiscard]] std::size_t bytes() const;
 
 private:
--- a/carawaylatch/prefix/chain.h
+++ b/carawaylatch/prefix/chain.h
@@ -1,8 +1,8 @@
-// Keys of a prompt's blocks.
+// Hash keys of a prompt's blocks.
 //
-// Key 0 is the hash of the first block under the salt, key i the hash of block i
-// under key i-1. A key so names the whole prefix up to its block, and engines
-// compute the same keys (docs/design/wire.md).
+// Key 0 is the hash of the first block seeded with the salt; key i is the hash of block
+// i seeded with key i-1. A key thus identifies the whole prefix up to its block, and
+// engines compute the same keys (docs/design/wire.md).
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 namespace carawaylatch::prefix
 {
 
-// Bytes of prompt in one token.
+// Prompt bytes per token.
 constexpr std::uint32_t BytesPerToken = 4;
 
-// Returns the keys of all complete blocks in order.
+// Returns the keys of all complete blocks, in order.
 [[nodiscard]] std::vector<std::uint64_t> blockHashChain(std::string_view prompt, base::CacheSalt salt, std::uint32_t blockBytes);
 
-// Returns the number of tokens in a prompt.
+// Returns the number of tokens of a prompt.
 [[nodiscard]] std::uint32_t promptTokens(std::string_view prompt);
 
 } // namespace carawaylatch::prefix
--- a/carawaylatch/prefix/heat.cpp
+++ b/carawaylatch/prefix/heat.cpp
@@ -1,13 +1,13 @@
 // Decayed counters in a set-associative table.
 //
-// A counter holds the sum of tokens, each weighted by half for every half-life
-// since it was added; sum * ln 2 / half-life is the rate in tokens per second. The
-// counter also holds the level's spread, the binary logarithm of its replicas:
+// A counter holds a sum of tokens in which each addition is halved every half-life;
+// sum * ln 2 / half-life is the rate in tokens per second. The counter also holds the
+// level's spread, the binary logarithm of its replicas. The spread
 //   grows   while heat > share * 2^spread
-//   shrinks while heat < share * 2^spread / 4, half of what the last growth needed.
+//   shrinks while heat < share * 2^spread / 4, half of what the last growth required.
 //
-// A level ends where the heat of the next block is below BranchRatio of this
-// block's: there the traffic branches. Only the first MaxHeatBlocks blocks count.
+// A level ends where the heat of the next block is below BranchRatio times that of
+// this block: the traffic branches there. Only the first MaxHeatBlocks blocks count.
 #include "carawaylatch/prefix/heat.h"
 
 #include <tbb/spin_mutex.h>
@@ -28,8 +28,8 @@
 constexpr std::size_t MaxHeatBlocks = 128;
 constexpr double BranchRatio = 0.7;
 constexpr std::uint8_t MaxSpread = 6; // up to 64 replicas
-constexpr float MinRequests = 4; // before a level may grow: fewer say nothing about its rate
-constexpr double MaxHalfLives = 60; // older counters are zero
+constexpr float MinRequests = 4; // before a level may grow; fewer do not give a rate
+constexpr double MaxHalfLives = 60; // older counters count as zero
 
 struct Counter
 {
@@ -80,7 +80,8 @@
         return sum * std::log(2.0) / halfLifeMs * MillisecondsPerSecond;
     }
 
-    // Returns the key's counter, or the coldest of its bucket emptied for it. Locked by the caller.
+    // Returns the key's counter; if there is none, replaces the one with the lowest sum in its bucket.
+    // The caller holds the lock.
     Counter &findOrReplace(std::uint64_t key, std::uint32_t now)
     {
         Counter *coldest = nullptr;
--- a/carawaylatch/prefix/heat.h
+++ b/carawaylatch/prefix/heat.h
@@ -1,17 +1,18 @@
-// Heat of prefixes: how much prompt work each level of nesting draws.
+// Heat of prefixes: the rate of prompt tokens requested per prefix.
 //
-// Prompts nest (template, contract, clause), and nobody tells the router where a
-// level ends. Each request adds its tokens to the decayed sum of every block key
-// of its chain; where the sum drops from one block to the next, the traffic
-// branches and a level ends.
+// Prompts are nested (template, contract, clause), and the router does not know where
+// a level ends. Each request adds its tokens to a decayed sum for every block key of
+// its chain; where the sum drops from one block to the next, the traffic branches and
+// a level ends.
 //
 // The home level of a request is the shortest level whose heat fits in one
-// upstream's share. A level that is too hot has 2, 4, ... replicas, and its children
-// are split over these. Replicas go only when the heat has fallen to half of what
-// called for them, so that a level at the edge doesn't flap.
+// upstream's share. A level that exceeds the share gets 2, 4, ... replicas, and its
+// children are distributed over these. Replicas are removed only when the heat has
+// fallen to half of what required them, so that a level near the threshold does not
+// oscillate.
 //
-// Bounded: a fixed number of counters; a new key takes the place of the coldest in
-// its bucket. Any thread may call any function.
+// Memory is bounded: the number of counters is fixed, and a new key replaces the one
+// with the lowest heat in its bucket. Thread-safe.
 #pragma once
 
 #include <array>
@@ -35,12 +36,12 @@
 struct HomeLevel
 {
     std::uint64_t key = 0; // block key that ends the level
-    std::uint32_t blocks = 0; // length of the level from the chain's start
+    std::uint32_t blocks = 0; // blocks from the start of the chain to the level's end
     std::uint32_t replicas = 1; // upstreams that share the level, a power of two
 };
 
-// Levels of one chain. All but the last are too hot for one upstream: each narrows
-// the set of upstreams to its replicas, the last one names the home.
+// Levels of one chain. All but the last exceed one upstream's share: each restricts the
+// set of upstreams to its replicas, and the last one determines the home.
 struct HomePath
 {
     static constexpr std::size_t MaxLevels = 8;
@@ -56,12 +57,12 @@
     HeatTable(const HeatTable &) = delete;
     HeatTable &operator=(const HeatTable &) = delete;
 
-    // Adds one request of `tokens` prompt tokens to its pool, named by `pool`, and to
-    // its blocks. One upstream's share is the pool's heat over `upstreams`.
+    // Adds one request of `tokens` prompt tokens to its blocks and to its pool, whose key
+    // is `pool`. One upstream's share is the pool's heat divided by `upstreams`.
     void record(std::uint64_t pool, std::span<const std::uint64_t> chain, std::uint32_t tokens, std::uint32_t upstreams, base::TimePoint now);
-    // Returns the levels that decide where the chain's home is; empty for an empty chain.
+    // Returns the levels that determine the chain's home; empty for an empty chain.
     [[nodiscard]] HomePath path(std::span<const std::uint64_t> chain, base::TimePoint now) const;
-    // Returns a key's heat in tokens per second.
+    // Returns the key's heat in tokens per second.
     [[nodiscard]] double heat(std::uint64_t key, base::TimePoint now) const;
 
     [[nodiscard]] HotLevels exportHot(std::size_t maxEntries, base::TimePoint now) const;
--- a/carawaylatch/prefix/hotstate.h
+++ b/carawaylatch/prefix/hotstate.h
@@ -1,4 +1,4 @@
-// Snapshots of hot prefixes, as routers hand them to each other at a restart.
+// Snapshots of hot prefixes, which routers exchange at a restart.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +13,15 @@
 struct HotBlock
 {
     std::uint64_t key = 0;
-    std::uint32_t ageMilliseconds = 0; // since it was touched last, when the snapshot was made
+    std::uint32_t ageMilliseconds = 0; // time from the last touch to the snapshot
 };
 
-// Blocks that one life of an upstream holds.
+// Blocks that one incarnation of an upstream holds.
 struct HotUpstream
 {
     base::UpstreamId upstream;
     base::Incarnation incarnation;
-    std::uint32_t lifetimeMilliseconds = 0; // measured time until eviction
+    std::uint32_t lifetimeMilliseconds = 0; // time until eviction
     std::vector<HotBlock> blocks;
 };
 
@@ -34,7 +34,7 @@
 {
     std::uint64_t key = 0;
     float heat = 0; // tokens per second
-    std::uint8_t spread = 0; // see HeatTable
+    std::uint8_t spread = 0; // binary logarithm of the replicas, see HeatTable
 };
 
 struct HotLevels
--- a/carawaylatch/prefix/manifest.cpp
+++ b/carawaylatch/prefix/manifest.cpp
@@ -1,10 +1,9 @@
 // Import rules for exported KV blocks.
 //
-// Importing is safe only if the blocks were computed for the same namespace with
-// the same weights, and completely. An open manifest may still be written by its
-// exporter; it counts only while that very life runs and can be asked. The salt
-// alone would do for the namespace, but the plain fields are compared too, so that
-// two equal hashes don't suffice.
+// An import is safe only if the blocks were computed for the same namespace and weights
+// and are complete. An open manifest may still be written by its exporter; it is valid
+// only while that incarnation runs and can be queried. The plain fields are compared in
+// addition to the salt, so that a hash collision of two salts is not sufficient.
 #include "carawaylatch/prefix/manifest.h"
 
 #include <algorithm>
@@ -20,7 +19,7 @@
     }
     const bool isExporterAlive = manifest.incarnation.value != 0 && manifest.incarnation == target.liveExporterIncarnation;
     if (manifest.sealing != Sealing::Sealed && !isExporterAlive) {
-        return base::fail(base::ErrorKind::StaleState, "the exporter ended before it sealed the manifest; compute the prompt instead");
+        return base::fail(base::ErrorKind::StaleState, "the exporter stopped before it sealed the manifest; compute the prompt instead");
     }
     const auto end = std::mismatch(manifest.blocks.begin(), manifest.blocks.end(), target.chain.begin(), target.chain.end()).first;
     return static_cast<std::uint32_t>(end - manifest.blocks.begin());
--- a/carawaylatch/prefix/manifest.h
+++ b/carawaylatch/prefix/manifest.h
@@ -1,9 +1,9 @@
-// When cached prompt state may be imported, and whether it pays.
+// Whether exported KV blocks may be imported, and whether an import saves time.
 //
-// A manifest describes exported blocks. It may be imported only into its own
-// namespace and weights, and only if the life that exported it still runs or the
-// manifest is sealed, which means that the export was complete before that life
-// could end. An import that is refused or fails falls back to computing the prompt.
+// A manifest describes exported blocks. They may be imported only into the same
+// namespace and weights version, and only if the exporting incarnation still runs or
+// the manifest is sealed, which means that the export completed before that
+// incarnation could end. If an import is refused or fails, the prompt is computed.
 #pragma once
 
 #include <cstdint>
@@ -41,7 +41,7 @@
     base::ModelId model;
     base::WeightsVersion weightsVersion;
     std::string adapter;
-    base::Incarnation liveExporterIncarnation; // the exporter's incarnation if it is alive, else zero
+    base::Incarnation liveExporterIncarnation; // the exporter's incarnation while it runs, otherwise zero
     std::vector<std::uint64_t> chain;
 };
 
@@ -50,12 +50,12 @@
 
 struct ImportCost
 {
-    double bytesPerSecond = 1e9; // from store to upstream
+    double bytesPerSecond = 1e9; // from the KV store to the upstream
     std::uint64_t bytesPerBlock = 8'000'000;
     base::Duration roundTrip = base::milliseconds{5};
 };
 
-// Returns the time in which an import saves more than it costs, zero if it doesn't.
+// Returns the time that an import saves, less its transfer time; zero if it saves nothing.
 [[nodiscard]] base::Duration importSaving(std::uint32_t blocks, std::uint32_t tokensPerBlock, double prefillTokensPerSecond, const ImportCost &cost);
 
 } // namespace carawaylatch::prefix
--- a/carawaylatch/prefix/namespace.cpp
+++ b/carawaylatch/prefix/namespace.cpp
@@ -1,9 +1,9 @@
 // Salts of cache namespaces.
 //
-// The fields are encoded with their lengths before hashing, so that no two
-// different namespaces give the same byte string ("ab" + "c" against "a" + "bc").
-// What remains is the chance of two equal 64-bit hashes among a fleet's few
-// thousand namespaces, and the end-to-end check of the engine's echo.
+// The fields are hashed with their lengths, so that two different namespaces never give
+// the same byte string ("ab" + "c" and "a" + "bc"). A collision of two 64-bit hashes
+// among the few thousand namespaces of a fleet remains possible; the end-to-end check
+// of the values that the engine echoes is the remaining safeguard.
 #include "carawaylatch/prefix/namespace.h"
 
 #include <string>
--- a/carawaylatch/prefix/namespace.h
+++ b/carawaylatch/prefix/namespace.h
@@ -1,8 +1,8 @@
-// Cache namespaces: whose cached prompt state may serve whom.
+// Cache namespaces: which requests may share cached prompt state.
 //
-// The salt is sent to the engine and seeds the hash chain over a prompt's
-// blocks. Two requests share cached state only if customer, model, weights
-// version and adapter are all the same.
+// The salt is sent to the engine and seeds the hash chain over a prompt's blocks. Two
+// requests share cached state only if customer, model, weights version and adapter are
+// all equal.
 #pragma once
 
 #include <string_view>
--- a/carawaylatch/prefix/testing/cacheindextest.cpp
+++ b/carawaylatch/prefix/testing/cacheindextest.cpp
@@ -1,5 +1,5 @@
-// The cache index against a plain model, on generated event orders with losses,
-// restarts and late events.
+// The cache index compared with a reference model, on generated event sequences with
+// lost events, restarts and late events.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -32,13 +32,13 @@
     return chain;
 }
 
-// What an upstream holds, kept in the plainest way.
+// Reference model of the blocks that an upstream holds.
 struct Model
 {
     std::uint64_t incarnation = 1;
     std::uint64_t sequence = 1;
-    std::set<std::uint64_t> held; // by the truth of the upstream
-    std::set<std::uint64_t> everHeld; // in this life
+    std::set<std::uint64_t> held; // actual cache content of the upstream
+    std::set<std::uint64_t> everHeld; // by this incarnation
 };
 
 } // namespace
@@ -99,12 +99,12 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{3}, chainOf(50), m_now));
         index.adopt(Slot{3}, base::UpstreamId{"e3"}, {8});
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{3}, chain, m_now));
-        // What arrives late about the old life changes nothing.
+        // Late messages about the old incarnation have no effect.
         index.recordPlacement(Slot{3}, {7}, chain, m_now);
         index.recordAnswer({Slot{3}, {7}, chain, 6, 6}, m_now);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, index.applyEvents(Slot{3}, {{7}, 9, {{8, CacheOperation::Stored, chain[0]}}}, m_now));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, index.heldBlocks(Slot{3}, chain, m_now));
-        // The life number wraps without bringing old entries back.
+        // A wrapped generation number does not make old entries valid again.
         index.recordPlacement(Slot{3}, {8}, chain, m_now);
         for (int i = 0; i < 65'536; ++i) {
             index.invalidate(Slot{3});
@@ -154,7 +154,7 @@
             const base::UpstreamId id{"e" + std::to_string(i)};
             index.adopt(Slot{i}, id, {10});
             index.recordPlacement(Slot{i}, {10}, chainOf(std::uint64_t{i} * 4), m_now - base::seconds{i});
-            // The peer has other slots, and knows another life of e2.
+            // The peer uses different slots and knows another incarnation of e2.
             peer.adopt(Slot{static_cast<std::uint16_t>(7 - i)}, id, {i == 2 ? 11U : 10U});
         }
         const auto hot = index.exportHot(1000, m_now);
@@ -163,7 +163,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{ChainBlocks}, peer.heldBlocks(Slot{7}, chainOf(0), m_now));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{ChainBlocks}, peer.heldBlocks(Slot{6}, chainOf(4), m_now));
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, peer.heldBlocks(Slot{5}, chainOf(8), m_now));
-        // The bound keeps what was touched last.
+        // With a bound the most recently touched entries are exported.
         const auto few = index.exportHot(ChainBlocks, m_now);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, few.upstreams.size());
         CPPUNIT_ASSERT(few.upstreams[0].upstream == base::UpstreamId{"e0"});
@@ -189,7 +189,7 @@
     }
 
 private:
-    // Plays a random history at five upstreams. One event in `lossOneIn` is lost; zero for none.
+    // Simulates random events at five upstreams; one of `lossOneIn` events is lost, none if zero.
     void run(std::uint64_t lossOneIn)
     {
         base::Random random(carawaylatch::testing::seed() + lossOneIn);
@@ -200,7 +200,7 @@
         }
         std::uint64_t lost = 0;
         for (int step = 0; step < 5000; ++step) {
-            m_now += base::milliseconds{300}; // later than any event's lag
+            m_now += base::milliseconds{300}; // exceeds the lag of any event
             const auto slot = static_cast<std::uint16_t>(random.below(Upstreams));
             Model &model = models[slot];
             if (random.below(100) == 0) {
--- a/carawaylatch/prefix/testing/heattest.cpp
+++ b/carawaylatch/prefix/testing/heattest.cpp
@@ -1,4 +1,4 @@
-// Tests of prefix heat: levels found from traffic, growth, hysteresis, hand-over.
+// Prefix heat: levels derived from traffic, growth, hysteresis, export and import.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "carawaylatch/base/hash.h"
@@ -13,7 +13,7 @@
 constexpr std::uint64_t Pool = 1;
 constexpr std::uint32_t Upstreams = 8;
 
-// Four blocks of template, three of contract, one of clause.
+// A chain of four template blocks, three contract blocks and one clause block.
 std::vector<std::uint64_t> chainOf(std::uint64_t templateNumber, std::uint64_t contract, std::uint64_t clause)
 {
     std::vector<std::uint64_t> chain;
@@ -40,7 +40,7 @@
 public:
     void testFindsLevels()
     {
-        // Template 0 draws everything: it is split, and contracts fit in a share.
+        // Template 0 has all the traffic: it gets replicas, and each contract fits in one share.
         for (std::uint64_t i = 0; i < 400; ++i) {
             record(chainOf(0, i % 16, i % 5));
         }
@@ -55,10 +55,10 @@
     void testShrinksLaterThanItGrew()
     {
         const auto hot = chainOf(0, 0, 0);
-        recordMix(hot, 30); // 30% of the traffic is more than two shares of an eighth
+        recordMix(hot, 30); // 30% of the traffic exceeds two shares of 1/8 each
         const auto grown = m_heat.path(hot, m_now).levels[0].replicas;
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, grown);
-        recordMix(hot, 20); // below what made it grow, above half of that
+        recordMix(hot, 20); // below the threshold of growth, above half of it
         CPPUNIT_ASSERT_EQUAL(grown, m_heat.path(hot, m_now).levels[0].replicas);
         recordMix(hot, 3);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, m_heat.path(hot, m_now).levels[0].replicas);
@@ -91,7 +91,7 @@
         m_heat.record(Pool, chain, 8000, Upstreams, m_now);
     }
 
-    // A minute of traffic of which `percent` goes to one chain and the rest to many.
+    // Records one minute of traffic: `percent` for one chain and the rest for many.
     void recordMix(const std::vector<std::uint64_t> &hot, std::uint64_t percent)
     {
         for (std::uint64_t i = 0; i < 1200; ++i) {
--- a/carawaylatch/prefix/testing/namespacetest.cpp
+++ b/carawaylatch/prefix/testing/namespacetest.cpp
@@ -1,4 +1,4 @@
-// Tests of cache namespaces and block chains: no two namespaces share a key.
+// Cache namespaces and block chains: different namespaces share no block key.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <set>
@@ -80,7 +80,7 @@
         std::set<std::uint64_t> keys;
         std::size_t n = 0;
         for (int i = 0; i < 2000; ++i) {
-            // Unique by the version alone; all other fields may coincide.
+            // Only the version is unique; the other fields may be equal.
             const auto salt = cacheSalt(base::CustomerId{randomText(random, random.below(3))}, base::ModelId{randomText(random, random.below(2))},
                                         {static_cast<std::uint64_t>(i)}, randomText(random, random.below(2)));
             for (const auto key : blockHashChain(prompt, salt, 100)) {
@@ -112,7 +112,7 @@
         {
             const char *name;
             void (*change)(Manifest &, ImportTarget &);
-            int blocks; // -1: refused
+            int blocks; // -1: the import is refused
         };
         const Row rows[] = {
             {"sealed, exporter gone",
--- a/carawaylatch/routing/adaptive.cpp
+++ b/carawaylatch/routing/adaptive.cpp
@@ -1,25 +1,25 @@
 // Cost model.
 //
-//   score = wait + pressure * prefill of missing tokens + displacement
+//   score = wait + missWeight * prefill of missing tokens + displacement
 //
-// wait: estimateQueue(), which counts other routers' work too.
-// prefill: the tokens that the index doesn't expect there, the expected ones
-// weighed with the confidence in that upstream's entries.
-// pressure: a token computed anywhere delays those who come behind it. The longer
-// the typical wait, the more a saved token is worth, so that under overload requests
-// stay where their prefix is. Without this, waits drive requests away from their
-// caches, the copies displace other prefixes, hits fall and waits grow further. A
-// pressure by each upstream's own wait doesn't do: moments without a queue then
-// invite copies all the time.
-// displacement: a copy of a prefix outside its home pushes other blocks out of a
-// full cache, and someone has to compute these again. It is charged as a part of
-// the prefill of the blocks that the copy would add. A request goes elsewhere than
-// to its home only when the wait there costs more than that.
+// wait: estimateQueue(), which includes other routers' work.
+// prefill: the tokens that the index does not expect in the upstream's cache; expected
+// tokens are weighted with the confidence in that upstream's entries.
+// missWeight: a computed token delays all requests queued behind it. The longer the
+// typical wait, the more a cached token is worth, so that under overload requests stay
+// where their prefix is cached. Otherwise waits move requests away from their caches,
+// the copies displace other prefixes, the hit rate falls and waits grow further. The
+// weight does not depend on each upstream's own wait, because every short moment
+// without a queue would then cause copies.
+// displacement: a copy of a prefix outside its home evicts other blocks from a full
+// cache, which have to be computed again. It is charged as a fraction of the prefill
+// of the blocks that the copy adds. A request is sent elsewhere than to its home only
+// if the wait at the home costs more than that.
 //
-// Homes: the heat table says which level of the chain fits in one upstream's
-// share; its rendezvous order names the home, equally on every router.
+// Homes: the heat table determines which level of the chain fits in one upstream's
+// share; the level's rendezvous order gives the same home on every router.
 //
-// Large pools: holders, homes and a few random upstreams are looked at, not all.
+// Large pools: only holders, homes and a few random upstreams are considered.
 #include "carawaylatch/routing/adaptive.h"
 
 #include <algorithm>
@@ -34,20 +34,20 @@
 namespace
 {
 
-constexpr std::size_t MaxScannedUpstreams = 32; // pools up to this size are looked at whole
+constexpr std::size_t MaxScannedUpstreams = 32; // larger pools are sampled
 constexpr std::size_t SampleCount = 8;
-// Share of a copy's prefill that is charged for the blocks it displaces.
+// Fraction of a copy's prefill that is charged for the blocks it displaces.
 constexpr double DisplacementCostRatio = 0.25;
-// Extra weight of computed tokens for each second of typical wait.
+// Additional weight of missing tokens per second of typical wait.
 constexpr double MissWeightPerSecond = 32;
-// Waits above this many medians and seconds are cut off in the typical wait.
+// The typical wait caps each wait at OutlierRatio * median + OutlierSeconds.
 constexpr double OutlierRatio = 2;
 constexpr double OutlierSeconds = 0.5;
-// Waits closer than this are taken as equal, since estimates are no finer.
+// Waits that differ by less than this ratio count as equal: estimates are not more precise.
 constexpr double WaitNoiseRatio = 0.05;
 
-// Typical wait over the options in seconds: the mean, with outliers cut off so that
-// one upstream with a long queue doesn't make the others look busy.
+// Returns the typical wait in seconds: the mean with outliers capped, so that a single
+// upstream with a long queue does not dominate it.
 double typicalWait(const std::vector<UpstreamEstimate> &estimates)
 {
     if (estimates.empty()) {
--- a/carawaylatch/routing/adaptive.h
+++ b/carawaylatch/routing/adaptive.h
@@ -1,5 +1,6 @@
-// The default strategy: least expected time to first token, with homes for
-// prefixes so that routers agree and caches are not filled with copies.
+// The default strategy: minimizes the expected time to first token, with home
+// upstreams for prefixes so that all routers choose the same upstream for a prefix
+// and caches do not fill with duplicates.
 #pragma once
 
 #include "carawaylatch/routing/scoring.h"
--- a/carawaylatch/routing/baselines.cpp
+++ b/carawaylatch/routing/baselines.cpp
@@ -1,8 +1,9 @@
-// Baselines.
+// Baseline strategies.
 //
-// They get what a fair comparison needs: the same eligibility rules, the same
-// shared index, own requests since the last report. They don't get the estimate of
-// other routers' work, heat, or a cost model; these are what adaptive adds.
+// For a fair comparison they use the same eligibility rules, the same shared cache
+// index and their own requests since the last load report. They do not use the
+// estimate of other routers' work, prefix heat or a cost model, which the adaptive
+// strategy adds.
 #include "carawaylatch/routing/baselines.h"
 
 #include <algorithm>
@@ -15,7 +16,7 @@
 namespace
 {
 
-constexpr std::size_t MaxScannedUpstreams = 64; // pools up to this size are looked at whole
+constexpr std::size_t MaxScannedUpstreams = 64; // larger pools are sampled
 constexpr std::size_t SampleCount = 16;
 constexpr double LoadBound = 1.25;
 constexpr double ImbalanceRequests = 8;
@@ -60,7 +61,7 @@
 
 void RoundRobinStrategy::score(const PlacementContext &, std::vector<UpstreamEstimate> &estimates) const
 {
-    // More than one option only if the one in turn may not be chosen.
+    // There is more than one estimate only if the upstream in turn may not be chosen.
     const std::uint64_t turn = estimates.size() > 1 ? m_turn.fetch_add(1, std::memory_order_relaxed) : 0;
     for (std::size_t i = 0; i < estimates.size(); ++i) {
         estimates[i].score = i == turn % estimates.size() ? 0 : 1;
@@ -130,7 +131,7 @@
     if (least == estimates.end()) {
         return;
     }
-    constexpr double BlockWeight = 1e6; // a held block outweighs any number of requests
+    constexpr double BlockWeight = 1e6; // one cached block outweighs any number of requests
     const bool isImbalanced = most->queue.requests - least->queue.requests > ImbalanceRequests && most->queue.requests > ImbalanceRatio * least->queue.requests;
     for (auto &it : estimates) {
         it.score = it.queue.requests - (isImbalanced ? 0 : BlockWeight * it.heldBlocks);
--- a/carawaylatch/routing/baselines.h
+++ b/carawaylatch/routing/baselines.h
@@ -1,4 +1,4 @@
-// Strategies to measure against; each is in wide use.
+// Common strategies, as baselines for comparison.
 #pragma once
 
 #include "carawaylatch/routing/scoring.h"
@@ -6,7 +6,7 @@
 namespace carawaylatch::routing
 {
 
-// Any eligible upstream.
+// A random eligible upstream.
 class RandomStrategy : public ScoringStrategy
 {
 public:
@@ -31,7 +31,7 @@
     mutable std::atomic<std::uint64_t> m_turn;
 };
 
-// Fewest requests, by the last report and own requests since.
+// Fewest requests, by the last load report and own requests since.
 class LeastLoadedStrategy : public ScoringStrategy
 {
 public:
@@ -43,7 +43,8 @@
 };
 
 // Rendezvous hash of the first block with bounded load (Mirrokni, Thorup and
-// Zadimoghaddam 2018): the first in order whose requests are within LoadBound of the mean.
+// Zadimoghaddam 2018): the first in order with at most LoadBound times the mean number
+// of requests.
 class RendezvousStrategy : public ScoringStrategy
 {
 public:
@@ -54,7 +55,7 @@
     void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const override;
 };
 
-// Most held blocks while the load is even, fewest requests where it is not.
+// Most cached blocks while the load is balanced, fewest requests otherwise.
 class PrefixIndexStrategy : public ScoringStrategy
 {
 public:
--- a/carawaylatch/routing/estimate.cpp
+++ b/carawaylatch/routing/estimate.cpp
@@ -2,20 +2,21 @@
 //
 //   queue = max( reported + routers * sentSince - rate * age,  ownWaitingTokens )
 //
-// The report says what stood at the upstream `age` ago. Since then it computed at
-// most rate * age, and got what the routers sent. This router knows its own part
-// without lag; the others' part is taken to be like its own, since the balancer
-// spreads callers evenly. Counting the others too is what keeps routers that all
-// read "idle" from sending there together. Own requests that still wait for their
-// first token are there for certain, whatever the report says.
+// The load report states the upstream's queue `age` ago. Since then the upstream
+// computed at most rate * age and received what the routers sent. This router knows
+// its own requests without delay; the other routers are assumed to send as much,
+// since the load balancer spreads callers evenly. Without counting them, all routers
+// that see an idle upstream would send to it at the same time. Own requests that wait
+// for their first token are certainly queued, whatever the report states.
 //
-// Both parts count prompt tokens that were missing when a request was sent. Under
-// pressure some of its prefix is evicted before its turn comes, so the sum is
-// multiplied by what answers needed over what was predicted.
+// Both terms count the prompt tokens that were missing when a request was sent. Under
+// load some of its prefix is evicted before it is processed, so the sum is multiplied
+// by the ratio of actual to predicted prompt work.
 //
-// Reports don't tell classes apart. Interactive requests pass batch work, so the
-// part of the queue that is batch, taken from this router's own waiting requests,
-// doesn't count for them; else a long batch queue would refuse all interactive ones.
+// Load reports do not distinguish traffic classes. Interactive requests overtake batch
+// work, so the batch part of the queue, taken from this router's own waiting requests,
+// is not counted for them; otherwise a long batch queue would cause all interactive
+// requests to be refused.
 #include "carawaylatch/routing/estimate.h"
 
 #include <algorithm>
@@ -25,7 +26,7 @@
 
 namespace
 {
-constexpr double DefaultTokensPerSecond = 10'000; // until an upstream reported its own
+constexpr double DefaultTokensPerSecond = 10'000; // until the upstream reports its own rate
 } // namespace
 
 QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuery &query)
--- a/carawaylatch/routing/estimate.h
+++ b/carawaylatch/routing/estimate.h
@@ -1,4 +1,4 @@
-// What a request would wait for at an upstream, from lagging knowledge.
+// Estimates how long a request would wait at an upstream, from delayed load reports.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,25 @@
 
 struct QueueEstimate
 {
-    double tokens = 0; // prompt tokens to compute before a new request
+    double tokens = 0; // prompt tokens to compute ahead of a new request
     double requests = 0; // requests at the upstream
     base::Duration wait{};
     double tokensPerSecond = 0; // never zero
 };
 
-// Who asks: interactive requests pass waiting batch work.
+// Parameters of an estimate. Interactive requests overtake waiting batch work.
 struct QueueQuery
 {
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    std::uint32_t routers = 1; // that are taken to send as much as this one does
-    double prefillCorrection = 1; // prompt work that answers needed over what was predicted
+    std::uint32_t routers = 1; // routers assumed to send as much as this one
+    double prefillCorrection = 1; // ratio of prompt work that responses reported to the predicted work
     base::TimePoint now;
 };
 
-// Corrects the last report by the time that passed and by what was sent since.
+// Corrects the last load report by the elapsed time and the requests sent since.
 [[nodiscard]] QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuery &query);
 
-// Returns the time to compute that many prompt tokens.
+// Returns the time to compute `tokens` prompt tokens.
 [[nodiscard]] base::Duration prefillTime(double tokens, const QueueEstimate &queue);
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/rendezvous.cpp
+++ b/carawaylatch/routing/rendezvous.cpp
@@ -1,11 +1,11 @@
 // Highest-random-weight hashing (Thaler and Ravishankar 1998) in two steps.
 //
-// Ranking 10,000 upstreams for each decision would cost most of its time budget,
-// so the pool is cut into groups by hash. The key first chooses a group by weighted
-// rendezvous, the weight being the group's size, then ranks that group's members.
-// Each upstream owns an equal part of the keys, and one that comes or goes moves
-// only the keys that its group gains or loses. A pool of fewer than two groups'
-// size is one group, and the order is plain rendezvous.
+// Ranking 10,000 upstreams for each request would take most of its time budget, so
+// the pool is divided into groups by hash. The key first selects a group by weighted
+// rendezvous hashing, with the group's size as the weight, and then ranks that
+// group's members. Each upstream gets an equal part of the keys, and adding or
+// removing one moves only the keys that its group gains or loses. A pool smaller
+// than two groups is one group, and the order is plain rendezvous.
 #include "carawaylatch/routing/rendezvous.h"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
     std::uint32_t index = 0;
 };
 
-// Keeps the first n of the set in the key's order.
+// Reduces the set to its first n members in the key's order.
 void keepHighestRanked(const upstreams::UpstreamView &view, std::uint64_t key, std::size_t n, std::vector<std::uint32_t> &set)
 {
     std::vector<Ranked> ranked;
@@ -43,7 +43,7 @@
     }
 }
 
-// Returns the key's group by weighted rendezvous: the greatest size / -ln(u).
+// Returns the key's group by weighted rendezvous hashing: the maximum of size / -ln(u).
 std::size_t chooseGroup(const upstreams::PoolView &pool, std::uint64_t key)
 {
     constexpr double Scale = 1.0 / 18446744073709551616.0; // 2^-64
--- a/carawaylatch/routing/scoring.cpp
+++ b/carawaylatch/routing/scoring.cpp
@@ -1,8 +1,8 @@
-// The frame of a decision.
+// Placement of one request.
 //
-// Cost: the prefilter keeps the number of options small whatever the pool's size,
-// so that a decision stays within microseconds at 10,000 upstreams; only if none
-// of them may be chosen is the whole pool looked at.
+// The prefilter limits the number of estimates whatever the pool's size, so that a
+// placement takes microseconds with 10,000 upstreams. The whole pool is evaluated only
+// if none of the prefiltered upstreams may be chosen.
 #include "carawaylatch/routing/scoring.h"
 
 #include <algorithm>
@@ -32,7 +32,7 @@
     return status.takesWork(context.request.now) && !isExcluded(context.request, status.id);
 }
 
-// The earliest time from now at which the upstream may take work again.
+// Returns the shortest delay after which the upstream may accept requests again.
 base::Duration retryAfter(const upstreams::UpstreamStatus &status, base::TimePoint now)
 {
     constexpr base::Duration LoadingRetryDelay = base::milliseconds{600};
@@ -59,18 +59,18 @@
     for (const std::uint32_t it : context.pool.members) {
         earliest = std::min(earliest, retryAfter(context.view.upstreams[it], context.request.now));
     }
-    return base::fail(base::ErrorKind::Unavailable, "no upstream of pool " + context.pool.name.value() + " takes new work; retry after the time given",
+    return base::fail(base::ErrorKind::Unavailable, "no upstream of pool " + context.pool.name.value() + " accepts new requests; retry after the given delay",
                       earliest);
 }
 
 base::Result<const upstreams::PoolView *> findPool(const PlacementRequest &request, const upstreams::UpstreamView &view)
 {
     if (!view.isUsable(request.now)) {
-        return base::fail(base::ErrorKind::Unavailable, "the router's view of upstreams is out of date; retry after the time given", ViewRetryDelay);
+        return base::fail(base::ErrorKind::Unavailable, "the router's view of upstreams is out of date; retry after the given delay", ViewRetryDelay);
     }
     const auto *pool = view.pool(request.pool);
     if (pool == nullptr) {
-        return base::fail(base::ErrorKind::NotFound, "no pool " + request.pool.value() + "; name an existing pool in the route");
+        return base::fail(base::ErrorKind::NotFound, "no pool " + request.pool.value() + "; use an existing pool in the route");
     }
     return pool;
 }
@@ -91,7 +91,8 @@
     });
 }
 
-// Blocks that another upstream holds and the chosen one lacks were hot enough to be exported.
+// Returns a hint to import the blocks that another upstream holds and the chosen one
+// lacks: these were used often enough to be exported.
 std::optional<ImportHint> importHint(const PlacementContext &context, const UpstreamEstimate &chosen, const std::vector<UpstreamEstimate> &estimates)
 {
     if (!context.pool.hasKvStore) {
--- a/carawaylatch/routing/scoring.h
+++ b/carawaylatch/routing/scoring.h
@@ -1,6 +1,6 @@
-// What all strategies share: which upstreams may be chosen, what is known of each,
-// and the choice of the least score. A strategy adds two steps of its own: which
-// upstreams to look at, and the score of each.
+// Common part of all strategies: which upstreams may be chosen, the estimates for
+// each, and the choice of the lowest score. A strategy defines which upstreams to
+// consider and the score of each.
 #pragma once
 
 #include <atomic>
@@ -14,17 +14,17 @@
 namespace carawaylatch::routing
 {
 
-// Inputs of one decision and what is looked up once for it.
+// Inputs of one placement and the data looked up once for it.
 struct PlacementContext
 {
     const PlacementRequest &request;
     const upstreams::UpstreamView &view;
     const upstreams::PoolView &pool;
     std::vector<prefix::Holder> holders; // of the request's chain, ordered by slot
-    std::vector<std::uint32_t> homes; // where the strategy wants the chain to be, if anywhere
+    std::vector<std::uint32_t> homes; // the chain's home upstreams, if the strategy has any
 };
 
-// An upstream under consideration.
+// Estimates for one considered upstream.
 struct UpstreamEstimate
 {
     std::uint32_t index = 0; // in view.upstreams
@@ -33,7 +33,7 @@
     QueueEstimate queue;
     base::Duration prefill{};
     base::Duration penalty{};
-    double score = 0; // least wins
+    double score = 0; // the lowest score is chosen
 };
 
 class ScoringStrategy : public RoutingStrategy
@@ -45,27 +45,27 @@
 protected:
     ScoringStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
-    // Returns where the chain should be, as indexes into view.upstreams.
+    // Returns the chain's home upstreams, as indexes into view.upstreams.
     [[nodiscard]] virtual std::vector<std::uint32_t> homes(const PlacementContext &context) const;
-    // Returns the upstreams to look at, as indexes into view.upstreams; may name one twice.
+    // Returns the upstreams to consider, as indexes into view.upstreams; may contain duplicates.
     [[nodiscard]] virtual std::vector<std::uint32_t> prefilter(const PlacementContext &context) const = 0;
-    // Sets the score of each option.
+    // Sets the score of each estimate.
     virtual void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const = 0;
-    // Returns how many routers' work the queue estimate assumes.
+    // Returns the number of routers that the queue estimate assumes.
     [[nodiscard]] virtual std::uint32_t assumedRouters() const;
-    // Returns what the queue estimate multiplies queued work by.
+    // Returns the factor by which the queue estimate multiplies queued work.
     [[nodiscard]] virtual double prefillCorrection(upstreams::Slot slot) const;
-    // Returns the home set that explain() shows.
+    // Returns the home fields of explain().
     [[nodiscard]] virtual Explanation describe(const PlacementContext &context) const;
 
     [[nodiscard]] const SharedRoutingState &sharedState() const;
-    // Returns a random number; the sequence repeats under the seed.
+    // Returns a random number; the sequence is determined by the seed.
     [[nodiscard]] std::uint64_t nextRandom() const;
-    // Returns up to n random eligible upstreams, perhaps one twice; all if there are no more than n.
+    // Returns n random eligible upstreams, possibly with duplicates, or all if there are at most n.
     [[nodiscard]] std::vector<std::uint32_t> sample(const PlacementContext &context, std::size_t n) const;
-    // Adds the pool's upstreams that hold the start of the request's chain.
+    // Adds the pool's eligible upstreams that hold the start of the request's chain.
     static void addHolders(const PlacementContext &context, std::vector<std::uint32_t> &indexes);
-    // Returns the key that spreads a request without blocks.
+    // Returns the hash key of a request: its first block, or the request's spreadKey if it has none.
     [[nodiscard]] static std::uint64_t spreadKey(const PlacementContext &context);
 
 private:
--- a/carawaylatch/routing/strategy.cpp
+++ b/carawaylatch/routing/strategy.cpp
@@ -1,4 +1,4 @@
-// Strategies by name.
+// Creates strategies by name.
 #include "carawaylatch/routing/strategy.h"
 
 #include "carawaylatch/routing/adaptive.h"
--- a/carawaylatch/routing/strategy.h
+++ b/carawaylatch/routing/strategy.h
@@ -1,18 +1,18 @@
-// Chooses where a request runs.
+// Chooses the upstream for a request.
 //
-// A strategy sees a snapshot of upstreams, the request's block keys and the
-// router's shared knowledge (cache index, heat, own requests in flight), and
-// returns one upstream or the reason that none fits. It learns nothing by itself:
-// what happened to a placement reaches it through that knowledge.
+// A strategy reads a snapshot of the upstreams, the request's block keys and the
+// router's shared state (cache index, prefix heat, own requests in flight), and
+// returns one upstream or the reason that none is available. It keeps no record of
+// outcomes itself: the caller records them in the shared state.
 //
-//     auto strategy = makeStrategy("adaptive", knowledge, seed);
+//     auto strategy = makeStrategy("adaptive", sharedState, seed);
 //     BOOST_OUTCOME_TRY(auto placement, strategy.value()->place(request, *view));
 //     auto ticket = inflight.begin(placement.slot, placement.missingTokens, now);
 //     caches.recordPlacement(placement.slot, placement.incarnation, chain, now);
-//     heat.record(chain, request.promptTokens, now);
-//     ... caches.recordAnswer({...}, now) when the answer's usage is known.
+//     heat.record(pool, chain, request.promptTokens, upstreams, now);
+//     ... caches.recordAnswer({...}, now) when the response reports its usage.
 //
-// place() and explain() may be called from any thread.
+// place() and explain() are thread-safe.
 #pragma once
 
 #include <array>
@@ -50,10 +50,10 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t blockTokens = 1000; // tokens in one block
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    base::FailureDomain domain; // of this router; breaks ties
+    base::FailureDomain domain; // this router's failure domain
     base::TimePoint deadline; // for the first token; zero for none
-    std::span<const base::UpstreamId> excluded; // tried before, or the other half of a hedge
-    std::uint64_t spreadKey = 0; // hash of the request id, where the chain is empty
+    std::span<const base::UpstreamId> excluded; // tried before, or used by the other attempt of a hedged request
+    std::uint64_t spreadKey = 0; // hash of the request id; used where the chain is empty
 };
 
 // Cached state worth fetching from the pool's KV cache store before the prompt is computed.
@@ -71,14 +71,14 @@
     base::Incarnation incarnation;
     base::Endpoint endpoint;
     base::WeightsVersion weightsVersion;
-    std::uint32_t predictedBlocks = 0; // leading blocks expected in its cache
-    std::uint32_t missingTokens = 0; // prompt tokens it will have to compute
-    base::Duration expectedWait{}; // until it starts on this request
-    base::Duration expectedFirstToken{}; // expectedWait and prefill
+    std::uint32_t predictedBlocks = 0; // leading blocks expected in the upstream's cache
+    std::uint32_t missingTokens = 0; // prompt tokens that the upstream has to compute
+    base::Duration expectedWait{}; // until the upstream starts this request
+    base::Duration expectedFirstToken{}; // expectedWait plus prefill
     std::optional<ImportHint> importHint;
 };
 
-// One candidate of a decision; times are estimates.
+// One upstream considered for a request, as explain() returns it; times are estimates.
 struct Candidate
 {
     base::UpstreamId upstream;
@@ -87,14 +87,14 @@
     std::uint32_t missingTokens = 0;
     base::Duration expectedWait{};
     base::Duration prefill{};
-    base::Duration penalty{}; // for displacing what others will need
-    double score = 0; // least wins
+    base::Duration penalty{}; // cost of displacing cached blocks of other requests
+    double score = 0; // the lowest score is chosen
     enum class Verdict {
         Chosen,
         Possible,
         Excluded, // by the request
         NotEligible, // by its state
-        NotConsidered, // passed over by the prefilter
+        NotConsidered, // not selected by the prefilter
     } verdict = Verdict::Possible;
 };
 
@@ -104,11 +104,11 @@
 struct Explanation
 {
     std::vector<Candidate> candidates; // ordered by upstream id
-    std::uint32_t homeBlocks = 0; // length of the level that decides the home
+    std::uint32_t homeBlocks = 0; // length of the level that determines the home
     std::uint32_t homeReplicas = 0;
 };
 
-// The router's shared knowledge; outlives the strategy. All parts must be set.
+// State that the strategies share; must outlive them. All pointers must be set.
 struct SharedRoutingState
 {
     const prefix::CacheIndex *caches = nullptr;
@@ -123,17 +123,17 @@
 public:
     virtual ~RoutingStrategy() = default;
 
-    // Returns the chosen upstream, or Unavailable with the earliest time from now
-    // at which trying again can succeed.
+    // Returns the chosen upstream, or Unavailable with the shortest delay after which a
+    // retry can succeed.
     [[nodiscard]] virtual base::Result<Placement> place(const PlacementRequest &request, const upstreams::UpstreamView &view) const = 0;
-    // Returns every member of the pool with its estimate and verdict.
+    // Returns every member of the pool with its estimates and verdict.
     [[nodiscard]] virtual base::Result<Explanation> explain(const PlacementRequest &request, const upstreams::UpstreamView &view) const = 0;
 };
 
-// Names that makeStrategy knows; the last is the default.
+// Names that makeStrategy() accepts; the last is the default.
 constexpr std::array<std::string_view, 6> StrategyNames{"random", "round-robin", "least-loaded", "rendezvous", "prefix-index", "adaptive"};
 
-// Returns the strategy of that name, or InvalidArgument.
+// Returns the strategy with this name, or InvalidArgument.
 [[nodiscard]] base::Result<std::unique_ptr<RoutingStrategy>> makeStrategy(std::string_view name, const SharedRoutingState &sharedState, std::uint64_t seed);
 
 } // namespace carawaylatch::routing
--- a/carawaylatch/routing/testing/strategytest.cpp
+++ b/carawaylatch/routing/testing/strategytest.cpp
@@ -1,4 +1,4 @@
-// Contract of every strategy, and what adaptive promises beyond it.
+// Requirements on every strategy, and additional ones on the adaptive strategy.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -29,7 +29,7 @@
     return chain;
 }
 
-// One router's knowledge over a pool of n upstreams.
+// One router with a pool of n upstreams.
 struct Router
 {
     explicit Router(std::size_t n, std::string_view name = "adaptive", std::uint64_t seed = 1)
@@ -129,7 +129,7 @@
         for (const auto name : StrategyNames) {
             Router router(6, name);
             const std::string message(name);
-            // 0 leaves, 1 is not reachable, 2 is excluded; 3, 4, 5 remain.
+            // 0 is leaving, 1 is unreachable, 2 is excluded; 3, 4 and 5 remain.
             const auto chain = chainOf(1);
             for (std::uint16_t i = 0; i < 3; ++i) {
                 router.caches.recordPlacement(router.registry.view()->find(Router::id(i))->slot, {1}, chain, router.now);
@@ -162,7 +162,7 @@
             const auto refused = router.strategy->place(request, *router.registry.view());
             CPPUNIT_ASSERT_MESSAGE(message, refused.has_error() && refused.error().kind == base::ErrorKind::Unavailable);
             CPPUNIT_ASSERT_MESSAGE(message, refused.error().retryAfter > base::Duration{});
-            // A view that is too old is not used, whatever it says.
+            // An outdated view is not used.
             request.excluded = {};
             request.now += upstreams::MaxViewAge + base::milliseconds{1};
             CPPUNIT_ASSERT_MESSAGE(message, router.strategy->place(request, *router.registry.view()).has_error());
@@ -215,7 +215,7 @@
         CPPUNIT_ASSERT(router.place(chain).value().upstream == Router::id(0));
         CPPUNIT_ASSERT_EQUAL(8U, router.place(chain).value().predictedBlocks);
         CPPUNIT_ASSERT_EQUAL(10U, router.place(chain).value().missingTokens);
-        router.report(0, 4000); // half of what computing the prompt elsewhere would take
+        router.report(0, 4000); // half of the time to compute the prompt elsewhere
         router.refresh();
         CPPUNIT_ASSERT(router.place(chain).value().upstream == Router::id(0));
         router.report(0, 100'000); // a wait of 10 s against a prefill of 0.8 s
@@ -238,8 +238,8 @@
 
     void testRoutersDoNotOverloadOneUpstream()
     {
-        // One upstream looks idle, the others busy. Four routers place 16 requests each
-        // before the next report; none may get more than twice its share of the wait.
+        // Four routers see one idle upstream and three busy ones and place 16 requests each
+        // before the next load report. The idle upstream must not get most of them.
         std::map<std::string, double> tokens;
         for (std::uint64_t seed = 1; seed <= 4; ++seed) {
             Router router(4, "adaptive", seed);
