--- a/carawaylatch/admission/fairqueue.cpp
+++ b/carawaylatch/admission/fairqueue.cpp
@@ -1,13 +1,14 @@
-// Each ring keeps its customers in the order of their first entry. A customer at
-// the pointer is served while its deficit covers its head; then the pointer moves
-// on and the next visit adds quantum x weight. A customer that leaves the ring
-// (its queue is empty) loses its deficit, so nobody saves up turns.
+// Each ring keeps its customers in the order of their first entry. The current
+// customer is served while its deficit covers its first entry; then the ring
+// advances, and the next customer receives quantum x weight. A customer whose queue
+// becomes empty leaves the ring and loses its deficit, so idle customers cannot
+// accumulate credit.
 //
-// A head may need many visits (a long prompt, a small weight). In place of going
-// round, pop() works out how many whole rounds pass before the first head is
-// covered and adds them at once: a pop costs one pass over the waiting customers,
-// whatever the sizes are. Customers that may not start now (their concurrency is
-// used up) are passed over and earn nothing.
+// A first entry may need many visits (a long prompt or a small weight). Instead of
+// iterating, pop() computes how many whole rounds pass before the first entry is
+// covered and adds them at once: a pop takes one pass over the queued customers,
+// whatever the entries' sizes. Customers that may not start now (their concurrency
+// limit is reached) are skipped and receive no deficit.
 #include "carawaylatch/admission/fairqueue.h"
 
 #include <algorithm>
@@ -25,12 +26,12 @@
 struct CustomerQueue
 {
     base::CustomerId customer;
-    std::deque<QueueEntry> entries; // never empty while in a ring
+    std::deque<QueueEntry> entries; // never empty while the customer is in a ring
     double deficit = 0;
-    bool isVisited = false; // the current visit has added its quantum
+    bool hasQuantum = false; // the quantum of the current visit was added
 };
 
-struct Place
+struct EntryLocation
 {
     base::CustomerId customer;
     base::TrafficClass trafficClass;
@@ -41,8 +42,8 @@
 class FairQueue::Ring
 {
 public:
-    std::vector<CustomerQueue> queues; // in order of visits
-    std::size_t at = 0; // the customer that is visited now
+    std::vector<CustomerQueue> queues; // in visiting order
+    std::size_t current = 0; // index of the customer being visited
 
     CustomerQueue *find(const base::CustomerId &customer)
     {
@@ -63,13 +64,13 @@
     void eraseAt(std::size_t i)
     {
         queues.erase(queues.begin() + static_cast<std::ptrdiff_t>(i));
-        at = at > i ? at - 1 : at;
-        at = at >= queues.size() ? 0 : at;
+        current = current > i ? current - 1 : current;
+        current = current >= queues.size() ? 0 : current;
     }
-    void moveOn()
+    void advance()
     {
-        queues[at].isVisited = false;
-        at = (at + 1) % queues.size();
+        queues[current].hasQuantum = false;
+        current = (current + 1) % queues.size();
     }
     [[nodiscard]] std::optional<base::TimePoint> oldest(const Eligible &eligible) const
     {
@@ -103,7 +104,7 @@
         return rings[trafficClass == base::TrafficClass::Interactive ? 0 : 1];
     }
 
-    // Adds the whole rounds after which the first eligible head is nearly covered.
+    // Adds the deficit of all whole rounds before the one in which the first eligible entry is covered.
     void skipRounds(Ring &ring, const std::vector<char> &isEligible) const
     {
         double rounds = -1;
@@ -130,35 +131,35 @@
             return std::nullopt;
         }
         skipRounds(ring, isEligible);
-        // After skipRounds two passes cover the first head.
+        // After skipRounds() two passes are enough to cover an entry.
         for (std::size_t steps = 0; steps <= 2 * ring.queues.size(); ++steps) {
-            CustomerQueue &queue = ring.queues[ring.at];
-            if (isEligible[ring.at] == 0) {
-                ring.moveOn();
+            CustomerQueue &queue = ring.queues[ring.current];
+            if (isEligible[ring.current] == 0) {
+                ring.advance();
                 continue;
             }
-            if (!queue.isVisited) {
-                queue.isVisited = true;
+            if (!queue.hasQuantum) {
+                queue.hasQuantum = true;
                 queue.deficit += quantumOf(queue.customer);
             }
             const QueueEntry entry = queue.entries.front();
             if (queue.deficit < static_cast<double>(entry.tokens)) {
-                ring.moveOn();
+                ring.advance();
                 continue;
             }
             queue.deficit -= static_cast<double>(entry.tokens);
             queue.entries.pop_front();
             if (queue.entries.empty()) {
-                ring.eraseAt(ring.at);
+                ring.eraseAt(ring.current);
             }
             return entry;
         }
         return std::nullopt;
     }
 
-    void forget(const QueueEntry &entry)
+    void removeFromTotals(const QueueEntry &entry)
     {
-        places.erase(entry.id);
+        locations.erase(entry.id);
         tokens -= entry.tokens;
         const auto it = depths.find(entry.customer);
         if (--it->second == 0) {
@@ -169,10 +170,10 @@
     FairQueueOptions options;
     std::array<Ring, 2> rings; // interactive, batch
     std::map<base::CustomerId, double> weights; // of configured customers
-    std::map<base::CustomerId, std::size_t> depths; // above zero
-    std::unordered_map<std::uint64_t, Place> places; // of all entries
+    std::map<base::CustomerId, std::size_t> depths; // positive counts only
+    std::unordered_map<std::uint64_t, EntryLocation> locations; // of all entries
     std::uint64_t tokens = 0;
-    bool isLastAged = false; // the last pop was an aged batch entry
+    bool wasAgedBatchLast = false; // the last pop took an aged batch entry
 };
 
 FairQueue::FairQueue(const FairQueueOptions &options)
@@ -194,14 +195,14 @@
 
 base::Result<void> FairQueue::push(const QueueEntry &entry)
 {
-    if (depth(entry.customer) >= m_impl->options.maxEntriesOfCustomer) {
-        return base::fail(base::ErrorKind::LimitExceeded, "too many requests of the customer wait; send more slowly or raise its concurrency");
+    if (depth(entry.customer) >= m_impl->options.maxEntriesPerCustomer) {
+        return base::fail(base::ErrorKind::LimitExceeded, "the customer has too many queued requests; send more slowly or raise its concurrency");
     }
     if (size() >= m_impl->options.maxEntries) {
         return base::fail(base::ErrorKind::Overloaded, "the router's queue is full; try again later or add capacity");
     }
-    if (!m_impl->places.try_emplace(entry.id, Place{entry.customer, entry.trafficClass}).second) {
-        return base::fail(base::ErrorKind::InvalidArgument, "the entry's id is in the queue already; use a new one");
+    if (!m_impl->locations.try_emplace(entry.id, EntryLocation{entry.customer, entry.trafficClass}).second) {
+        return base::fail(base::ErrorKind::InvalidArgument, "an entry with this id is already queued; use a unique id");
     }
     QueueEntry copy = entry;
     copy.tokens = std::max<std::uint64_t>(1, copy.tokens);
@@ -216,30 +217,30 @@
     Ring &interactive = m_impl->ringOf(base::TrafficClass::Interactive);
     Ring &batch = m_impl->ringOf(base::TrafficClass::Batch);
     const auto oldest = batch.queues.empty() ? std::nullopt : batch.oldest(eligible);
-    const bool isBatchDue = oldest && now - *oldest >= m_impl->options.batchAge && !m_impl->isLastAged;
+    const bool isBatchDue = oldest && now - *oldest >= m_impl->options.batchAgingTime && !m_impl->wasAgedBatchLast;
     auto entry = m_impl->popFrom(isBatchDue ? batch : interactive, eligible);
-    m_impl->isLastAged = isBatchDue && entry;
+    m_impl->wasAgedBatchLast = isBatchDue && entry;
     if (!entry) {
         entry = m_impl->popFrom(isBatchDue ? interactive : batch, eligible);
     }
     if (entry) {
-        m_impl->forget(*entry);
+        m_impl->removeFromTotals(*entry);
     }
     return entry;
 }
 
 bool FairQueue::remove(std::uint64_t id)
 {
-    const auto place = m_impl->places.find(id);
-    if (place == m_impl->places.end()) {
+    const auto location = m_impl->locations.find(id);
+    if (location == m_impl->locations.end()) {
         return false;
     }
-    Ring &ring = m_impl->ringOf(place->second.trafficClass);
-    CustomerQueue *queue = ring.find(place->second.customer);
+    Ring &ring = m_impl->ringOf(location->second.trafficClass);
+    CustomerQueue *queue = ring.find(location->second.customer);
     const auto it = std::find_if(queue->entries.begin(), queue->entries.end(), [id](const QueueEntry &entry) {
         return entry.id == id;
     });
-    m_impl->forget(*it);
+    m_impl->removeFromTotals(*it);
     queue->entries.erase(it);
     if (queue->entries.empty()) {
         ring.eraseAt(static_cast<std::size_t>(queue - ring.queues.data()));
@@ -258,7 +259,7 @@
 
 std::size_t FairQueue::size() const
 {
-    return m_impl->places.size();
+    return m_impl->locations.size();
 }
 
 std::uint64_t FairQueue::queuedTokens() const
@@ -278,7 +279,7 @@
     return it == m_impl->weights.end() ? 1.0 : it->second;
 }
 
-double FairQueue::waitingWeight() const
+double FairQueue::queuedWeight() const
 {
     double sum = 0;
     for (const auto &[customer, n] : m_impl->depths) {
--- a/carawaylatch/prefix/heat.cpp
+++ b/carawaylatch/prefix/heat.cpp
@@ -1,13 +1,13 @@
 // Decayed counters in a set-associative table.
 //
-// A counter holds the sum of tokens, each weighted by half for every half-life
-// since it was added; sum * ln 2 / half-life is the rate in tokens per second. The
-// counter also holds the level's spread, the binary logarithm of its replicas:
+// A counter holds a sum of tokens in which each addition is halved every half-life;
+// sum * ln 2 / half-life is the rate in tokens per second. The counter also holds the
+// level's spread, the binary logarithm of its replicas. The spread
 //   grows   while heat > share * 2^spread
-//   shrinks while heat < share * 2^spread / 4, half of what the last growth needed.
+//   shrinks while heat < share * 2^spread / 4, half of what the last growth required.
 //
-// A level ends where the heat of the next block is below BranchRatio of this
-// block's: there the traffic branches. Only the first MaxHeatBlocks blocks count.
+// A level ends where the heat of the next block is below BranchRatio times that of
+// this block: the traffic branches there. Only the first MaxHeatBlocks blocks count.
 #include "carawaylatch/prefix/heat.h"
 
 #include <tbb/spin_mutex.h>
@@ -24,12 +24,12 @@
 {
 
 constexpr std::size_t BucketEntries = 8;
-constexpr std::size_t Stripes = 1024;
+constexpr std::size_t LockStripes = 1024;
 constexpr std::size_t MaxHeatBlocks = 128;
 constexpr double BranchRatio = 0.7;
 constexpr std::uint8_t MaxSpread = 6; // up to 64 replicas
-constexpr float MinRequests = 4; // before a level may grow: fewer say nothing about its rate
-constexpr double MaxHalfLives = 60; // older counters are zero
+constexpr float MinRequests = 4; // before a level may grow; fewer do not give a rate
+constexpr double MaxHalfLives = 60; // older counters count as zero
 
 struct Counter
 {
@@ -54,7 +54,7 @@
 struct HeatTable::Tables
 {
     std::vector<Bucket> buckets; // a power of two
-    std::array<tbb::spin_mutex, Stripes> locks;
+    std::array<tbb::spin_mutex, LockStripes> locks;
     double halfLifeMs;
 
     explicit Tables(const HeatOptions &options)
@@ -80,8 +80,9 @@
         return sum * std::log(2.0) / halfLifeMs * MillisecondsPerSecond;
     }
 
-    // Returns the key's counter, or the coldest of its bucket emptied for it. Locked by the caller.
-    Counter &claim(std::uint64_t key, std::uint32_t now)
+    // Returns the key's counter; if there is none, replaces the one with the lowest sum in its bucket.
+    // The caller holds the lock.
+    Counter &findOrReplace(std::uint64_t key, std::uint32_t now)
     {
         Counter *coldest = nullptr;
         double least = 0;
@@ -101,13 +102,13 @@
 
     double add(std::uint64_t key, std::uint32_t tokens, double share, std::uint32_t now)
     {
-        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % Stripes]);
-        Counter &counter = claim(key, now);
+        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % LockStripes]);
+        Counter &counter = findOrReplace(key, now);
         counter.sum = static_cast<float>(sumAt(counter, now) + tokens);
         counter.touched = now;
         const double heat = rate(counter.sum);
-        const bool isKnown = counter.sum >= MinRequests * tokens;
-        while (share > 0 && isKnown && counter.spread < MaxSpread && heat > share * static_cast<double>(1U << counter.spread)) {
+        const bool hasEnoughRequests = counter.sum >= MinRequests * tokens;
+        while (share > 0 && hasEnoughRequests && counter.spread < MaxSpread && heat > share * static_cast<double>(1U << counter.spread)) {
             ++counter.spread;
         }
         while (counter.spread > 0 && heat < share * static_cast<double>(1U << counter.spread) / 4) {
@@ -118,7 +119,7 @@
 
     [[nodiscard]] Counter find(std::uint64_t key)
     {
-        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % Stripes]);
+        const tbb::spin_mutex::scoped_lock lock(locks[bucketOf(key) % LockStripes]);
         for (const auto &it : buckets[bucketOf(key)].counters) {
             if (it.key == key) {
                 return it;
@@ -174,7 +175,7 @@
     HotLevels hot;
     const std::uint32_t time = milliseconds32(now);
     for (std::size_t i = 0; i < m_tables->buckets.size(); ++i) {
-        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[i % Stripes]);
+        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[i % LockStripes]);
         for (const auto &it : m_tables->buckets[i].counters) {
             const double heat = m_tables->rate(m_tables->sumAt(it, time));
             if (heat >= 1) {
@@ -196,8 +197,8 @@
 {
     const std::uint32_t time = milliseconds32(now);
     for (const auto &it : levels.levels) {
-        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[m_tables->bucketOf(it.key) % Stripes]);
-        Counter &counter = m_tables->claim(it.key, time);
+        const tbb::spin_mutex::scoped_lock lock(m_tables->locks[m_tables->bucketOf(it.key) % LockStripes]);
+        Counter &counter = m_tables->findOrReplace(it.key, time);
         const double sum = it.heat / m_tables->rate(1);
         if (sum > m_tables->sumAt(counter, time)) {
             counter = Counter{it.key, static_cast<float>(sum), time, std::min(it.spread, MaxSpread)};
--- a/carawaylatch/routing/estimate.cpp
+++ b/carawaylatch/routing/estimate.cpp
@@ -1,21 +1,22 @@
 // Queue estimates.
 //
-//   queue = max( reported + routers * sentSince - rate * age,  ownWaiting )
+//   queue = max( reported + routers * sentSince - rate * age,  ownWaitingTokens )
 //
-// The report says what stood at the upstream `age` ago. Since then it computed at
-// most rate * age, and got what the routers sent. This router knows its own part
-// without lag; the others' part is taken to be like its own, since the balancer
-// spreads callers evenly. Counting the others too is what keeps routers that all
-// read "idle" from sending there together. Own requests that still wait for their
-// first token are there for certain, whatever the report says.
+// The load report states the upstream's queue `age` ago. Since then the upstream
+// computed at most rate * age and received what the routers sent. This router knows
+// its own requests without delay; the other routers are assumed to send as much,
+// since the load balancer spreads callers evenly. Without counting them, all routers
+// that see an idle upstream would send to it at the same time. Own requests that wait
+// for their first token are certainly queued, whatever the report states.
 //
-// Both parts count prompt tokens that were missing when a request was sent. Under
-// pressure some of its prefix is evicted before its turn comes, so the sum is
-// multiplied by what answers needed over what was predicted.
+// Both terms count the prompt tokens that were missing when a request was sent. Under
+// load some of its prefix is evicted before it is processed, so the sum is multiplied
+// by the ratio of actual to predicted prompt work.
 //
-// Reports don't tell classes apart. Interactive requests pass batch work, so the
-// part of the queue that is batch, taken from this router's own waiting requests,
-// doesn't count for them; else a long batch queue would refuse all interactive ones.
+// Load reports do not distinguish traffic classes. Interactive requests overtake batch
+// work, so the batch part of the queue, taken from this router's own waiting requests,
+// is not counted for them; otherwise a long batch queue would cause all interactive
+// requests to be refused.
 #include "carawaylatch/routing/estimate.h"
 
 #include <algorithm>
@@ -25,20 +26,20 @@
 
 namespace
 {
-constexpr double DefaultTokensPerSecond = 10'000; // until an upstream reported its own
+constexpr double DefaultTokensPerSecond = 10'000; // until the upstream reports its own rate
 } // namespace
 
-QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuestion &question)
+QueueEstimate estimateQueue(const upstreams::UpstreamStatus &status, const upstreams::InflightCounts &own, const QueueQuery &query)
 {
     QueueEstimate queue;
     queue.tokensPerSecond = status.load.prefillTokensPerSecond > 0 ? status.load.prefillTokensPerSecond : DefaultTokensPerSecond;
-    const double age = std::max(0.0, base::toSeconds(question.now - status.loadAt));
-    const double routers = std::max(1U, question.routers);
-    const auto ownWaiting = static_cast<double>(own.tokensBeforeFirst);
+    const double age = std::max(0.0, base::toSeconds(query.now - status.loadAt));
+    const double routers = std::max(1U, query.routers);
+    const auto ownWaitingTokens = static_cast<double>(own.tokensBeforeFirst);
     const double corrected = static_cast<double>(status.load.queuedTokens) + static_cast<double>(own.tokensSince) * routers - queue.tokensPerSecond * age;
-    queue.tokens = std::max(corrected, ownWaiting) * question.workRatio;
-    if (question.trafficClass == base::TrafficClass::Interactive && ownWaiting > 0) {
-        queue.tokens *= 1 - static_cast<double>(std::min(own.batchBeforeFirst, own.tokensBeforeFirst)) / ownWaiting;
+    queue.tokens = std::max(corrected, ownWaitingTokens) * query.prefillCorrection;
+    if (query.trafficClass == base::TrafficClass::Interactive && ownWaitingTokens > 0) {
+        queue.tokens *= 1 - static_cast<double>(std::min(own.batchBeforeFirst, own.tokensBeforeFirst)) / ownWaitingTokens;
     }
     queue.requests = status.load.running + status.load.waiting + static_cast<double>(own.requestsSince) * routers;
     queue.wait = prefillTime(queue.tokens, queue);
--- a/carawaylatch/routing/scoring.h
+++ b/carawaylatch/routing/scoring.h
@@ -1,6 +1,6 @@
-// What all strategies share: which upstreams may be chosen, what is known of each,
-// and the choice of the least score. A strategy adds two steps of its own: which
-// upstreams to look at, and the score of each.
+// Common part of all strategies: which upstreams may be chosen, the estimates for
+// each, and the choice of the lowest score. A strategy defines which upstreams to
+// consider and the score of each.
 #pragma once
 
 #include <atomic>
@@ -14,18 +14,18 @@
 namespace carawaylatch::routing
 {
 
-// Inputs of one decision and what is looked up once for it.
-struct Decision
+// Inputs of one placement and the data looked up once for it.
+struct PlacementContext
 {
     const PlacementRequest &request;
     const upstreams::UpstreamView &view;
     const upstreams::PoolView &pool;
     std::vector<prefix::Holder> holders; // of the request's chain, ordered by slot
-    std::vector<std::uint32_t> homes; // where the strategy wants the chain to be, if anywhere
+    std::vector<std::uint32_t> homes; // the chain's home upstreams, if the strategy has any
 };
 
-// An upstream under consideration.
-struct Option
+// Estimates for one considered upstream.
+struct UpstreamEstimate
 {
     std::uint32_t index = 0; // in view.upstreams
     std::uint32_t heldBlocks = 0;
@@ -33,7 +33,7 @@
     QueueEstimate queue;
     base::Duration prefill{};
     base::Duration penalty{};
-    double score = 0; // least wins
+    double score = 0; // the lowest score is chosen
 };
 
 class ScoringStrategy : public RoutingStrategy
@@ -43,40 +43,40 @@
     [[nodiscard]] base::Result<Explanation> explain(const PlacementRequest &request, const upstreams::UpstreamView &view) const override;
 
 protected:
-    ScoringStrategy(const RoutingKnowledge &knowledge, std::uint64_t seed);
+    ScoringStrategy(const SharedRoutingState &sharedState, std::uint64_t seed);
 
-    // Returns where the chain should be, as indexes into view.upstreams.
-    [[nodiscard]] virtual std::vector<std::uint32_t> homes(const Decision &decision) const;
-    // Returns the upstreams to look at, as indexes into view.upstreams; may name one twice.
-    [[nodiscard]] virtual std::vector<std::uint32_t> prefilter(const Decision &decision) const = 0;
-    // Sets the score of each option.
-    virtual void score(const Decision &decision, std::vector<Option> &options) const = 0;
-    // Returns how many routers' work the queue estimate assumes.
+    // Returns the chain's home upstreams, as indexes into view.upstreams.
+    [[nodiscard]] virtual std::vector<std::uint32_t> homes(const PlacementContext &context) const;
+    // Returns the upstreams to consider, as indexes into view.upstreams; may contain duplicates.
+    [[nodiscard]] virtual std::vector<std::uint32_t> prefilter(const PlacementContext &context) const = 0;
+    // Sets the score of each estimate.
+    virtual void score(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates) const = 0;
+    // Returns the number of routers that the queue estimate assumes.
     [[nodiscard]] virtual std::uint32_t assumedRouters() const;
-    // Returns what the queue estimate multiplies queued work by.
-    [[nodiscard]] virtual double workRatio(upstreams::Slot slot) const;
-    // Returns the home set that explain() shows.
-    [[nodiscard]] virtual Explanation describe(const Decision &decision) const;
+    // Returns the factor by which the queue estimate multiplies queued work.
+    [[nodiscard]] virtual double prefillCorrection(upstreams::Slot slot) const;
+    // Returns the home fields of explain().
+    [[nodiscard]] virtual Explanation describe(const PlacementContext &context) const;
 
-    [[nodiscard]] const RoutingKnowledge &knowledge() const;
-    // Returns a random number; the sequence repeats under the seed.
-    [[nodiscard]] std::uint64_t draw() const;
-    // Returns up to n random eligible upstreams, perhaps one twice; all if there are no more than n.
-    [[nodiscard]] std::vector<std::uint32_t> sample(const Decision &decision, std::size_t n) const;
-    // Adds the pool's upstreams that hold the start of the request's chain.
-    static void addHolders(const Decision &decision, std::vector<std::uint32_t> &indexes);
-    // Returns the key that spreads a request without blocks.
-    [[nodiscard]] static std::uint64_t spreadKey(const Decision &decision);
+    [[nodiscard]] const SharedRoutingState &sharedState() const;
+    // Returns a random number; the sequence is determined by the seed.
+    [[nodiscard]] std::uint64_t nextRandom() const;
+    // Returns n random eligible upstreams, possibly with duplicates, or all if there are at most n.
+    [[nodiscard]] std::vector<std::uint32_t> sample(const PlacementContext &context, std::size_t n) const;
+    // Adds the pool's eligible upstreams that hold the start of the request's chain.
+    static void addHolders(const PlacementContext &context, std::vector<std::uint32_t> &indexes);
+    // Returns the hash key of a request: its first block, or the request's spreadKey if it has none.
+    [[nodiscard]] static std::uint64_t spreadKey(const PlacementContext &context);
 
 private:
-    [[nodiscard]] Decision decide(const PlacementRequest &request, const upstreams::UpstreamView &view, const upstreams::PoolView &pool) const;
-    [[nodiscard]] std::vector<Option> options(const Decision &decision) const;
-    [[nodiscard]] Option makeOption(const Decision &decision, std::uint32_t index) const;
-    static void addHeldBlocks(const Decision &decision, std::vector<Option> &options);
+    [[nodiscard]] PlacementContext makeContext(const PlacementRequest &request, const upstreams::UpstreamView &view, const upstreams::PoolView &pool) const;
+    [[nodiscard]] std::vector<UpstreamEstimate> estimates(const PlacementContext &context) const;
+    [[nodiscard]] UpstreamEstimate makeEstimate(const PlacementContext &context, std::uint32_t index) const;
+    static void addHeldBlocks(const PlacementContext &context, std::vector<UpstreamEstimate> &estimates);
 
-    RoutingKnowledge m_knowledge;
+    SharedRoutingState m_sharedState;
     std::uint64_t m_seed;
-    mutable std::atomic<std::uint64_t> m_draws{0};
+    mutable std::atomic<std::uint64_t> m_randomCount{0};
 };
 
 } // namespace carawaylatch::routing
