--- a/bench/ordersbench.cpp
+++ b/bench/ordersbench.cpp
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "carawaylatch/orders/claimjournal.h"
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/journalrecordstore.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/store/memorystore.h"
 
 namespace
@@ -36,9 +36,9 @@
 class BenchLiveness : public orders::RouterLiveness
 {
 public:
-    [[nodiscard]] orders::ClaimantLife life(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
+    [[nodiscard]] orders::ClaimantLiveness livenessOf(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
     {
-        return orders::ClaimantLife::Live;
+        return orders::ClaimantLiveness::Live;
     }
 };
 
@@ -57,13 +57,13 @@
 void guardAlone(benchmark::State &state)
 {
     const base::TimePoint now{base::hours{1}};
-    const orders::GuardRequest request{{base::RouterId("r1"), {1}, {1}}, 7, 0, now + base::seconds{30}};
+    const orders::OrderStateMachineRequest request{{base::RouterId("r1"), {1}, {1}}, 7, 0, now + base::seconds{30}};
     for (auto _ : state) {
-        orders::OrderGuard guard(request, {});
-        (void)guard.onStart(now);
-        (void)guard.onWritten(now, store::Version{1});
-        (void)guard.onSent(now, orders::ServiceAnswer{201, {}, {}, {1}, {}});
-        benchmark::DoNotOptimize(guard.onWritten(now, store::Version{2}));
+        orders::OrderStateMachine stateMachine(request, {});
+        (void)stateMachine.onStart(now);
+        (void)stateMachine.onWritten(now, store::Version{1});
+        (void)stateMachine.onSent(now, orders::ServiceAnswer{201, {}, {}, {1}, {}});
+        benchmark::DoNotOptimize(stateMachine.onWritten(now, store::Version{2}));
     }
 }
 BENCHMARK(guardAlone);
@@ -71,16 +71,16 @@
 void orderOverMemory(benchmark::State &state)
 {
     store::MemoryStore store;
-    orders::SingleClaimStore claims(store);
+    orders::ObjectRecordStore claims(store);
     const BenchLiveness liveness;
     const base::SteadyClock clock;
-    orders::OrderDesk desk(base::RouterId("r1"), {1}, claims, liveness, clock);
+    orders::OrderExecutor executor(base::RouterId("r1"), {1}, claims, liveness, clock);
     BenchService service;
     BenchChooser chooser;
     std::uint64_t n = 0;
     for (auto _ : state) {
         const auto request = makeRequest(clock, state.range(0) == 0 ? n++ : 0);
-        benchmark::DoNotOptimize(desk.run(request, service, chooser));
+        benchmark::DoNotOptimize(executor.run(request, service, chooser));
     }
 }
 BENCHMARK(orderOverMemory)->ArgName("replay")->Arg(0)->Arg(1);
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -1,7 +1,7 @@
 // Platform calls of orders: counted with the real parts for one order after the
 // other, and in virtual time for group commit under load.
 //
-// The second part is a discrete-event model of JournalClaimStore: routers with a
+// The second part is a discrete-event model of JournalRecordStore: routers with a
 // committer for each range, a platform with fixed latencies, orders that claim,
 // run for a while and record. A committer whose cached image is old loses its
 // conditional write, reads and writes again, as the real one does.
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/orders/claimjournal.h"
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/journalrecordstore.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/store/memorystore.h"
 
 namespace
@@ -51,9 +51,9 @@
 class CountedParts : public orders::ServiceConnection, public orders::UpstreamChooser, public orders::RouterLiveness
 {
 public:
-    orders::ClaimantLife life(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
+    orders::ClaimantLiveness livenessOf(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
     {
-        return orders::ClaimantLife::Live;
+        return orders::ClaimantLiveness::Live;
     }
     base::Result<orders::ServiceAnswer> call(const orders::ServiceRequest &request) override
     {
@@ -65,12 +65,12 @@
     }
 };
 
-void countOrders(const char *name, CountingStore &store, orders::ClaimStore &claims)
+void countOrders(const char *name, CountingStore &store, orders::OrderRecordStore &claims)
 {
     constexpr std::uint64_t Orders = 500;
     const base::SteadyClock clock;
     CountedParts parts;
-    orders::OrderDesk desk(base::RouterId("r1"), {1}, claims, parts, clock);
+    orders::OrderExecutor executor(base::RouterId("r1"), {1}, claims, parts, clock);
     for (const char *kind : {"new", "duplicate"}) {
         const std::uint64_t reads = store.reads;
         const std::uint64_t writes = store.writes;
@@ -80,7 +80,7 @@
             request.key = "booking-" + std::to_string(n);
             request.service.body = "{\"tonnes\":10}";
             request.deadline = clock.now() + base::seconds{30};
-            (void)desk.run(request, parts, parts);
+            (void)executor.run(request, parts, parts);
         }
         std::printf("| %s | %s | %.2f | %.2f |\n", name, kind, static_cast<double>(store.writes - writes) / Orders,
                     static_cast<double>(store.reads - reads) / Orders);
@@ -247,10 +247,10 @@
 {
     std::printf("| store | order | writes | reads |\n|---|---|---|---|\n");
     CountingStore single;
-    orders::SingleClaimStore singleClaims(single);
+    orders::ObjectRecordStore singleClaims(single);
     countOrders("single object", single, singleClaims);
     CountingStore journal;
-    orders::JournalClaimStore journalClaims(journal, orders::JournalSettings{});
+    orders::JournalRecordStore journalClaims(journal, orders::JournalSettings{});
     countOrders("journal", journal, journalClaims);
 
     std::printf("\n| routers | ranges | orders/s | writes an order | records a write | writes/s | reads/s | claim p50 ms | claim p99 ms |\n"
--- a/carawaylatch/orders/duplicates.cpp
+++ b/carawaylatch/orders/duplicates.cpp
@@ -14,27 +14,28 @@
 {
     OrderAnswer answer;
     answer.kind = kind;
-    answer.attempt = AttemptFate::NotRun;
+    answer.execution = ExecutionStatus::NotRun;
     answer.error = std::move(error);
     return answer;
 }
 
-OrderAnswer otherRequestRefusal()
+OrderAnswer keyReuseRefusal()
 {
     return refusal(OrderAnswerKind::Refused, base::fail(ErrorKind::InvalidArgument, "the key was used for another request; use a new key for a new order"));
 }
 
-OrderAnswer comeBackRefusal(base::Duration retryAfter)
+OrderAnswer retryLaterRefusal(base::Duration retryAfter)
 {
     constexpr auto Message = "this request did not run the order, another may; send it again with the same key after retry_after_ms";
     return refusal(OrderAnswerKind::Unknown, base::fail(ErrorKind::Unavailable, Message, retryAfter));
 }
 
-OrderAnswer answerDuplicate(const OrderDuty &duty, DutyPhase phase, std::uint64_t requestDigest, const GuardSettings &settings)
+OrderAnswer answerDuplicate(const PendingUpdate &pendingUpdate, PendingUpdatePhase phase, std::uint64_t requestDigest,
+                            const OrderStateMachineSettings &settings)
 {
-    const OrderRecord &record = duty.record();
+    const OrderRecord &record = pendingUpdate.record();
     if (record.requestDigest != requestDigest) {
-        return otherRequestRefusal();
+        return keyReuseRefusal();
     }
     if (record.state == RecordState::Done && !record.isAnswerDropped) {
         OrderAnswer answer;
@@ -42,15 +43,15 @@
         answer.answer = record.answer;
         return answer;
     }
-    if (duty.kind() == DutyKind::RecordOutcome) {
+    if (pendingUpdate.kind() == PendingUpdateKind::RecordOutcome) {
         constexpr auto Message = "the order was sent and its answer is not known; ask the service whether the order exists before sending it under a new key";
         return refusal(OrderAnswerKind::Unknown, base::fail(ErrorKind::Unclear, Message));
     }
-    if (duty.holdsClaim() && phase == DutyPhase::Resting) {
+    if (pendingUpdate.holdsClaim() && phase == PendingUpdatePhase::Idle) {
         constexpr auto Message = "the order was not run; send it again with the same key after retry_after_ms";
         return refusal(OrderAnswerKind::NotRun, base::fail(ErrorKind::NotRun, Message, settings.retryAfter));
     }
-    return comeBackRefusal(settings.retryAfter);
+    return retryLaterRefusal(settings.retryAfter);
 }
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/claimjournal.cpp
+++ b/carawaylatch/orders/journalrecordstore.cpp
@@ -14,7 +14,7 @@
 //
 // A condition that fails on a cached image proves nothing, so it is checked again
 // on a fresh one, unless the write of the rest of the batch succeeds.
-#include "carawaylatch/orders/claimjournal.h"
+#include "carawaylatch/orders/journalrecordstore.h"
 
 #include <condition_variable>
 #include <deque>
@@ -38,7 +38,7 @@
            + record.answer.body.size();
 }
 
-OrderRecord fitForJournal(OrderRecord record)
+OrderRecord dropAnswerTooLongForJournal(OrderRecord record)
 {
     if (record.answer.body.size() > MaxJournalAnswerBytes) {
         record.answer.body.clear();
@@ -56,7 +56,7 @@
         return base::fail(ErrorKind::InvalidArgument, "order journal can't be decoded; restore the object from the platform's backup");
     }
     JournalImage image;
-    BOOST_OUTCOME_TRY(closed, ClosedSet::decode(journal.closed()));
+    BOOST_OUTCOME_TRY(closed, ClosedKeySet::decode(journal.closed()));
     image.m_closed = std::move(closed);
     image.m_lastVersion = journal.last_version();
     image.m_bytes = image.m_closed.size() * DigestBytes;
@@ -142,7 +142,7 @@
 }
 
 // One caller's compare-and-set, on the caller's stack until it has its result.
-struct JournalClaimStore::Call
+struct JournalRecordStore::Call
 {
     const OrderId &order;
     OrderRecord record;
@@ -151,7 +151,7 @@
     bool isDone = false; // guarded by the range's mutex
 };
 
-struct JournalClaimStore::Range
+struct JournalRecordStore::Range
 {
     std::mutex mutex; // guards waiting, isWriting and Call::isDone
     std::condition_variable changed;
@@ -160,7 +160,7 @@
     std::optional<Loaded> cached; // the leader's alone while isWriting
 };
 
-JournalClaimStore::JournalClaimStore(store::ObjectStore &store, JournalSettings settings)
+JournalRecordStore::JournalRecordStore(store::ObjectStore &store, JournalSettings settings)
     : m_store(store)
     , m_settings(settings)
 {
@@ -169,14 +169,14 @@
     }
 }
 
-JournalClaimStore::~JournalClaimStore() = default;
+JournalRecordStore::~JournalRecordStore() = default;
 
-std::uint32_t JournalClaimStore::rangeIndex(const OrderId &order) const
+std::uint32_t JournalRecordStore::rangeIndex(const OrderId &order) const
 {
     return static_cast<std::uint32_t>(order.hash() % m_settings.ranges);
 }
 
-base::Result<JournalClaimStore::Loaded> JournalClaimStore::load(std::uint32_t range)
+base::Result<JournalRecordStore::Loaded> JournalRecordStore::load(std::uint32_t range)
 {
     const auto object = m_store.read("orderjournal/" + std::to_string(range));
     if (!object) {
@@ -189,17 +189,17 @@
     return Loaded{std::move(image), object.value().version};
 }
 
-base::Result<VersionedRecord> JournalClaimStore::read(const OrderId &order)
+base::Result<VersionedRecord> JournalRecordStore::read(const OrderId &order)
 {
     BOOST_OUTCOME_TRY(loaded, load(rangeIndex(order)));
     return loaded.image.find(order);
 }
 
-base::Result<store::Version> JournalClaimStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
+base::Result<store::Version> JournalRecordStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
 {
     const std::uint32_t index = rangeIndex(order);
     Range &range = *m_ranges[index];
-    Call call{order, fitForJournal(record), expected, std::nullopt};
+    Call call{order, dropAnswerTooLongForJournal(record), expected, std::nullopt};
     std::unique_lock lock(range.mutex);
     range.waiting.push_back(&call);
     while (!call.isDone) {
@@ -225,7 +225,7 @@
     return *call.result;
 }
 
-void JournalClaimStore::commit(std::uint32_t index, std::span<Call *const> batch)
+void JournalRecordStore::commit(std::uint32_t index, std::span<Call *const> batch)
 {
     bool isUnclear = false;
     for (std::uint32_t i = 0; i < m_settings.maxTries; ++i) {
@@ -241,7 +241,7 @@
 }
 
 // Applies the batch once. Returns true if all results are final.
-bool JournalClaimStore::tryCommit(std::uint32_t index, std::span<Call *const> batch, bool &isUnclear)
+bool JournalRecordStore::tryCommit(std::uint32_t index, std::span<Call *const> batch, bool &isUnclear)
 {
     std::optional<Loaded> &cached = m_ranges[index]->cached;
     const auto failAll = [&batch, &isUnclear](const base::Error &error) {
@@ -298,7 +298,7 @@
     return false;
 }
 
-base::Result<std::size_t> JournalClaimStore::prune(std::uint32_t range, std::uint64_t beforeEpoch)
+base::Result<std::size_t> JournalRecordStore::prune(std::uint32_t range, std::uint64_t beforeEpoch)
 {
     BOOST_OUTCOME_TRY(loaded, load(range));
     const std::size_t dropped = loaded.image.prune(beforeEpoch);
@@ -308,7 +308,7 @@
     return dropped;
 }
 
-JournalCounters JournalClaimStore::counters() const
+JournalCounters JournalRecordStore::counters() const
 {
     const std::lock_guard lock(m_counterMutex);
     return m_counters;
--- a/carawaylatch/orders/claimjournal.h
+++ b/carawaylatch/orders/journalrecordstore.h
@@ -24,7 +24,7 @@
 #include <string_view>
 #include <vector>
 
-#include "carawaylatch/orders/claimstore.h"
+#include "carawaylatch/orders/recordstore.h"
 #include "carawaylatch/orders/retention.h"
 
 namespace carawaylatch::orders
@@ -50,7 +50,7 @@
 
 private:
     std::map<OrderId, VersionedRecord> m_records;
-    ClosedSet m_closed;
+    ClosedKeySet m_closed;
     std::uint64_t m_lastVersion = 0; // grows with every applied write
     std::size_t m_bytes = 0; // upper estimate of the encoded size
 };
@@ -69,11 +69,11 @@
     std::uint64_t conflicts = 0; // writes lost against another router
 };
 
-class JournalClaimStore : public ClaimStore
+class JournalRecordStore : public OrderRecordStore
 {
 public:
-    JournalClaimStore(store::ObjectStore &store, JournalSettings settings);
-    ~JournalClaimStore() override;
+    JournalRecordStore(store::ObjectStore &store, JournalSettings settings);
+    ~JournalRecordStore() override;
 
     [[nodiscard]] base::Result<VersionedRecord> read(const OrderId &order) override;
     [[nodiscard]] base::Result<store::Version> write(const OrderId &order, const OrderRecord &record, store::Version expected) override;
--- a/carawaylatch/orders/orderdesk.cpp
+++ b/carawaylatch/orders/orderexecutor.cpp
@@ -9,7 +9,7 @@
 //
 // Whether a request arrived before or after a reopening was seen is told by a
 // count of arrivals, not by a clock.
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 
 #include <algorithm>
 #include <condition_variable>
@@ -42,22 +42,22 @@
 } // namespace
 
 // An order under way at this router.
-struct OrderDesk::Running
+struct OrderExecutor::RunningOrder
 {
     std::uint64_t digest = 0;
     std::condition_variable changed;
     std::optional<OrderAnswer> answer; // guarded by the desk's mutex
 };
 
-struct OrderDesk::Duty
+struct OrderExecutor::ScheduledUpdate
 {
-    OrderDuty machine;
+    PendingUpdate update;
     base::TimePoint dueAt;
-    bool isUnderWay = false; // step() works on a copy of the machine
+    bool isInProgress = false; // step() works on a copy of the machine
 };
 
 // One request on its way through the guard; belongs to its thread.
-struct OrderDesk::Try
+struct OrderExecutor::RequestContext
 {
     OrderId order;
     const OrderRequest &request;
@@ -65,12 +65,12 @@
     UpstreamChooser &chooser;
     std::uint64_t arrival;
     base::AttemptId attempt;
-    OrderGuard guard;
+    OrderStateMachine stateMachine;
     std::vector<base::UpstreamId> refused;
 };
 
-OrderDesk::OrderDesk(base::RouterId router, base::Incarnation incarnation, ClaimStore &store, const RouterLiveness &liveness, const base::Clock &clock,
-                     DeskSettings settings)
+OrderExecutor::OrderExecutor(base::RouterId router, base::Incarnation incarnation, OrderRecordStore &store, const RouterLiveness &liveness,
+                             const base::Clock &clock, OrderExecutorSettings settings)
     : m_router(std::move(router))
     , m_incarnation(incarnation)
     , m_store(store)
@@ -80,22 +80,22 @@
 {
 }
 
-OrderDesk::~OrderDesk() = default;
+OrderExecutor::~OrderExecutor() = default;
 
-void OrderDesk::setEpoch(std::uint64_t epoch)
+void OrderExecutor::setEpoch(std::uint64_t epoch)
 {
     m_epoch = epoch;
 }
 
-DeskCounters OrderDesk::counters() const
+OrderExecutorCounters OrderExecutor::counters() const
 {
     const std::lock_guard lock(m_mutex);
-    DeskCounters counters = m_counters;
-    counters.duties = m_duties.size();
+    OrderExecutorCounters counters = m_counters;
+    counters.pendingUpdates = m_pendingUpdates.size();
     return counters;
 }
 
-OrderAnswer OrderDesk::run(const OrderRequest &request, ServiceConnection &connection, UpstreamChooser &chooser)
+OrderAnswer OrderExecutor::run(const OrderRequest &request, ServiceConnection &connection, UpstreamChooser &chooser)
 {
     if (auto error = checkKey(request)) {
         return refusal(OrderAnswerKind::Refused, std::move(*error));
@@ -109,21 +109,21 @@
         count(*answer);
         return *answer;
     }
-    const auto running = std::make_shared<Running>();
+    const auto running = std::make_shared<RunningOrder>();
     running->digest = digest;
     m_running[order] = running;
     const base::AttemptId attempt{base::combineHashes(m_incarnation.value, ++m_attempts)};
     lock.unlock();
 
-    const GuardRequest guardRequest{Claimant{m_router, m_incarnation, attempt}, digest, m_epoch, request.deadline};
-    Try current{order, request, connection, chooser, arrival, attempt, OrderGuard(guardRequest, m_settings.guard), {}};
-    OrderAction last = drive(current);
+    const OrderStateMachineRequest stateMachineRequest{Claimant{m_router, m_incarnation, attempt}, digest, m_epoch, request.deadline};
+    RequestContext context{order, request, connection, chooser, arrival, attempt, OrderStateMachine(stateMachineRequest, m_settings.stateMachine), {}};
+    OrderAction last = runToAnswer(context);
 
     lock.lock();
-    if (last.duty) {
-        const bool isReopen = last.duty->kind() == DutyKind::Reopen;
+    if (last.pendingUpdate) {
+        const bool isReopen = last.pendingUpdate->kind() == PendingUpdateKind::Reopen;
         const base::Duration delay = isReopen ? last.answer.error.retryAfter / 2 : base::Duration{};
-        m_duties.insert_or_assign(order, Duty{std::move(*last.duty), m_clock.now() + delay});
+        m_pendingUpdates.insert_or_assign(order, ScheduledUpdate{std::move(*last.pendingUpdate), m_clock.now() + delay});
     }
     m_running.erase(order);
     running->answer = last.answer;
@@ -133,35 +133,36 @@
 }
 
 // Returns an answer if this request must not or need not run a guard of its own.
-std::optional<OrderAnswer> OrderDesk::answerWithoutRun(Lock &lock, const OrderId &order, const OrderRequest &request, std::uint64_t digest)
+std::optional<OrderAnswer> OrderExecutor::answerWithoutRun(Lock &lock, const OrderId &order, const OrderRequest &request, std::uint64_t digest)
 {
-    if (auto answer = answerFromDuty(order, digest)) {
+    if (auto answer = answerFromPendingUpdate(order, digest)) {
         return answer;
     }
     if (const auto it = m_running.find(order); it != m_running.end()) {
         return waitForFirst(lock, it->second, order, request, digest);
     }
-    const bool isFull = m_running.size() >= m_settings.maxRunning || m_duties.size() >= m_settings.maxDuties;
+    const bool isFull = m_running.size() >= m_settings.maxRunning || m_pendingUpdates.size() >= m_settings.maxPendingUpdates;
     if (isFull != m_isFull) {
         m_isFull = isFull;
         base::logEvent(isFull ? base::LogEvent::OrderTableFull : base::LogEvent::OrderTableFree,
-                       {{"running", std::to_string(m_running.size())}, {"duties", std::to_string(m_duties.size())}});
+                       {{"running", std::to_string(m_running.size())}, {"duties", std::to_string(m_pendingUpdates.size())}});
     }
     if (isFull) {
         return refusal(OrderAnswerKind::Unknown, base::fail(ErrorKind::Overloaded,
                                                             "this request did not run the order, as too many orders are under way; send it again with the "
                                                             "same key after retry_after_ms",
-                                                            m_settings.guard.retryAfter));
+                                                            m_settings.stateMachine.retryAfter));
     }
     return std::nullopt;
 }
 
-OrderAnswer OrderDesk::waitForFirst(Lock &lock, std::shared_ptr<Running> first, const OrderId &order, const OrderRequest &request, std::uint64_t digest)
+OrderAnswer OrderExecutor::waitForFirst(Lock &lock, std::shared_ptr<RunningOrder> first, const OrderId &order, const OrderRequest &request,
+                                        std::uint64_t digest)
 {
     if (first->digest != digest) {
-        return otherRequestRefusal();
+        return keyReuseRefusal();
     }
-    const base::Duration wait = std::min<base::Duration>(request.deadline - m_clock.now(), m_settings.guard.longestWait);
+    const base::Duration wait = std::min<base::Duration>(request.deadline - m_clock.now(), m_settings.stateMachine.maxWait);
     const bool isAnswered = first->changed.wait_for(lock, wait, [&first] {
         return first->answer.has_value();
     });
@@ -169,40 +170,41 @@
         return refusal(OrderAnswerKind::Running, base::fail(ErrorKind::Conflict,
                                                             "another request for the order has not ended; send it again with the same key after "
                                                             "retry_after_ms",
-                                                            m_settings.guard.retryAfter));
+                                                            m_settings.stateMachine.retryAfter));
     }
     if (first->answer->kind == OrderAnswerKind::NotRun) {
-        return answerFromDuty(order, digest).value_or(comeBackRefusal(m_settings.guard.firstPause));
+        return answerFromPendingUpdate(order, digest).value_or(retryLaterRefusal(m_settings.stateMachine.initialPollInterval));
     }
     OrderAnswer answer = *first->answer;
-    answer.attempt = AttemptFate::NotRun;
+    answer.execution = ExecutionStatus::NotRun;
     return answer;
 }
 
-std::optional<OrderAnswer> OrderDesk::answerFromDuty(const OrderId &order, std::uint64_t digest) const
+std::optional<OrderAnswer> OrderExecutor::answerFromPendingUpdate(const OrderId &order, std::uint64_t digest) const
 {
-    const auto it = m_duties.find(order);
-    if (it == m_duties.end()) {
+    const auto it = m_pendingUpdates.find(order);
+    if (it == m_pendingUpdates.end()) {
         return std::nullopt;
     }
-    return answerDuplicate(it->second.machine, it->second.isUnderWay ? DutyPhase::UnderWay : DutyPhase::Resting, digest, m_settings.guard);
+    return answerDuplicate(it->second.update, it->second.isInProgress ? PendingUpdatePhase::InProgress : PendingUpdatePhase::Idle, digest,
+                           m_settings.stateMachine);
 }
 
-OrderAction OrderDesk::drive(Try &attempt)
+OrderAction OrderExecutor::runToAnswer(RequestContext &context)
 {
-    OrderAction action = attempt.guard.onStart(m_clock.now());
+    OrderAction action = context.stateMachine.onStart(m_clock.now());
     while (action.kind != OrderActionKind::Answer) {
         switch (action.kind) {
         case OrderActionKind::ReadRecord:
-            action = readRecord(attempt);
+            action = readRecord(context);
             break;
         case OrderActionKind::WriteRecord: {
-            const auto result = m_store.write(attempt.order, action.record, action.expected);
-            action = attempt.guard.onWritten(m_clock.now(), result);
+            const auto result = m_store.write(context.order, action.record, action.expected);
+            action = context.stateMachine.onWritten(m_clock.now(), result);
             break;
         }
         case OrderActionKind::Send:
-            action = sendOnce(attempt);
+            action = sendOnce(context);
             break;
         case OrderActionKind::Pause:
             if (m_settings.sleep) {
@@ -210,7 +212,7 @@
             } else {
                 std::this_thread::sleep_for(action.pause);
             }
-            action = attempt.guard.onPauseOver(m_clock.now());
+            action = context.stateMachine.onPauseOver(m_clock.now());
             break;
         case OrderActionKind::Answer:
             break;
@@ -219,46 +221,46 @@
     return action;
 }
 
-OrderAction OrderDesk::readRecord(Try &attempt)
+OrderAction OrderExecutor::readRecord(RequestContext &context)
 {
-    const auto result = m_store.read(attempt.order);
+    const auto result = m_store.read(context.order);
     auto seen = ReopenedSeen::NotBefore;
-    auto life = ClaimantLife::Unsure;
+    auto claimantLiveness = ClaimantLiveness::Unknown;
     if (result && result.value().record.state == RecordState::Reopened) {
-        seen = reopenedSeen(attempt.order, result.value().version, attempt.arrival);
+        seen = reopenedSeen(context.order, result.value().version, context.arrival);
     }
     if (result && result.value().record.state == RecordState::Claimed) {
-        life = lifeOf(result.value().record.claimant);
+        claimantLiveness = livenessOf(result.value().record.claimant);
     }
-    return attempt.guard.onRead(m_clock.now(), result, seen, life);
+    return context.stateMachine.onRead(m_clock.now(), result, seen, claimantLiveness);
 }
 
-OrderAction OrderDesk::sendOnce(Try &attempt)
+OrderAction OrderExecutor::sendOnce(RequestContext &context)
 {
-    const auto chosen = attempt.chooser.choose(attempt.refused);
+    const auto chosen = context.chooser.choose(context.refused);
     if (!chosen) {
-        return attempt.guard.onNoUpstream(m_clock.now(), chosen.error());
+        return context.stateMachine.onNoUpstream(m_clock.now(), chosen.error());
     }
-    ServiceRequest request = attempt.request.service;
+    ServiceRequest request = context.request.service;
     request.upstream = chosen.value().upstream;
     request.endpoint = chosen.value().endpoint;
-    request.attempt = attempt.attempt;
-    request.orderKey = attempt.order.path();
-    request.timeout = attempt.request.deadline - m_clock.now();
-    attempt.refused.push_back(request.upstream);
-    const auto result = attempt.connection.call(request);
-    return attempt.guard.onSent(m_clock.now(), result);
+    request.attempt = context.attempt;
+    request.orderKey = context.order.path();
+    request.timeout = context.request.deadline - m_clock.now();
+    context.refused.push_back(request.upstream);
+    const auto result = context.connection.call(request);
+    return context.stateMachine.onSent(m_clock.now(), result);
 }
 
-ClaimantLife OrderDesk::lifeOf(const Claimant &claimant) const
+ClaimantLiveness OrderExecutor::livenessOf(const Claimant &claimant) const
 {
     if (claimant.router == m_router) {
-        return claimant.incarnation == m_incarnation ? ClaimantLife::Live : ClaimantLife::Gone;
+        return claimant.incarnation == m_incarnation ? ClaimantLiveness::Live : ClaimantLiveness::Gone;
     }
-    return m_liveness.life(claimant.router, claimant.incarnation);
+    return m_liveness.livenessOf(claimant.router, claimant.incarnation);
 }
 
-ReopenedSeen OrderDesk::reopenedSeen(const OrderId &order, store::Version version, std::uint64_t arrival)
+ReopenedSeen OrderExecutor::reopenedSeen(const OrderId &order, store::Version version, std::uint64_t arrival)
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_seenReopened.find(order);
@@ -270,81 +272,81 @@
 }
 
 // The caller holds m_mutex.
-void OrderDesk::noteReopened(const OrderId &order, store::Version version)
+void OrderExecutor::noteReopened(const OrderId &order, store::Version version)
 {
     if (!m_seenReopened.contains(order)) {
-        if (m_seenOrder.size() >= m_settings.maxSeenReopened) {
-            m_seenReopened.erase(m_seenOrder.front());
-            m_seenOrder.pop_front();
+        if (m_seenReopenedQueue.size() >= m_settings.maxSeenReopened) {
+            m_seenReopened.erase(m_seenReopenedQueue.front());
+            m_seenReopenedQueue.pop_front();
         }
-        m_seenOrder.push_back(order);
+        m_seenReopenedQueue.push_back(order);
     }
-    m_seenReopened[order] = Seen{version, m_arrivals};
+    m_seenReopened[order] = SeenReopened{version, m_arrivals};
 }
 
-void OrderDesk::step()
+void OrderExecutor::step()
 {
-    workOff(DutyTiming::Due);
+    processPendingUpdates(PendingUpdateSelection::Due);
 }
 
-bool OrderDesk::flush()
+bool OrderExecutor::flush()
 {
-    workOff(DutyTiming::All);
+    processPendingUpdates(PendingUpdateSelection::All);
     const std::lock_guard lock(m_mutex);
-    return m_duties.empty();
+    return m_pendingUpdates.empty();
 }
 
-void OrderDesk::workOff(DutyTiming timing)
+void OrderExecutor::processPendingUpdates(PendingUpdateSelection selection)
 {
     Lock lock(m_mutex);
     const base::TimePoint now = m_clock.now();
     std::vector<OrderId> due;
-    for (const auto &[order, duty] : m_duties) {
-        if (timing == DutyTiming::All || (duty.dueAt <= now && due.size() < m_settings.maxDutiesPerStep)) {
+    for (const auto &[order, pendingUpdate] : m_pendingUpdates) {
+        if (selection == PendingUpdateSelection::All || (pendingUpdate.dueAt <= now && due.size() < m_settings.maxPendingUpdatesPerStep)) {
             due.push_back(order);
         }
     }
     for (const OrderId &order : due) {
-        Duty &duty = m_duties.at(order); // only this function erases duties
-        duty.isUnderWay = true;
-        OrderDuty machine = duty.machine;
+        ScheduledUpdate &pendingUpdate = m_pendingUpdates.at(order); // only this function erases duties
+        pendingUpdate.isInProgress = true;
+        PendingUpdate update = pendingUpdate.update;
         lock.unlock();
-        carryOut(order, machine);
+        writePendingUpdate(order, update);
         lock.lock();
-        if (machine.state().reopened) {
-            noteReopened(order, *machine.state().reopened);
+        if (update.state().reopened) {
+            noteReopened(order, *update.state().reopened);
         }
-        if (machine.state().step == DutyStep::Finished) {
-            m_duties.erase(order);
+        if (update.state().step == PendingUpdateStep::Finished) {
+            m_pendingUpdates.erase(order);
             continue;
         }
-        duty = Duty{std::move(machine), m_clock.now() + m_settings.dutyRetry};
+        pendingUpdate = ScheduledUpdate{std::move(update), m_clock.now() + m_settings.pendingUpdateRetryInterval};
     }
 }
 
 // Goes on until the duty is finished or the platform does not help on.
-void OrderDesk::carryOut(const OrderId &order, OrderDuty &machine)
+void OrderExecutor::writePendingUpdate(const OrderId &order, PendingUpdate &update)
 {
     constexpr int MaxCalls = 4; // write, read back, write, read back
-    for (int i = 0; i < MaxCalls && machine.state().step != DutyStep::Finished; ++i) {
-        const DutyState before = machine.state();
-        if (before.step == DutyStep::Writing) {
-            machine.onWritten(m_store.write(order, machine.record(), before.expected));
+    for (int i = 0; i < MaxCalls && update.state().step != PendingUpdateStep::Finished; ++i) {
+        const PendingUpdateState before = update.state();
+        if (before.step == PendingUpdateStep::Writing) {
+            update.onWritten(m_store.write(order, update.record(), before.expected));
         } else {
-            machine.onRead(m_store.read(order));
+            update.onRead(m_store.read(order));
         }
-        if (machine.state() == before) {
+        if (update.state() == before) {
             return;
         }
     }
 }
 
 // The caller holds m_mutex.
-void OrderDesk::count(const OrderAnswer &answer)
+void OrderExecutor::count(const OrderAnswer &answer)
 {
     switch (answer.kind) {
     case OrderAnswerKind::Done:
-        ++(answer.attempt == AttemptFate::Ran ? m_counters.done : m_counters.replayed);
+        ++(answer.execution == ExecutionStatus::Ran ? m_counters.done : m_counters.replayed);
         break;
     case OrderAnswerKind::NotRun:
         ++m_counters.notRun;
--- a/carawaylatch/orders/orderdesk.h
+++ b/carawaylatch/orders/orderexecutor.h
@@ -1,6 +1,6 @@
 // Thread-safe entrance to the order guard for traffic threads.
 //
-//     OrderDesk desk(router, incarnation, claimStore, liveness, clock);
+//     OrderExecutor desk(router, incarnation, claimStore, liveness, clock);
 //     OrderAnswer answer = desk.run(request, connection, chooser);
 //
 // run() blocks the calling thread until the order has an answer, at most until
@@ -23,8 +23,8 @@
 #include <vector>
 
 #include "carawaylatch/base/time.h"
-#include "carawaylatch/orders/claimstore.h"
-#include "carawaylatch/orders/orderguard.h"
+#include "carawaylatch/orders/orderstatemachine.h"
+#include "carawaylatch/orders/recordstore.h"
 #include "carawaylatch/orders/serviceconnection.h"
 
 namespace carawaylatch::orders
@@ -60,22 +60,22 @@
 {
 public:
     virtual ~RouterLiveness() = default;
-    [[nodiscard]] virtual ClaimantLife life(const base::RouterId &router, base::Incarnation incarnation) const = 0;
+    [[nodiscard]] virtual ClaimantLiveness livenessOf(const base::RouterId &router, base::Incarnation incarnation) const = 0;
 };
 
-struct DeskSettings
+struct OrderExecutorSettings
 {
-    GuardSettings guard;
+    OrderStateMachineSettings stateMachine;
     std::size_t maxRunning = 10'000; // orders under way; new ones are refused beyond it
-    std::size_t maxDuties = 10'000; // answered orders with work left; new orders are refused beyond it
+    std::size_t maxPendingUpdates = 10'000; // answered orders with work left; new orders are refused beyond it
     std::size_t maxSeenReopened = 10'000; // the oldest is dropped, which costs its caller one more try
-    std::size_t maxDutiesPerStep = 50;
-    base::Duration dutyRetry = base::seconds{1};
+    std::size_t maxPendingUpdatesPerStep = 50;
+    base::Duration pendingUpdateRetryInterval = base::seconds{1};
     // Blocks the calling thread; replaced by tests in virtual time.
     std::function<void(base::Duration)> sleep;
 };
 
-struct DeskCounters
+struct OrderExecutorCounters
 {
     std::uint64_t done = 0; // answered by a run of this router
     std::uint64_t replayed = 0; // stored answers given to duplicates
@@ -83,17 +83,17 @@
     std::uint64_t unknown = 0;
     std::uint64_t running = 0;
     std::uint64_t refused = 0;
-    std::size_t duties = 0; // now
+    std::size_t pendingUpdates = 0; // now
 };
 
-class OrderDesk
+class OrderExecutor
 {
 public:
-    OrderDesk(base::RouterId router, base::Incarnation incarnation, ClaimStore &store, const RouterLiveness &liveness, const base::Clock &clock,
-              DeskSettings settings = {});
-    ~OrderDesk();
-    OrderDesk(const OrderDesk &) = delete;
-    OrderDesk &operator=(const OrderDesk &) = delete;
+    OrderExecutor(base::RouterId router, base::Incarnation incarnation, OrderRecordStore &store, const RouterLiveness &liveness, const base::Clock &clock,
+                  OrderExecutorSettings settings = {});
+    ~OrderExecutor();
+    OrderExecutor(const OrderExecutor &) = delete;
+    OrderExecutor &operator=(const OrderExecutor &) = delete;
 
     [[nodiscard]] OrderAnswer run(const OrderRequest &request, ServiceConnection &connection, UpstreamChooser &chooser);
     // Works off what is due; blocks on the platform. One thread at a time.
@@ -102,54 +102,55 @@
     bool flush();
     // Sets the retention epoch that new records carry (retention.h).
     void setEpoch(std::uint64_t epoch);
-    [[nodiscard]] DeskCounters counters() const;
+    [[nodiscard]] OrderExecutorCounters counters() const;
 
 private:
-    struct Running;
-    struct Duty;
-    struct Try;
-    enum class DutyTiming {
+    struct RunningOrder;
+    struct ScheduledUpdate;
+    struct RequestContext;
+    enum class PendingUpdateSelection {
         Due,
         All,
     };
     using Lock = std::unique_lock<std::mutex>;
 
     [[nodiscard]] std::optional<OrderAnswer> answerWithoutRun(Lock &lock, const OrderId &order, const OrderRequest &request, std::uint64_t digest);
-    [[nodiscard]] OrderAnswer waitForFirst(Lock &lock, std::shared_ptr<Running> first, const OrderId &order, const OrderRequest &request, std::uint64_t digest);
-    [[nodiscard]] std::optional<OrderAnswer> answerFromDuty(const OrderId &order, std::uint64_t digest) const;
-    [[nodiscard]] OrderAction drive(Try &attempt);
-    [[nodiscard]] OrderAction readRecord(Try &attempt);
-    [[nodiscard]] OrderAction sendOnce(Try &attempt);
-    [[nodiscard]] ClaimantLife lifeOf(const Claimant &claimant) const;
+    [[nodiscard]] OrderAnswer waitForFirst(Lock &lock, std::shared_ptr<RunningOrder> first, const OrderId &order, const OrderRequest &request,
+                                           std::uint64_t digest);
+    [[nodiscard]] std::optional<OrderAnswer> answerFromPendingUpdate(const OrderId &order, std::uint64_t digest) const;
+    [[nodiscard]] OrderAction runToAnswer(RequestContext &context);
+    [[nodiscard]] OrderAction readRecord(RequestContext &context);
+    [[nodiscard]] OrderAction sendOnce(RequestContext &context);
+    [[nodiscard]] ClaimantLiveness livenessOf(const Claimant &claimant) const;
     [[nodiscard]] ReopenedSeen reopenedSeen(const OrderId &order, store::Version version, std::uint64_t arrival);
     void noteReopened(const OrderId &order, store::Version version);
-    void workOff(DutyTiming timing);
-    void carryOut(const OrderId &order, OrderDuty &machine);
+    void processPendingUpdates(PendingUpdateSelection selection);
+    void writePendingUpdate(const OrderId &order, PendingUpdate &update);
     void count(const OrderAnswer &answer);
 
     const base::RouterId m_router;
     const base::Incarnation m_incarnation;
-    ClaimStore &m_store;
+    OrderRecordStore &m_store;
     const RouterLiveness &m_liveness;
     const base::Clock &m_clock;
-    const DeskSettings m_settings;
+    const OrderExecutorSettings m_settings;
     std::atomic<std::uint64_t> m_epoch{0};
 
     // A reopened record as this router first saw it.
-    struct Seen
+    struct SeenReopened
     {
         store::Version version;
         std::uint64_t afterArrival = 0; // requests received before that
     };
     mutable std::mutex m_mutex; // guards all below
-    std::map<OrderId, std::shared_ptr<Running>> m_running;
-    std::map<OrderId, Duty> m_duties; // at most maxDuties + maxRunning; never dropped
-    std::map<OrderId, Seen> m_seenReopened;
-    std::deque<OrderId> m_seenOrder; // keys of m_seenReopened, oldest first
+    std::map<OrderId, std::shared_ptr<RunningOrder>> m_running;
+    std::map<OrderId, ScheduledUpdate> m_pendingUpdates; // at most maxPendingUpdates + maxRunning; never dropped
+    std::map<OrderId, SeenReopened> m_seenReopened;
+    std::deque<OrderId> m_seenReopenedQueue; // keys of m_seenReopened, oldest first
     std::uint64_t m_arrivals = 0; // requests received so far
     std::uint64_t m_attempts = 0;
     bool m_isFull = false; // as last logged
-    DeskCounters m_counters;
+    OrderExecutorCounters m_counters;
 };
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/orderrecord.cpp
+++ b/carawaylatch/orders/orderrecord.cpp
@@ -137,7 +137,7 @@
     return record;
 }
 
-OrderRecord storable(OrderRecord record)
+OrderRecord dropOversizedAnswer(OrderRecord record)
 {
     if (record.answer.body.size() > MaxStoredAnswerBytes) {
         record.answer.body.clear();
--- a/carawaylatch/orders/orderrecord.h
+++ b/carawaylatch/orders/orderrecord.h
@@ -83,7 +83,7 @@
 };
 
 // Returns the record with its answer's body left out if that is too long to keep.
-[[nodiscard]] OrderRecord storable(OrderRecord record);
+[[nodiscard]] OrderRecord dropOversizedAnswer(OrderRecord record);
 // Returns the digest of a request that duplicates are compared by.
 [[nodiscard]] std::uint64_t requestDigest(std::string_view method, std::string_view path, std::string_view contentType, std::string_view body);
 // Returns the record's bytes (protobuf, so that mixed versions of routers agree).
--- a/carawaylatch/orders/orderguard.cpp
+++ b/carawaylatch/orders/orderstatemachine.cpp
@@ -20,7 +20,7 @@
 //
 // Everything else that stops short of an outcome is Unknown, with what this
 // attempt did. Time only ever makes the guard give up, never act.
-#include "carawaylatch/orders/orderguard.h"
+#include "carawaylatch/orders/orderstatemachine.h"
 
 #include <algorithm>
 #include <utility>
@@ -43,18 +43,18 @@
 
 } // namespace
 
-OrderGuard::OrderGuard(GuardRequest request, GuardSettings settings)
+OrderStateMachine::OrderStateMachine(OrderStateMachineRequest request, OrderStateMachineSettings settings)
     : m_request(std::move(request))
     , m_settings(settings)
 {
 }
 
-const GuardState &OrderGuard::state() const
+const OrderStateMachineState &OrderStateMachine::state() const
 {
     return m_state;
 }
 
-OrderRecord OrderGuard::record(RecordState state) const
+OrderRecord OrderStateMachine::record(RecordState state) const
 {
     OrderRecord record;
     record.state = state;
@@ -64,23 +64,23 @@
     return record;
 }
 
-bool OrderGuard::isPastDeadline(base::TimePoint now) const
+bool OrderStateMachine::isPastDeadline(base::TimePoint now) const
 {
     return now >= m_request.deadline;
 }
 
-OrderAction OrderGuard::onStart(base::TimePoint now)
+OrderAction OrderStateMachine::onStart(base::TimePoint now)
 {
     if (m_state.step != OrderStep::Idle) {
-        return misfit();
+        return unexpectedEvent();
     }
     return claim(now, {});
 }
 
-OrderAction OrderGuard::claim(base::TimePoint now, store::Version expected)
+OrderAction OrderStateMachine::claim(base::TimePoint now, store::Version expected)
 {
-    if (isPastDeadline(now) || ++m_state.tries > m_settings.maxSettlingTries) {
-        return settleAgain(now, base::fail(ErrorKind::Overloaded, "no time left to claim the order"));
+    if (isPastDeadline(now) || ++m_state.tries > m_settings.maxResolveTries) {
+        return retryResolving(now, base::fail(ErrorKind::Overloaded, "no time left to claim the order"));
     }
     m_state.step = OrderStep::Claiming;
     m_state.expected = expected;
@@ -91,7 +91,7 @@
     return action;
 }
 
-OrderAction OrderGuard::read(OrderStep step)
+OrderAction OrderStateMachine::read(OrderStep step)
 {
     m_state.step = step;
     OrderAction action;
@@ -99,7 +99,7 @@
     return action;
 }
 
-OrderAction OrderGuard::onWritten(base::TimePoint now, const base::Result<store::Version> &result)
+OrderAction OrderStateMachine::onWritten(base::TimePoint now, const base::Result<store::Version> &result)
 {
     if (m_state.step == OrderStep::Claiming) {
         return onClaimWritten(now, result);
@@ -107,29 +107,29 @@
     if (m_state.step == OrderStep::Recording) {
         return onOutcomeWritten(result);
     }
-    return misfit();
+    return unexpectedEvent();
 }
 
-OrderAction OrderGuard::onClaimWritten(base::TimePoint now, const base::Result<store::Version> &result)
+OrderAction OrderStateMachine::onClaimWritten(base::TimePoint now, const base::Result<store::Version> &result)
 {
     if (result) {
         return confirmClaim(now, result.value());
     }
     switch (result.error().kind) {
     case ErrorKind::Conflict:
-        return read(m_state.mayHaveClaimed ? OrderStep::SettlingClaim : OrderStep::Reading);
+        return read(m_state.mayHaveClaimed ? OrderStep::ResolvingClaim : OrderStep::Reading);
     case ErrorKind::Unavailable:
     case ErrorKind::Overloaded:
-        return settleAgain(now, result.error());
+        return retryResolving(now, result.error());
     case ErrorKind::StaleState:
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun, result.error());
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun, result.error());
     default:
         m_state.mayHaveClaimed = true;
-        return read(OrderStep::SettlingClaim);
+        return read(OrderStep::ResolvingClaim);
     }
 }
 
-OrderAction OrderGuard::confirmClaim(base::TimePoint now, store::Version version)
+OrderAction OrderStateMachine::confirmClaim(base::TimePoint now, store::Version version)
 {
     m_state.claim = version;
     m_state.mayHaveClaimed = false;
@@ -138,37 +138,38 @@
 
 // Reads again after a pause if our claim may exist, else gives up: nothing of
 // this attempt is in the platform.
-OrderAction OrderGuard::settleAgain(base::TimePoint now, const base::Error &error)
+OrderAction OrderStateMachine::retryResolving(base::TimePoint now, const base::Error &error)
 {
     const base::Error refusal{error.kind, text(error.message, SameKeyRemedy), std::max(error.retryAfter, m_settings.retryAfter)};
     if (!m_state.mayHaveClaimed) {
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun, refusal);
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun, refusal);
     }
-    if (isPastDeadline(now) || ++m_state.tries > m_settings.maxSettlingTries) {
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun, refusal, OrderDuty::reopenUnclear(record(RecordState::Reopened), m_state.expected));
+    if (isPastDeadline(now) || ++m_state.tries > m_settings.maxResolveTries) {
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun, refusal,
+                      PendingUpdate::reopenUnclear(record(RecordState::Reopened), m_state.expected));
     }
-    m_state.step = OrderStep::SettlingClaim;
+    m_state.step = OrderStep::ResolvingClaim;
     OrderAction action;
     action.kind = OrderActionKind::Pause;
-    action.pause = m_settings.firstPause;
+    action.pause = m_settings.initialPollInterval;
     return action;
 }
 
-OrderAction OrderGuard::onPauseOver(base::TimePoint)
+OrderAction OrderStateMachine::onPauseOver(base::TimePoint)
 {
-    if (m_state.step == OrderStep::SettlingClaim) {
-        return read(OrderStep::SettlingClaim);
+    if (m_state.step == OrderStep::ResolvingClaim) {
+        return read(OrderStep::ResolvingClaim);
     }
     if (m_state.step == OrderStep::Waiting) {
         return read(OrderStep::Reading);
     }
-    return misfit();
+    return unexpectedEvent();
 }
 
-OrderAction OrderGuard::onRead(base::TimePoint now, const base::Result<VersionedRecord> &result, ReopenedSeen seen, ClaimantLife life)
+OrderAction OrderStateMachine::onRead(base::TimePoint now, const base::Result<VersionedRecord> &result, ReopenedSeen seen, ClaimantLiveness claimantLiveness)
 {
-    if (m_state.step != OrderStep::Reading && m_state.step != OrderStep::SettlingClaim) {
-        return misfit();
+    if (m_state.step != OrderStep::Reading && m_state.step != OrderStep::ResolvingClaim) {
+        return unexpectedEvent();
     }
     if (!result) {
         return onReadFailed(now, result.error());
@@ -181,55 +182,55 @@
         return claim(now, found.version); // the unclear write has not taken effect, but still can
     }
     m_state.mayHaveClaimed = false; // its condition can never hold again
-    return onForeignRecord(now, found, seen, life);
+    return onForeignRecord(now, found, seen, claimantLiveness);
 }
 
-OrderAction OrderGuard::onReadFailed(base::TimePoint now, const base::Error &error)
+OrderAction OrderStateMachine::onReadFailed(base::TimePoint now, const base::Error &error)
 {
     if (error.kind == ErrorKind::NotFound) {
         return claim(now, {});
     }
     if (error.kind == ErrorKind::StaleState) {
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun, error);
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun, error);
     }
-    return settleAgain(now, error);
+    return retryResolving(now, error);
 }
 
-OrderAction OrderGuard::onForeignRecord(base::TimePoint now, const VersionedRecord &found, ReopenedSeen seen, ClaimantLife life)
+OrderAction OrderStateMachine::onForeignRecord(base::TimePoint now, const VersionedRecord &found, ReopenedSeen seen, ClaimantLiveness claimantLiveness)
 {
     if (found.record.requestDigest != m_request.requestDigest) {
-        return refuse(OrderAnswerKind::Refused, AttemptFate::NotRun,
+        return refuse(OrderAnswerKind::Refused, ExecutionStatus::NotRun,
                       base::fail(ErrorKind::InvalidArgument, "the key was used for another request; use a new key for a new order"));
     }
     switch (found.record.state) {
     case RecordState::Done:
         return replay(found.record);
     case RecordState::Lost:
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun,
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun,
                       base::fail(ErrorKind::Unclear, text("another attempt sent the order and got no answer", AskServiceRemedy)));
     case RecordState::Reopened:
         if (seen == ReopenedSeen::Before) {
             return claim(now, found.version);
         }
         return refuse(
-            OrderAnswerKind::Unknown, AttemptFate::NotRun,
-            base::fail(ErrorKind::Unavailable, text("an earlier attempt gave the order up without running it", SameKeyRemedy), m_settings.firstPause));
+            OrderAnswerKind::Unknown, ExecutionStatus::NotRun,
+            base::fail(ErrorKind::Unavailable, text("an earlier attempt gave the order up without running it", SameKeyRemedy), m_settings.initialPollInterval));
     case RecordState::Claimed:
         break;
     }
-    return onForeignClaim(now, life);
+    return onForeignClaim(now, claimantLiveness);
 }
 
-OrderAction OrderGuard::onForeignClaim(base::TimePoint now, ClaimantLife life)
+OrderAction OrderStateMachine::onForeignClaim(base::TimePoint now, ClaimantLiveness claimantLiveness)
 {
-    if (life == ClaimantLife::Gone) {
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun,
+    if (claimantLiveness == ClaimantLiveness::Gone) {
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun,
                       base::fail(ErrorKind::Unclear, text("the router that took the order is gone and may have run it", AskServiceRemedy)));
     }
     if (!m_state.waitUntil) {
-        m_state.waitUntil = std::min(m_request.deadline, now + m_settings.longestWait);
+        m_state.waitUntil = std::min(m_request.deadline, now + m_settings.maxWait);
     }
-    m_state.pause = m_state.pause == base::Duration{} ? m_settings.firstPause : std::min(2 * m_state.pause, m_settings.longestPause);
+    m_state.pause = m_state.pause == base::Duration{} ? m_settings.initialPollInterval : std::min(2 * m_state.pause, m_settings.maxPollInterval);
     if (now + m_state.pause < *m_state.waitUntil) {
         m_state.step = OrderStep::Waiting;
         OrderAction action;
@@ -237,18 +238,18 @@
         action.pause = m_state.pause;
         return action;
     }
-    const auto kind = life == ClaimantLife::Live ? OrderAnswerKind::Running : OrderAnswerKind::Unknown;
-    return refuse(kind, AttemptFate::NotRun,
+    const auto kind = claimantLiveness == ClaimantLiveness::Live ? OrderAnswerKind::Running : OrderAnswerKind::Unknown;
+    return refuse(kind, ExecutionStatus::NotRun,
                   base::fail(ErrorKind::Conflict, text("another attempt of the order has not ended", SameKeyRemedy), m_settings.retryAfter));
 }
 
-OrderAction OrderGuard::send(base::TimePoint now)
+OrderAction OrderStateMachine::send(base::TimePoint now)
 {
     if (m_state.mayHaveRun || !m_state.claim) {
-        return misfit();
+        return unexpectedEvent();
     }
     if (isPastDeadline(now)) {
-        return giveUpUnsent(base::fail(ErrorKind::Overloaded, "the deadline passed before the order could be sent"));
+        return abandonUnsent(base::fail(ErrorKind::Overloaded, "the deadline passed before the order could be sent"));
     }
     ++m_state.sends;
     m_state.mayHaveRun = true;
@@ -258,24 +259,24 @@
     return action;
 }
 
-OrderAction OrderGuard::onNoUpstream(base::TimePoint, const base::Error &error)
+OrderAction OrderStateMachine::onNoUpstream(base::TimePoint, const base::Error &error)
 {
     if (m_state.step != OrderStep::Sending) {
-        return misfit();
+        return unexpectedEvent();
     }
     m_state.mayHaveRun = false;
-    return giveUpUnsent(error);
+    return abandonUnsent(error);
 }
 
-OrderAction OrderGuard::onSent(base::TimePoint now, const base::Result<ServiceAnswer> &result)
+OrderAction OrderStateMachine::onSent(base::TimePoint now, const base::Result<ServiceAnswer> &result)
 {
     if (m_state.step != OrderStep::Sending) {
-        return misfit();
+        return unexpectedEvent();
     }
     const bool isRefused = !result && (result.error().kind == ErrorKind::Unavailable || result.error().kind == ErrorKind::Overloaded);
     if (isRefused) {
         m_state.mayHaveRun = false;
-        return m_state.sends < m_settings.maxSends ? send(now) : giveUpUnsent(result.error());
+        return m_state.sends < m_settings.maxSends ? send(now) : abandonUnsent(result.error());
     }
     m_outcome = record(RecordState::Lost);
     if (result && result.value().attempt == m_request.self.attempt) {
@@ -286,78 +287,78 @@
     return recordOutcome();
 }
 
-OrderAction OrderGuard::recordOutcome()
+OrderAction OrderStateMachine::recordOutcome()
 {
     m_state.step = OrderStep::Recording;
     OrderAction action;
     action.kind = OrderActionKind::WriteRecord;
-    action.record = storable(m_outcome);
+    action.record = dropOversizedAnswer(m_outcome);
     action.expected = *m_state.claim;
     return action;
 }
 
-OrderAction OrderGuard::onOutcomeWritten(const base::Result<store::Version> &result)
+OrderAction OrderStateMachine::onOutcomeWritten(const base::Result<store::Version> &result)
 {
     if (result) {
         return answerOutcome(std::nullopt);
     }
-    OrderDuty duty(DutyKind::RecordOutcome, storable(m_outcome), *m_state.claim);
-    duty.onWritten(result);
-    return answerOutcome(std::move(duty));
+    PendingUpdate pendingUpdate(PendingUpdateKind::RecordOutcome, dropOversizedAnswer(m_outcome), *m_state.claim);
+    pendingUpdate.onWritten(result);
+    return answerOutcome(std::move(pendingUpdate));
 }
 
-OrderAction OrderGuard::answerOutcome(std::optional<OrderDuty> duty)
+OrderAction OrderStateMachine::answerOutcome(std::optional<PendingUpdate> pendingUpdate)
 {
     if (m_outcome.state == RecordState::Lost) {
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::MayHaveRun,
-                      base::fail(ErrorKind::Unclear, text("the order was sent and no answer came", AskServiceRemedy)), std::move(duty));
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::MayHaveRun,
+                      base::fail(ErrorKind::Unclear, text("the order was sent and no answer came", AskServiceRemedy)), std::move(pendingUpdate));
     }
     m_state.step = OrderStep::Answered;
     OrderAction action;
     action.answer.kind = OrderAnswerKind::Done;
-    action.answer.attempt = AttemptFate::Ran;
+    action.answer.execution = ExecutionStatus::Ran;
     action.answer.answer = m_outcome.answer;
-    action.duty = std::move(duty);
+    action.pendingUpdate = std::move(pendingUpdate);
     return action;
 }
 
-OrderAction OrderGuard::replay(const OrderRecord &found)
+OrderAction OrderStateMachine::replay(const OrderRecord &found)
 {
     if (found.isAnswerDropped) {
-        return refuse(OrderAnswerKind::Unknown, AttemptFate::NotRun,
+        return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun,
                       base::fail(ErrorKind::Unclear, "the order ran, but its answer was too long to keep; read the result at the service"));
     }
     m_state.step = OrderStep::Answered;
     OrderAction action;
     action.answer.kind = OrderAnswerKind::Done;
-    action.answer.attempt = AttemptFate::NotRun;
+    action.answer.execution = ExecutionStatus::NotRun;
     action.answer.answer = found.answer;
     return action;
 }
 
-OrderAction OrderGuard::giveUpUnsent(const base::Error &cause)
+OrderAction OrderStateMachine::abandonUnsent(const base::Error &cause)
 {
-    OrderDuty duty(DutyKind::Reopen, record(RecordState::Reopened), *m_state.claim);
+    PendingUpdate pendingUpdate(PendingUpdateKind::Reopen, record(RecordState::Reopened), *m_state.claim);
     base::Error error{ErrorKind::NotRun, text(cause.message, "; the order was not run"), std::max(cause.retryAfter, m_settings.retryAfter)};
     error.message += SameKeyRemedy;
-    return refuse(OrderAnswerKind::NotRun, AttemptFate::NotRun, std::move(error), std::move(duty));
+    return refuse(OrderAnswerKind::NotRun, ExecutionStatus::NotRun, std::move(error), std::move(pendingUpdate));
 }
 
-OrderAction OrderGuard::refuse(OrderAnswerKind kind, AttemptFate fate, base::Error error, std::optional<OrderDuty> duty)
+OrderAction OrderStateMachine::refuse(OrderAnswerKind kind, ExecutionStatus execution, base::Error error, std::optional<PendingUpdate> pendingUpdate)
 {
     m_state.step = OrderStep::Answered;
     OrderAction action;
     action.answer.kind = kind;
-    action.answer.attempt = fate;
+    action.answer.execution = execution;
     action.answer.error = std::move(error);
-    action.duty = std::move(duty);
+    action.pendingUpdate = std::move(pendingUpdate);
     return action;
 }
 
-OrderAction OrderGuard::misfit()
+OrderAction OrderStateMachine::unexpectedEvent()
 {
-    const auto fate = m_state.sends > 0 ? AttemptFate::MayHaveRun : AttemptFate::NotRun;
-    return refuse(OrderAnswerKind::Unknown, fate,
+    const auto execution = m_state.sends > 0 ? ExecutionStatus::MayHaveRun : ExecutionStatus::NotRun;
+    return refuse(OrderAnswerKind::Unknown, execution,
                   base::fail(ErrorKind::Internal, text("the order guard got an event that does not fit its step", AskServiceRemedy)));
 }
 
--- a/carawaylatch/orders/orderguard.h
+++ b/carawaylatch/orders/orderstatemachine.h
@@ -1,6 +1,6 @@
 // The state machine of one order at one router: events in, one action out.
 //
-// The guard decides what may be sent and what may be said; OrderDesk carries the
+// The guard decides what may be sent and what may be said; OrderExecutor carries the
 // actions out. Its promises, whatever faults occur:
 //
 //   - The order is sent only under a confirmed claim of this very attempt, and
@@ -20,8 +20,8 @@
 
 #include "carawaylatch/base/error.h"
 #include "carawaylatch/base/time.h"
-#include "carawaylatch/orders/claimstore.h"
-#include "carawaylatch/orders/orderduty.h"
+#include "carawaylatch/orders/pendingupdate.h"
+#include "carawaylatch/orders/recordstore.h"
 #include "carawaylatch/orders/serviceconnection.h"
 
 namespace carawaylatch::orders
@@ -36,7 +36,7 @@
 };
 
 // What the answered request itself did.
-enum class AttemptFate {
+enum class ExecutionStatus {
     Ran,
     NotRun, // this request ran nothing and never will
     MayHaveRun,
@@ -45,16 +45,16 @@
 struct OrderAnswer
 {
     OrderAnswerKind kind = OrderAnswerKind::Unknown;
-    AttemptFate attempt = AttemptFate::NotRun;
+    ExecutionStatus execution = ExecutionStatus::NotRun;
     StoredAnswer answer; // set with Done
     base::Error error; // set otherwise; message names the remedy, retryAfter when to come back
 };
 
 // What this router knows of a claimant: from membership, or its own incarnation.
-enum class ClaimantLife {
+enum class ClaimantLiveness {
     Live,
     Gone,
-    Unsure,
+    Unknown,
 };
 
 // Steps of the guard. The fault table has a row for each step and event.
@@ -62,7 +62,7 @@
     Idle, // nothing done yet
     Reading, // reading who has the claim after ours was refused
     Claiming, // claim write under way
-    SettlingClaim, // reading back after an unclear claim
+    ResolvingClaim, // reading back after an unclear claim
     Sending, // the service has the order, or is about to
     Recording, // outcome write under way
     Waiting, // another attempt holds the claim; read again after a pause
@@ -86,7 +86,7 @@
     store::Version expected; // with WriteRecord
     base::Duration pause{};
     OrderAnswer answer;
-    std::optional<OrderDuty> duty; // with Answer: what the platform must still learn
+    std::optional<PendingUpdate> pendingUpdate; // with Answer: what the platform must still learn
 };
 
 // Whether this router had seen the reopened record before the request arrived.
@@ -95,17 +95,17 @@
     NotBefore,
 };
 
-struct GuardSettings
+struct OrderStateMachineSettings
 {
-    base::Duration firstPause = base::milliseconds{20}; // between two reads while another attempt runs
-    base::Duration longestPause = base::milliseconds{500};
+    base::Duration initialPollInterval = base::milliseconds{20}; // between two reads while another attempt runs
+    base::Duration maxPollInterval = base::milliseconds{500};
     base::Duration retryAfter = base::seconds{1}; // named in refusals
     std::uint32_t maxSends = 3; // sends of one attempt, all but the last provably not run
-    base::Duration longestWait = base::seconds{2}; // for another attempt's answer
-    std::uint32_t maxSettlingTries = 5; // reads and writes to settle one unclear write before the answer
+    base::Duration maxWait = base::seconds{2}; // for another attempt's answer
+    std::uint32_t maxResolveTries = 5; // reads and writes to settle one unclear write before the answer
 };
 
-struct GuardRequest
+struct OrderStateMachineRequest
 {
     Claimant self; // attempt is fresh for each request
     std::uint64_t requestDigest = 0;
@@ -114,7 +114,7 @@
 };
 
 // All that a guard remembers; two guards of equal state and request act alike.
-struct GuardState
+struct OrderStateMachineState
 {
     OrderStep step = OrderStep::Idle;
     // Version of our own claim; set only while it is confirmed.
@@ -130,26 +130,26 @@
     base::Duration pause{};
     std::optional<base::TimePoint> waitUntil;
 
-    bool operator==(const GuardState &) const = default;
+    bool operator==(const OrderStateMachineState &) const = default;
 };
 
-class OrderGuard
+class OrderStateMachine
 {
 public:
-    OrderGuard(GuardRequest request, GuardSettings settings);
+    OrderStateMachine(OrderStateMachineRequest request, OrderStateMachineSettings settings);
 
     // Each event returns the next action. An event that doesn't fit the step is
     // an internal fault: the guard answers Unknown and never sends again.
     [[nodiscard]] OrderAction onStart(base::TimePoint now);
     // `seen` counts for a reopened record, `life` for one claimed by another.
-    [[nodiscard]] OrderAction onRead(base::TimePoint now, const base::Result<VersionedRecord> &result, ReopenedSeen seen, ClaimantLife life);
+    [[nodiscard]] OrderAction onRead(base::TimePoint now, const base::Result<VersionedRecord> &result, ReopenedSeen seen, ClaimantLiveness claimantLiveness);
     [[nodiscard]] OrderAction onWritten(base::TimePoint now, const base::Result<store::Version> &result);
     [[nodiscard]] OrderAction onSent(base::TimePoint now, const base::Result<ServiceAnswer> &result);
     // No upstream can take the order; nothing was sent by this try.
     [[nodiscard]] OrderAction onNoUpstream(base::TimePoint now, const base::Error &error);
     [[nodiscard]] OrderAction onPauseOver(base::TimePoint now);
 
-    [[nodiscard]] const GuardState &state() const;
+    [[nodiscard]] const OrderStateMachineState &state() const;
 
 private:
     [[nodiscard]] OrderRecord record(RecordState state) const;
@@ -159,22 +159,22 @@
     OrderAction onClaimWritten(base::TimePoint now, const base::Result<store::Version> &result);
     OrderAction onOutcomeWritten(const base::Result<store::Version> &result);
     OrderAction onReadFailed(base::TimePoint now, const base::Error &error);
-    OrderAction onForeignRecord(base::TimePoint now, const VersionedRecord &found, ReopenedSeen seen, ClaimantLife life);
-    OrderAction onForeignClaim(base::TimePoint now, ClaimantLife life);
+    OrderAction onForeignRecord(base::TimePoint now, const VersionedRecord &found, ReopenedSeen seen, ClaimantLiveness claimantLiveness);
+    OrderAction onForeignClaim(base::TimePoint now, ClaimantLiveness claimantLiveness);
     OrderAction confirmClaim(base::TimePoint now, store::Version version);
     OrderAction read(OrderStep step);
-    OrderAction settleAgain(base::TimePoint now, const base::Error &error);
+    OrderAction retryResolving(base::TimePoint now, const base::Error &error);
     OrderAction send(base::TimePoint now);
     OrderAction recordOutcome();
-    OrderAction giveUpUnsent(const base::Error &cause);
-    OrderAction answerOutcome(std::optional<OrderDuty> duty);
+    OrderAction abandonUnsent(const base::Error &cause);
+    OrderAction answerOutcome(std::optional<PendingUpdate> pendingUpdate);
     OrderAction replay(const OrderRecord &found);
-    OrderAction refuse(OrderAnswerKind kind, AttemptFate fate, base::Error error, std::optional<OrderDuty> duty = std::nullopt);
-    OrderAction misfit();
+    OrderAction refuse(OrderAnswerKind kind, ExecutionStatus execution, base::Error error, std::optional<PendingUpdate> pendingUpdate = std::nullopt);
+    OrderAction unexpectedEvent();
 
-    GuardRequest m_request;
-    GuardSettings m_settings;
-    GuardState m_state;
+    OrderStateMachineRequest m_request;
+    OrderStateMachineSettings m_settings;
+    OrderStateMachineState m_state;
     OrderRecord m_outcome; // set from step Recording on
 };
 
--- a/carawaylatch/orders/orderduty.cpp
+++ b/carawaylatch/orders/pendingupdate.cpp
@@ -9,38 +9,38 @@
 // A claim write that stayed unclear is the awkward case: it may take effect long
 // after it was sent. If the version that it was conditional on is still there,
 // Reopened is written over that version; from then on the old write must fail.
-#include "carawaylatch/orders/orderduty.h"
+#include "carawaylatch/orders/pendingupdate.h"
 
 #include <utility>
 
 namespace carawaylatch::orders
 {
 
-OrderDuty::OrderDuty(DutyKind kind, OrderRecord record, store::Version claim)
+PendingUpdate::PendingUpdate(PendingUpdateKind kind, OrderRecord record, store::Version claim)
     : m_kind(kind)
     , m_record(std::move(record))
 {
     m_state.expected = claim;
 }
 
-OrderDuty OrderDuty::reopenUnclear(OrderRecord record, store::Version expected)
+PendingUpdate PendingUpdate::reopenUnclear(OrderRecord record, store::Version expected)
 {
-    OrderDuty duty(DutyKind::Reopen, std::move(record), expected);
-    duty.m_unclearOver = expected;
-    duty.m_state.step = DutyStep::Reading;
-    return duty;
+    PendingUpdate pendingUpdate(PendingUpdateKind::Reopen, std::move(record), expected);
+    pendingUpdate.m_unclearOver = expected;
+    pendingUpdate.m_state.step = PendingUpdateStep::Reading;
+    return pendingUpdate;
 }
 
-void OrderDuty::finish()
+void PendingUpdate::finish()
 {
-    m_state.step = DutyStep::Finished;
+    m_state.step = PendingUpdateStep::Finished;
 }
 
-void OrderDuty::onWritten(const base::Result<store::Version> &result)
+void PendingUpdate::onWritten(const base::Result<store::Version> &result)
 {
     if (result) {
         m_state.mayHaveWritten = true;
-        if (m_kind == DutyKind::Reopen) {
+        if (m_kind == PendingUpdateKind::Reopen) {
             m_state.reopened = result.value();
         }
         finish();
@@ -48,7 +48,7 @@
     }
     switch (result.error().kind) {
     case base::ErrorKind::Conflict:
-        m_state.step = DutyStep::Reading;
+        m_state.step = PendingUpdateStep::Reading;
         break;
     case base::ErrorKind::Unavailable:
     case base::ErrorKind::Overloaded:
@@ -58,18 +58,18 @@
         break;
     default:
         m_state.mayHaveWritten = true;
-        m_state.step = DutyStep::Reading;
+        m_state.step = PendingUpdateStep::Reading;
         break;
     }
 }
 
-void OrderDuty::onRead(const base::Result<VersionedRecord> &result)
+void PendingUpdate::onRead(const base::Result<VersionedRecord> &result)
 {
     if (!result) {
         const auto kind = result.error().kind;
         if (kind == base::ErrorKind::NotFound && m_unclearOver == store::Version{}) {
             m_state.expected = {};
-            m_state.step = DutyStep::Writing;
+            m_state.step = PendingUpdateStep::Writing;
         } else if (kind == base::ErrorKind::NotFound || kind == base::ErrorKind::StaleState) {
             finish();
         }
@@ -78,36 +78,36 @@
     const VersionedRecord &found = result.value();
     const bool isOurs = found.record.claimant == m_record.claimant;
     if (isOurs && found.record.state == m_record.state) {
-        if (m_kind == DutyKind::Reopen) {
+        if (m_kind == PendingUpdateKind::Reopen) {
             m_state.reopened = found.version;
         }
         finish();
     } else if ((isOurs && found.record.state == RecordState::Claimed) || found.version == m_unclearOver) {
         m_state.expected = found.version;
-        m_state.step = DutyStep::Writing;
+        m_state.step = PendingUpdateStep::Writing;
     } else {
         finish();
     }
 }
 
-DutyKind OrderDuty::kind() const
+PendingUpdateKind PendingUpdate::kind() const
 {
     return m_kind;
 }
 
-const OrderRecord &OrderDuty::record() const
+const OrderRecord &PendingUpdate::record() const
 {
     return m_record;
 }
 
-const DutyState &OrderDuty::state() const
+const PendingUpdateState &PendingUpdate::state() const
 {
     return m_state;
 }
 
-bool OrderDuty::holdsClaim() const
+bool PendingUpdate::holdsClaim() const
 {
-    return !m_unclearOver && !m_state.mayHaveWritten && m_state.step == DutyStep::Writing;
+    return !m_unclearOver && !m_state.mayHaveWritten && m_state.step == PendingUpdateStep::Writing;
 }
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/orderduty.h
+++ b/carawaylatch/orders/pendingupdate.h
@@ -8,60 +8,60 @@
 
 #include <optional>
 
-#include "carawaylatch/orders/claimstore.h"
+#include "carawaylatch/orders/recordstore.h"
 
 namespace carawaylatch::orders
 {
 
-enum class DutyKind {
+enum class PendingUpdateKind {
     RecordOutcome,
     Reopen,
 };
 
-enum class DutyStep {
+enum class PendingUpdateStep {
     Writing,
     Reading,
     Finished,
 };
 
-struct DutyState
+struct PendingUpdateState
 {
-    DutyStep step = DutyStep::Writing;
+    PendingUpdateStep step = PendingUpdateStep::Writing;
     store::Version expected; // of the next or present write
     // True once a write may have taken effect; a reopened order may then run elsewhere.
     bool mayHaveWritten = false;
     // Set when a Reopen finished: the version of the reopened record.
     std::optional<store::Version> reopened;
 
-    bool operator==(const DutyState &) const = default;
+    bool operator==(const PendingUpdateState &) const = default;
 };
 
-class OrderDuty
+class PendingUpdate
 {
 public:
     // `claim` is the version of our confirmed claim.
-    OrderDuty(DutyKind kind, OrderRecord record, store::Version claim);
+    PendingUpdate(PendingUpdateKind kind, OrderRecord record, store::Version claim);
     // For a claim write over `expected` that stayed unclear: Reopen, or finish if
     // it is seen that the write can never take effect.
-    [[nodiscard]] static OrderDuty reopenUnclear(OrderRecord record, store::Version expected);
+    [[nodiscard]] static PendingUpdate reopenUnclear(OrderRecord record, store::Version expected);
 
     // Reports the result of the call that state().step names. A call that was not
     // answered leaves the step as it must be tried again.
     void onWritten(const base::Result<store::Version> &result);
     void onRead(const base::Result<VersionedRecord> &result);
 
-    [[nodiscard]] DutyKind kind() const;
+    [[nodiscard]] PendingUpdateKind kind() const;
     [[nodiscard]] const OrderRecord &record() const;
-    [[nodiscard]] const DutyState &state() const;
+    [[nodiscard]] const PendingUpdateState &state() const;
     // True if our claim stands in the platform, so that nobody else can run the order.
     [[nodiscard]] bool holdsClaim() const;
 
 private:
     void finish();
 
-    DutyKind m_kind;
+    PendingUpdateKind m_kind;
     OrderRecord m_record; // what to write
-    DutyState m_state;
+    PendingUpdateState m_state;
     // Version that a still unclear claim write was conditional on.
     std::optional<store::Version> m_unclearOver;
 };
--- a/carawaylatch/orders/claimstore.cpp
+++ b/carawaylatch/orders/recordstore.cpp
@@ -5,7 +5,7 @@
 // removed, the key was closed before the creation, and the read that follows the
 // creation sees it. Reading the set first, or trusting a cached one, would let a
 // paused router claim a pruned key.
-#include "carawaylatch/orders/claimstore.h"
+#include "carawaylatch/orders/recordstore.h"
 
 #include "carawaylatch/orders/retention.h"
 
@@ -14,12 +14,12 @@
 
 using base::ErrorKind;
 
-SingleClaimStore::SingleClaimStore(store::ObjectStore &store)
+ObjectRecordStore::ObjectRecordStore(store::ObjectStore &store)
     : m_store(store)
 {
 }
 
-base::Result<VersionedRecord> SingleClaimStore::read(const OrderId &order)
+base::Result<VersionedRecord> ObjectRecordStore::read(const OrderId &order)
 {
     const auto object = m_store.read(recordObjectName(order));
     if (!object && object.error().kind != ErrorKind::NotFound) {
@@ -36,7 +36,7 @@
     return VersionedRecord{std::move(record), object.value().version};
 }
 
-base::Result<store::Version> SingleClaimStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
+base::Result<store::Version> ObjectRecordStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
 {
     BOOST_OUTCOME_TRY(version, m_store.write(recordObjectName(order), encodeRecord(record), expected));
     if (record.state != RecordState::Claimed) {
--- a/carawaylatch/orders/claimstore.h
+++ b/carawaylatch/orders/recordstore.h
@@ -1,7 +1,7 @@
 // Where order records are kept: compare-and-set on one record.
 //
-// Two implementations behind one contract: SingleClaimStore (one object for each
-// order) and JournalClaimStore (claimjournal.h, many orders in one write). Both
+// Two implementations behind one contract: ObjectRecordStore (one object for each
+// order) and JournalRecordStore (claimjournal.h, many orders in one write). Both
 // check the closed set of retention.h after a record was written or read, so
 // that a key whose record was pruned is never taken for a new one. Errors:
 //
@@ -27,10 +27,10 @@
     store::Version version; // never zero
 };
 
-class ClaimStore
+class OrderRecordStore
 {
 public:
-    virtual ~ClaimStore() = default;
+    virtual ~OrderRecordStore() = default;
     // Returns the order's record.
     [[nodiscard]] virtual base::Result<VersionedRecord> read(const OrderId &order) = 0;
     // Writes the record if its version is still `expected`; zero creates it.
@@ -38,10 +38,10 @@
 };
 
 // One platform object for each order, below "order/". Two writes an order.
-class SingleClaimStore : public ClaimStore
+class ObjectRecordStore : public OrderRecordStore
 {
 public:
-    explicit SingleClaimStore(store::ObjectStore &store);
+    explicit ObjectRecordStore(store::ObjectStore &store);
     [[nodiscard]] base::Result<VersionedRecord> read(const OrderId &order) override;
     [[nodiscard]] base::Result<store::Version> write(const OrderId &order, const OrderRecord &record, store::Version expected) override;
 
--- a/carawaylatch/orders/retention.cpp
+++ b/carawaylatch/orders/retention.cpp
@@ -56,12 +56,12 @@
 
 } // namespace
 
-base::Result<ClosedSet> ClosedSet::decode(std::string_view bytes)
+base::Result<ClosedKeySet> ClosedKeySet::decode(std::string_view bytes)
 {
     if (bytes.size() % DigestBytes != 0 || bytes.size() / DigestBytes > MaxClosedPerRange) {
         return base::fail(ErrorKind::InvalidArgument, "closed set has a wrong length; restore the object from the platform's backup");
     }
-    ClosedSet set;
+    ClosedKeySet set;
     set.m_digests.reserve(bytes.size() / DigestBytes);
     for (std::size_t i = 0; i < bytes.size(); i += DigestBytes) {
         std::uint64_t digest = 0;
@@ -76,7 +76,7 @@
     return set;
 }
 
-std::string ClosedSet::encode() const
+std::string ClosedKeySet::encode() const
 {
     std::string bytes;
     bytes.reserve(m_digests.size() * DigestBytes);
@@ -88,12 +88,12 @@
     return bytes;
 }
 
-bool ClosedSet::contains(std::uint64_t digest) const
+bool ClosedKeySet::contains(std::uint64_t digest) const
 {
     return std::binary_search(m_digests.begin(), m_digests.end(), digest);
 }
 
-bool ClosedSet::add(std::span<const std::uint64_t> digests)
+bool ClosedKeySet::add(std::span<const std::uint64_t> digests)
 {
     std::vector<std::uint64_t> merged = m_digests;
     merged.insert(merged.end(), digests.begin(), digests.end());
@@ -106,7 +106,7 @@
     return true;
 }
 
-std::size_t ClosedSet::size() const
+std::size_t ClosedKeySet::size() const
 {
     return m_digests.size();
 }
@@ -136,7 +136,7 @@
         }
         return object.error();
     }
-    BOOST_OUTCOME_TRY(closed, ClosedSet::decode(object.value().value));
+    BOOST_OUTCOME_TRY(closed, ClosedKeySet::decode(object.value().value));
     if (closed.contains(order.hash())) {
         return closedError();
     }
@@ -223,7 +223,7 @@
         const auto record = decodeRecord(it.value);
         const auto order = OrderId::fromPath(std::string_view(it.name).substr(prefix.size()));
         if (record && record.value().epoch == 0) {
-            stamp(it, record.value());
+            assignEpoch(it, record.value());
         } else if (record && order && record.value().epoch + m_settings.keepEpochs < m_counters.epoch && old.size() < m_settings.maxPrunedPerStep) {
             old.push_back(&it);
             digests.push_back(order.value().hash());
@@ -240,7 +240,7 @@
 
 // Gives a record its epoch. The state stays; a claimant that loses a conditional
 // write to this reads back and finds its claim.
-void RecordPruner::stamp(const store::Object &object, OrderRecord record)
+void RecordPruner::assignEpoch(const store::Object &object, OrderRecord record)
 {
     record.epoch = m_counters.epoch;
     (void)m_store.write(object.name, encodeRecord(record), object.version);
@@ -250,10 +250,10 @@
 bool RecordPruner::closeKeys(std::uint32_t range, std::span<const std::uint64_t> digests)
 {
     const std::string name = rangeName(ClosedPrefix, range);
-    ClosedSet closed;
+    ClosedKeySet closed;
     store::Version version;
     if (const auto object = m_store.read(name)) {
-        auto decoded = ClosedSet::decode(object.value().value);
+        auto decoded = ClosedKeySet::decode(object.value().value);
         if (!decoded) {
             return false;
         }
--- a/carawaylatch/orders/retention.h
+++ b/carawaylatch/orders/retention.h
@@ -46,12 +46,12 @@
 };
 
 // Digests of closed keys of one range, in ascending order.
-class ClosedSet
+class ClosedKeySet
 {
 public:
-    ClosedSet() = default;
+    ClosedKeySet() = default;
     // Returns the set, or InvalidArgument for bytes that no router wrote.
-    [[nodiscard]] static base::Result<ClosedSet> decode(std::string_view bytes);
+    [[nodiscard]] static base::Result<ClosedKeySet> decode(std::string_view bytes);
     [[nodiscard]] std::string encode() const;
     [[nodiscard]] bool contains(std::uint64_t digest) const;
     // Adds digests; false and unchanged if the bound would be passed.
@@ -83,7 +83,7 @@
     std::uint64_t full = 0; // records kept because their closed range is full
 };
 
-// Advances the epoch and prunes records of SingleClaimStore. Every router runs one;
+// Advances the epoch and prunes records of ObjectRecordStore. Every router runs one;
 // any number may be in the role of Pruner at once, and one is enough.
 class RecordPruner
 {
@@ -94,14 +94,14 @@
     // hash range: one read and one list, and writes only where there is something to
     // do. An observer reads the epoch a few times in an epoch.
     void step(base::TimePoint now, PrunerRole role = PrunerRole::Pruner);
-    // The epoch last read, for OrderDesk::setEpoch().
+    // The epoch last read, for OrderExecutor::setEpoch().
     [[nodiscard]] std::uint64_t epoch() const;
     [[nodiscard]] const RetentionCounters &counters() const;
 
 private:
     void observeEpoch(base::TimePoint now);
     void readEpoch(base::TimePoint now);
-    void stamp(const store::Object &object, OrderRecord record);
+    void assignEpoch(const store::Object &object, OrderRecord record);
     void pruneRange(std::uint32_t range);
     [[nodiscard]] bool closeKeys(std::uint32_t range, std::span<const std::uint64_t> digests);
 
--- a/carawaylatch/orders/testing/fakes.h
+++ b/carawaylatch/orders/testing/fakes.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/store/faultystore.h"
 
 namespace carawaylatch::orders::testing
@@ -21,18 +21,18 @@
     NotSent, // nothing ran
     AnswerLost, // ran
     RequestLost, // did not run, and the caller can't tell
-    Crossed, // ran; the answer is that of another attempt
+    WrongAttempt, // ran; the answer is that of another attempt
 };
 
 constexpr ServiceFault AllServiceFaults[] = {ServiceFault::None,       ServiceFault::Refused,     ServiceFault::NotSent,
-                                             ServiceFault::AnswerLost, ServiceFault::RequestLost, ServiceFault::Crossed};
+                                             ServiceFault::AnswerLost, ServiceFault::RequestLost, ServiceFault::WrongAttempt};
 
 // Runs orders in memory. Safe for use from any thread.
 class FakeService : public ServiceConnection
 {
 public:
     // Decides each call's fate; called without a lock.
-    std::function<ServiceFault(const ServiceRequest &)> fate;
+    std::function<ServiceFault(const ServiceRequest &)> chooseFault;
     // Runs before the call's fate is decided, to interleave other work.
     std::function<void()> before;
 
@@ -41,7 +41,7 @@
         if (before) {
             before();
         }
-        const ServiceFault fault = fate ? fate(request) : ServiceFault::None;
+        const ServiceFault fault = chooseFault ? chooseFault(request) : ServiceFault::None;
         if (fault == ServiceFault::Refused) {
             return base::fail(base::ErrorKind::Overloaded, "service is busy");
         }
@@ -57,7 +57,7 @@
             return base::fail(base::ErrorKind::Truncated, "connection broke");
         }
         ServiceAnswer answer{201, "text/plain", "booked " + request.orderKey + " " + std::to_string(request.attempt.value), request.attempt, {}};
-        answer.attempt.value += fault == ServiceFault::Crossed ? 1 : 0;
+        answer.attempt.value += fault == ServiceFault::WrongAttempt ? 1 : 0;
         return answer;
     }
 
@@ -100,9 +100,9 @@
 class FakeLiveness : public RouterLiveness
 {
 public:
-    ClaimantLife all = ClaimantLife::Live;
+    ClaimantLiveness all = ClaimantLiveness::Live;
 
-    [[nodiscard]] ClaimantLife life(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
+    [[nodiscard]] ClaimantLiveness livenessOf(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
     {
         return all;
     }
--- a/carawaylatch/orders/testing/orderdesktest.cpp
+++ b/carawaylatch/orders/testing/orderexecutortest.cpp
@@ -1,4 +1,4 @@
-// OrderDesk over a platform in memory: replays, releases, duties, bounds, and
+// OrderExecutor over a platform in memory: replays, releases, duties, bounds, and
 // two desks under threads and random faults with the service's journal as judge.
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/orders/claimjournal.h"
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/journalrecordstore.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/orders/testing/fakes.h"
 #include "carawaylatch/store/faultystore.h"
 #include "carawaylatch/store/memorystore.h"
@@ -29,11 +29,11 @@
 
 } // namespace
 
-class OrderDeskTest : public CppUnit::TestFixture
+class OrderExecutorTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(OrderDeskTest);
+    CPPUNIT_TEST_SUITE(OrderExecutorTest);
     CPPUNIT_TEST(testReplaysAtBothRouters);
-    CPPUNIT_TEST(testNotRunThenSameKeyRuns);
+    CPPUNIT_TEST(testOrderRunsOnRetryAfterNotRun);
     CPPUNIT_TEST(testNotRunIsNotRepeatedWhileReopening);
     CPPUNIT_TEST(testPlatformDownBeforeClaim);
     CPPUNIT_TEST(testOutcomeReachesPlatformLater);
@@ -42,7 +42,7 @@
     CPPUNIT_TEST(testTriesAnotherServiceOnlyAfterRefusal);
     CPPUNIT_TEST(testDuplicatesWaitForFirst);
     CPPUNIT_TEST(testBounds);
-    CPPUNIT_TEST(testStormOfFaultsAndDuplicates);
+    CPPUNIT_TEST(testRandomFaultsAndDuplicates);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -51,16 +51,16 @@
         m_settings.sleep = [this](base::Duration pause) {
             m_clock.advance(pause);
         };
-        makeDesks(m_clock);
+        makeExecutors(m_clock);
     }
 
     void testReplaysAtBothRouters()
     {
         const auto first = runAt(*m_one, "k");
-        CPPUNIT_ASSERT(first.kind == OrderAnswerKind::Done && first.attempt == AttemptFate::Ran);
-        for (OrderDesk *desk : {m_one.get(), m_two.get()}) {
-            const auto again = runAt(*desk, "k");
-            CPPUNIT_ASSERT(again.kind == OrderAnswerKind::Done && again.attempt == AttemptFate::NotRun);
+        CPPUNIT_ASSERT(first.kind == OrderAnswerKind::Done && first.execution == ExecutionStatus::Ran);
+        for (OrderExecutor *executor : {m_one.get(), m_two.get()}) {
+            const auto again = runAt(*executor, "k");
+            CPPUNIT_ASSERT(again.kind == OrderAnswerKind::Done && again.execution == ExecutionStatus::NotRun);
             CPPUNIT_ASSERT(again.answer == first.answer);
         }
         CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/k"));
@@ -68,23 +68,23 @@
     }
 
     // A refused order: NotRun, closed for duplicates, reopened, and then run.
-    void testNotRunThenSameKeyRuns()
+    void testOrderRunsOnRetryAfterNotRun()
     {
-        m_service.fate = [](const ServiceRequest &) {
+        m_service.chooseFault = [](const ServiceRequest &) {
             return ServiceFault::Refused;
         };
         const auto refused = runAt(*m_one, "k");
         CPPUNIT_ASSERT(refused.kind == OrderAnswerKind::NotRun && refused.error.retryAfter >= base::seconds{1});
-        m_service.fate = nullptr;
+        m_service.chooseFault = nullptr;
         CPPUNIT_ASSERT(runAt(*m_one, "k").kind == OrderAnswerKind::NotRun);
         CPPUNIT_ASSERT(runAt(*m_two, "k").kind == OrderAnswerKind::Running);
         CPPUNIT_ASSERT_EQUAL(0, m_service.runs("acme/k"));
 
         m_clock.advance(refused.error.retryAfter);
         m_one->step();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_one->counters().duties);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_one->counters().pendingUpdates);
         const auto bounced = runAt(*m_two, "k");
-        CPPUNIT_ASSERT(bounced.kind == OrderAnswerKind::Unknown && bounced.attempt == AttemptFate::NotRun);
+        CPPUNIT_ASSERT(bounced.kind == OrderAnswerKind::Unknown && bounced.execution == ExecutionStatus::NotRun);
         CPPUNIT_ASSERT(runAt(*m_two, "k").kind == OrderAnswerKind::Done);
         CPPUNIT_ASSERT(runAt(*m_one, "k").kind == OrderAnswerKind::Done);
         CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/k"));
@@ -93,19 +93,19 @@
     // A duplicate arrives while the write that reopens the claim is under way.
     void testNotRunIsNotRepeatedWhileReopening()
     {
-        m_service.fate = [](const ServiceRequest &) {
+        m_service.chooseFault = [](const ServiceRequest &) {
             return ServiceFault::Refused;
         };
         HookedStore hooked(m_platform);
-        SingleClaimStore claims(hooked);
-        OrderDesk desk(base::RouterId("r3"), base::Incarnation{33}, claims, m_liveness, m_clock, m_settings);
-        CPPUNIT_ASSERT(runAt(desk, "k").kind == OrderAnswerKind::NotRun);
+        ObjectRecordStore claims(hooked);
+        OrderExecutor executor(base::RouterId("r3"), base::Incarnation{33}, claims, m_liveness, m_clock, m_settings);
+        CPPUNIT_ASSERT(runAt(executor, "k").kind == OrderAnswerKind::NotRun);
         std::optional<OrderAnswer> duplicate;
-        hooked.hook = [this, &desk, &duplicate] {
-            duplicate = runAt(desk, "k");
+        hooked.hook = [this, &executor, &duplicate] {
+            duplicate = runAt(executor, "k");
         };
         hooked.callsUntilHook = 0;
-        CPPUNIT_ASSERT(desk.flush());
+        CPPUNIT_ASSERT(executor.flush());
         CPPUNIT_ASSERT(duplicate && duplicate->kind == OrderAnswerKind::Unknown);
     }
 
@@ -114,10 +114,10 @@
         m_faulty.inject(StoreFault::Down);
         const base::TimePoint start = m_clock.now();
         const auto answer = runAt(*m_one, "k");
-        CPPUNIT_ASSERT(answer.kind == OrderAnswerKind::Unknown && answer.attempt == AttemptFate::NotRun);
+        CPPUNIT_ASSERT(answer.kind == OrderAnswerKind::Unknown && answer.execution == ExecutionStatus::NotRun);
         CPPUNIT_ASSERT(answer.error.kind == ErrorKind::Unavailable && answer.error.retryAfter > base::Duration{});
         CPPUNIT_ASSERT_MESSAGE("refused at once", m_clock.now() == start);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_one->counters().duties);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_one->counters().pendingUpdates);
         m_faulty.inject(StoreFault::None);
         CPPUNIT_ASSERT(runAt(*m_two, "k").kind == OrderAnswerKind::Done);
     }
@@ -137,7 +137,7 @@
             m_faulty.inject(StoreFault::None);
             m_clock.advance(base::seconds{2});
             m_one->step();
-            CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_one->counters().duties);
+            CPPUNIT_ASSERT_EQUAL(std::size_t{0}, m_one->counters().pendingUpdates);
             CPPUNIT_ASSERT(runAt(*m_two, key).answer == answer.answer);
             CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/" + key));
         }
@@ -150,7 +150,7 @@
             const std::string key = "k" + std::to_string(static_cast<int>(fault));
             m_faulty.inject(fault);
             const auto answer = runAt(*m_one, key);
-            CPPUNIT_ASSERT(answer.kind == OrderAnswerKind::Unknown && answer.attempt == AttemptFate::NotRun);
+            CPPUNIT_ASSERT(answer.kind == OrderAnswerKind::Unknown && answer.execution == ExecutionStatus::NotRun);
             CPPUNIT_ASSERT(runAt(*m_one, key).kind == OrderAnswerKind::Unknown);
             m_faulty.inject(StoreFault::None);
             CPPUNIT_ASSERT(m_one->flush());
@@ -164,8 +164,8 @@
         CPPUNIT_ASSERT(runAt(*m_one, "").kind == OrderAnswerKind::Refused);
         CPPUNIT_ASSERT(runAt(*m_one, std::string(MaxKeyBytes + 1, 'k')).kind == OrderAnswerKind::Refused);
         CPPUNIT_ASSERT(runAt(*m_one, "k").kind == OrderAnswerKind::Done);
-        for (OrderDesk *desk : {m_one.get(), m_two.get()}) {
-            const auto other = desk->run(makeRequest(m_clock, "k", "eleven tonnes"), m_service, m_chooser);
+        for (OrderExecutor *executor : {m_one.get(), m_two.get()}) {
+            const auto other = executor->run(makeRequest(m_clock, "k", "eleven tonnes"), m_service, m_chooser);
             CPPUNIT_ASSERT(other.kind == OrderAnswerKind::Refused && other.error.kind == ErrorKind::InvalidArgument);
         }
         CPPUNIT_ASSERT_EQUAL(1, m_service.mostRuns());
@@ -177,7 +177,7 @@
         for (const ServiceFault fault : AllServiceFaults) {
             const std::string key = "k" + std::to_string(static_cast<int>(fault));
             std::atomic<int> calls = 0;
-            m_service.fate = [&calls, fault](const ServiceRequest &) {
+            m_service.chooseFault = [&calls, fault](const ServiceRequest &) {
                 return calls++ == 0 ? fault : ServiceFault::None;
             };
             const auto answer = runAt(*m_one, key);
@@ -202,9 +202,9 @@
         });
         entered.get_future().wait();
         CPPUNIT_ASSERT(m_one->run(makeRequest(m_clock, "k", "other"), m_service, m_chooser).kind == OrderAnswerKind::Refused);
-        OrderRequest hurried = makeRequest(m_clock, "k");
-        hurried.deadline = m_clock.now();
-        CPPUNIT_ASSERT(m_one->run(hurried, m_service, m_chooser).kind == OrderAnswerKind::Running);
+        OrderRequest expired = makeRequest(m_clock, "k");
+        expired.deadline = m_clock.now();
+        CPPUNIT_ASSERT(m_one->run(expired, m_service, m_chooser).kind == OrderAnswerKind::Running);
         auto second = std::async(std::launch::async, [this] {
             return runAt(*m_one, "k");
         });
@@ -217,8 +217,8 @@
 
     void testBounds()
     {
-        m_settings.maxDuties = Bound;
-        makeDesks(m_clock);
+        m_settings.maxPendingUpdates = Bound;
+        makeExecutors(m_clock);
         m_service.before = [this] {
             m_faulty.inject(StoreFault::Down);
         };
@@ -227,25 +227,25 @@
             CPPUNIT_ASSERT(runAt(*m_one, std::to_string(i)).kind == OrderAnswerKind::Done);
         }
         const auto refused = runAt(*m_one, "one more");
-        CPPUNIT_ASSERT(refused.error.kind == ErrorKind::Overloaded && refused.attempt == AttemptFate::NotRun);
-        CPPUNIT_ASSERT_EQUAL(Bound, m_one->counters().duties);
+        CPPUNIT_ASSERT(refused.error.kind == ErrorKind::Overloaded && refused.execution == ExecutionStatus::NotRun);
+        CPPUNIT_ASSERT_EQUAL(Bound, m_one->counters().pendingUpdates);
     }
 
     // Threads at two desks use few keys under random faults of platform and service.
-    void testStormOfFaultsAndDuplicates()
+    void testRandomFaultsAndDuplicates()
     {
         constexpr int Threads = 6;
         constexpr int OrdersOfThread = 200;
         constexpr std::uint64_t Keys = 60;
         const base::SteadyClock clock;
         m_settings.sleep = nullptr;
-        m_settings.dutyRetry = {};
-        m_settings.guard.firstPause = base::microseconds{50};
-        m_settings.guard.longestWait = base::milliseconds{1};
-        m_settings.guard.retryAfter = base::microseconds{100};
-        makeDesks(clock);
+        m_settings.pendingUpdateRetryInterval = {};
+        m_settings.stateMachine.initialPollInterval = base::microseconds{50};
+        m_settings.stateMachine.maxWait = base::milliseconds{1};
+        m_settings.stateMachine.retryAfter = base::microseconds{100};
+        makeExecutors(clock);
         std::atomic<std::uint64_t> draws = 0;
-        m_service.fate = [&draws](const ServiceRequest &) {
+        m_service.chooseFault = [&draws](const ServiceRequest &) {
             base::Random random(base::combineHashes(carawaylatch::testing::seed(), ++draws));
             return random.below(3) == 0 ? AllServiceFaults[random.below(std::size(AllServiceFaults))] : ServiceFault::None;
         };
@@ -259,8 +259,8 @@
                 for (int n = 0; n < OrdersOfThread; ++n) {
                     const std::string key = std::to_string(random.below(Keys));
                     m_faulty.inject(store::AllStoreFaults[random.below(4)], random.below(4), random.below(4));
-                    OrderDesk &desk = i % 2 == 0 ? *m_one : *m_two;
-                    const auto answer = desk.run(makeRequest(clock, key), m_service, m_chooser);
+                    OrderExecutor &executor = i % 2 == 0 ? *m_one : *m_two;
+                    const auto answer = executor.run(makeRequest(clock, key), m_service, m_chooser);
                     const bool isDone = answer.kind == OrderAnswerKind::Done;
                     falseAnswers += isDone && m_service.runs("acme/" + key) != 1 ? 1 : 0;
                 }
@@ -281,28 +281,28 @@
     }
 
 private:
-    void makeDesks(const base::Clock &clock)
+    void makeExecutors(const base::Clock &clock)
     {
-        m_one = std::make_unique<OrderDesk>(base::RouterId("r1"), base::Incarnation{11}, m_store, m_liveness, clock, m_settings);
-        m_two = std::make_unique<OrderDesk>(base::RouterId("r2"), base::Incarnation{22}, m_store, m_liveness, clock, m_settings);
+        m_one = std::make_unique<OrderExecutor>(base::RouterId("r1"), base::Incarnation{11}, m_store, m_liveness, clock, m_settings);
+        m_two = std::make_unique<OrderExecutor>(base::RouterId("r2"), base::Incarnation{22}, m_store, m_liveness, clock, m_settings);
     }
-    OrderAnswer runAt(OrderDesk &desk, const std::string &key)
+    OrderAnswer runAt(OrderExecutor &executor, const std::string &key)
     {
-        return desk.run(makeRequest(m_clock, key), m_service, m_chooser);
+        return executor.run(makeRequest(m_clock, key), m_service, m_chooser);
     }
 
     store::MemoryStore m_platform;
     store::FaultyStore m_faulty{m_platform};
-    SingleClaimStore m_store{m_faulty};
+    ObjectRecordStore m_store{m_faulty};
     FakeLiveness m_liveness;
     FakeService m_service;
     FakeChooser m_chooser;
     base::ManualClock m_clock;
-    DeskSettings m_settings;
-    std::unique_ptr<OrderDesk> m_one;
-    std::unique_ptr<OrderDesk> m_two;
+    OrderExecutorSettings m_settings;
+    std::unique_ptr<OrderExecutor> m_one;
+    std::unique_ptr<OrderExecutor> m_two;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(OrderDeskTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OrderExecutorTest);
 
 } // namespace carawaylatch::orders::testing
--- a/carawaylatch/orders/testing/orderexplorertest.cpp
+++ b/carawaylatch/orders/testing/orderexplorertest.cpp
@@ -3,7 +3,7 @@
 
 #include <iostream>
 
-#include "carawaylatch/orders/testing/orderworld.h"
+#include "carawaylatch/orders/testing/ordermodel.h"
 
 namespace carawaylatch::orders::testing
 {
@@ -13,14 +13,14 @@
 
 constexpr std::size_t MaxDepth = 40; // longer than any path of the worlds below
 
-struct WorldCase
+struct ModelCase
 {
     const char *name;
     std::vector<int> routers;
-    WorldLimits limits;
+    ModelLimits limits;
 };
 
-const WorldCase WorldCases[] = {
+const ModelCase ModelCases[] = {
     {"two routers, three faults, a restart", {0, 1}, {3, 1, 0, 0, false}},
     {"one router, duplicates, three faults, a restart", {0, 0}, {3, 1, 0, 0, false}},
     {"third request at the first router, two faults", {0, 1, 0}, {2, 0, 0, 0, false}},
@@ -44,8 +44,8 @@
 public:
     void testAllInterleavings()
     {
-        for (const WorldCase &it : WorldCases) {
-            const auto result = carawaylatch::testing::explore(OrderWorld(it.routers, it.limits), MaxDepth);
+        for (const ModelCase &it : ModelCases) {
+            const auto result = carawaylatch::testing::explore(OrderModel(it.routers, it.limits), MaxDepth);
             std::cout << it.name << ": " << result.states << " states, depth " << result.depth << (result.isComplete ? ", complete" : ", cut off") << '\n';
             CPPUNIT_ASSERT_EQUAL_MESSAGE(it.name, std::string(), result.violation);
             CPPUNIT_ASSERT_MESSAGE(it.name, result.isComplete);
--- a/carawaylatch/orders/testing/orderworld.h
+++ b/carawaylatch/orders/testing/ordermodel.h
@@ -2,7 +2,7 @@
 // restarts, a platform that loses answers and delays writes, a pruner, and a
 // service whose journal is the judge.
 //
-// The parts under test are the real OrderGuard, OrderDuty and answerDuplicate;
+// The parts under test are the real OrderStateMachine, PendingUpdate and answerDuplicate;
 // this file adds what surrounds them. Invariants, at every state:
 //   - the service ran the order at most once;
 //   - no request that had been received when NotRun was said has run or runs;
@@ -16,35 +16,35 @@
 #include <vector>
 
 #include "carawaylatch/orders/duplicates.h"
-#include "carawaylatch/orders/orderguard.h"
+#include "carawaylatch/orders/orderstatemachine.h"
 #include "testing/explorer.h"
 
 namespace carawaylatch::orders::testing
 {
 
 enum class RequestPhase {
-    Coming, // not received yet
+    NotArrived, // not received yet
     Active, // its guard runs
-    WaitsForFirst, // another request of the router runs the guard
+    WaitingForFirst, // another request of the router runs the guard
     Answered,
-    Dead, // its router crashed
+    RouterCrashed, // its router crashed
 };
 
-struct WorldRequest
+struct ModelRequest
 {
     int router = 0;
-    RequestPhase phase = RequestPhase::Coming;
-    std::optional<OrderGuard> guard;
+    RequestPhase phase = RequestPhase::NotArrived;
+    std::optional<OrderStateMachine> stateMachine;
     OrderAction action; // to be carried out, in phase Active
     store::Version seenAtArrival; // reopened version that the router had seen; zero: none
     std::optional<OrderAnswer> answer;
 };
 
-struct WorldRouter
+struct ModelRouter
 {
     std::uint64_t incarnation = 1;
     store::Version seenReopened;
-    std::optional<OrderDuty> duty;
+    std::optional<PendingUpdate> pendingUpdate;
 };
 
 struct DelayedWrite
@@ -53,53 +53,53 @@
     store::Version expected;
 };
 
-struct WorldLimits
+struct ModelLimits
 {
     int faults = 2; // lost, delayed, refused or unreachable calls
     int crashes = 1;
     int prunes = 0;
-    int stamps = 0; // rewrites of a record by the pruner that change its version alone
+    int epochWrites = 0; // rewrites of a record by the pruner that change its version alone
     bool isLivenessWrong = false; // membership takes the dead for live and the live for dead
 };
 
-class OrderWorld
+class OrderModel
 {
 public:
     // One request for the same order for each entry, which names its router (0 or 1).
-    OrderWorld(const std::vector<int> &routers, WorldLimits limits);
+    OrderModel(const std::vector<int> &routers, ModelLimits limits);
 
     [[nodiscard]] std::string key() const;
-    [[nodiscard]] std::vector<carawaylatch::testing::Choice<OrderWorld>> choices() const;
+    [[nodiscard]] std::vector<carawaylatch::testing::Choice<OrderModel>> choices() const;
     [[nodiscard]] std::string violation() const;
     [[nodiscard]] bool hasRun() const;
 
 private:
-    using Choices = std::vector<carawaylatch::testing::Choice<OrderWorld>>;
+    using Choices = std::vector<carawaylatch::testing::Choice<OrderModel>>;
 
     void addArrivals(Choices &choices) const;
     void addRequestSteps(Choices &choices) const;
     void addWrite(Choices &choices, std::size_t request) const;
     void addSend(Choices &choices, std::size_t request) const;
-    void addDutySteps(Choices &choices) const;
+    void addPendingUpdateSteps(Choices &choices) const;
     void addPlatformSteps(Choices &choices) const;
     void addCrashes(Choices &choices) const;
 
     void arrive(std::size_t request);
-    void follow(std::size_t request, OrderAction action);
-    void say(std::size_t request, const OrderAnswer &answer);
+    void applyAction(std::size_t request, OrderAction action);
+    void deliverAnswer(std::size_t request, const OrderAnswer &answer);
     void run(std::size_t request);
     void crash(int router);
-    void finishDuty(int router);
+    void finishPendingUpdate(int router);
     [[nodiscard]] std::optional<std::size_t> activeAt(int router) const;
-    [[nodiscard]] ClaimantLife lifeOf(const Claimant &claimant) const;
+    [[nodiscard]] ClaimantLiveness livenessOf(const Claimant &claimant) const;
     [[nodiscard]] base::Result<VersionedRecord> readRecord() const;
     base::Result<store::Version> writeRecord(const OrderRecord &record, store::Version expected);
     [[nodiscard]] OrderAction read(std::size_t request, const base::Result<VersionedRecord> &result);
     void landRun(std::size_t index);
 
-    std::vector<WorldRequest> m_requests;
-    WorldRouter m_routers[2];
-    WorldLimits m_left;
+    std::vector<ModelRequest> m_requests;
+    ModelRouter m_routers[2];
+    ModelLimits m_remaining;
     std::optional<VersionedRecord> m_record;
     std::uint64_t m_lastVersion = 0;
     bool m_isClosed = false;
--- a/carawaylatch/orders/testing/claimstoretest.cpp
+++ b/carawaylatch/orders/testing/recordstoretest.cpp
@@ -1,4 +1,4 @@
-// Contract of ClaimStore, run against both implementations: compare-and-set of
+// Contract of OrderRecordStore, run against both implementations: compare-and-set of
 // one record, faults of the platform, closed keys, races, and generated
 // operations against a map.
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/orders/claimjournal.h"
+#include "carawaylatch/orders/journalrecordstore.h"
 #include "carawaylatch/orders/retention.h"
 #include "carawaylatch/store/faultystore.h"
 #include "carawaylatch/store/memorystore.h"
@@ -48,89 +48,89 @@
 }
 
 // A store under test with its platform and its faults.
-struct Bed
+struct StoreFixture
 {
     store::MemoryStore platform;
     store::FaultyStore faulty{platform};
-    std::unique_ptr<ClaimStore> store;
+    std::unique_ptr<OrderRecordStore> store;
     std::function<void(const OrderId &, std::uint64_t epoch)> pruneBefore;
 };
 
-using MakeBed = std::unique_ptr<Bed> (*)();
+using MakeFixture = std::unique_ptr<StoreFixture> (*)();
 
-std::unique_ptr<Bed> makeSingle()
+std::unique_ptr<StoreFixture> makeObjectStore()
 {
-    auto bed = std::make_unique<Bed>();
-    bed->store = std::make_unique<SingleClaimStore>(bed->faulty);
-    bed->pruneBefore = [raw = bed.get()](const OrderId &order, std::uint64_t) {
-        ClosedSet closed;
+    auto fixture = std::make_unique<StoreFixture>();
+    fixture->store = std::make_unique<ObjectRecordStore>(fixture->faulty);
+    fixture->pruneBefore = [raw = fixture.get()](const OrderId &order, std::uint64_t) {
+        ClosedKeySet closed;
         const std::uint64_t digests[] = {order.hash()};
         CPPUNIT_ASSERT(closed.add(digests));
         CPPUNIT_ASSERT(raw->platform.write(closedObjectName(order), closed.encode(), {}));
         const auto object = raw->platform.read(recordObjectName(order));
         CPPUNIT_ASSERT(raw->platform.remove(object.value().name, object.value().version));
     };
-    return bed;
+    return fixture;
 }
 
-std::unique_ptr<Bed> makeJournal()
+std::unique_ptr<StoreFixture> makeJournalStore()
 {
-    auto bed = std::make_unique<Bed>();
-    auto journal = std::make_unique<JournalClaimStore>(bed->faulty, JournalSettings{4, 500, 20});
-    bed->pruneBefore = [raw = journal.get()](const OrderId &order, std::uint64_t epoch) {
+    auto fixture = std::make_unique<StoreFixture>();
+    auto journal = std::make_unique<JournalRecordStore>(fixture->faulty, JournalSettings{4, 500, 20});
+    fixture->pruneBefore = [raw = journal.get()](const OrderId &order, std::uint64_t epoch) {
         CPPUNIT_ASSERT(raw->prune(static_cast<std::uint32_t>(order.hash() % 4), epoch).value() == 1);
     };
-    bed->store = std::move(journal);
-    return bed;
+    fixture->store = std::move(journal);
+    return fixture;
 }
 
-constexpr MakeBed AllBeds[] = {makeSingle, makeJournal};
+constexpr MakeFixture AllFixtures[] = {makeObjectStore, makeJournalStore};
 
 } // namespace
 
-class ClaimStoreTest : public CppUnit::TestFixture
+class OrderRecordStoreTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(ClaimStoreTest);
+    CPPUNIT_TEST_SUITE(OrderRecordStoreTest);
     CPPUNIT_TEST(testComparesAndSets);
     CPPUNIT_TEST(testFaults);
     CPPUNIT_TEST(testClosedKeyIsNeverClaimed);
-    CPPUNIT_TEST(testOneOfManyRacersWins);
+    CPPUNIT_TEST(testOneConcurrentClaimWins);
     CPPUNIT_TEST(testTwoStoresOnOnePlatform);
     CPPUNIT_TEST(testAgainstMap);
-    CPPUNIT_TEST(testRejectsForeignBytes);
+    CPPUNIT_TEST(testRejectsMalformedBytes);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testComparesAndSets()
     {
-        for (const MakeBed make : AllBeds) {
-            const auto bed = make();
-            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::NotFound), base::errorKindName(failureOf(bed->store->read(orderId(1)))));
-            const auto first = bed->store->write(orderId(1), record(1), {});
+        for (const MakeFixture make : AllFixtures) {
+            const auto fixture = make();
+            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::NotFound), base::errorKindName(failureOf(fixture->store->read(orderId(1)))));
+            const auto first = fixture->store->write(orderId(1), record(1), {});
             CPPUNIT_ASSERT(first && first.value().value != 0);
-            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::Conflict), base::errorKindName(failureOf(bed->store->write(orderId(1), record(2), {}))));
-            const auto second = bed->store->write(orderId(1), record(1, RecordState::Done), first.value());
+            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::Conflict), base::errorKindName(failureOf(fixture->store->write(orderId(1), record(2), {}))));
+            const auto second = fixture->store->write(orderId(1), record(1, RecordState::Done), first.value());
             CPPUNIT_ASSERT(second && second.value() > first.value());
             CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::Conflict),
-                                 base::errorKindName(failureOf(bed->store->write(orderId(1), record(3), first.value()))));
-            const auto found = bed->store->read(orderId(1));
+                                 base::errorKindName(failureOf(fixture->store->write(orderId(1), record(3), first.value()))));
+            const auto found = fixture->store->read(orderId(1));
             CPPUNIT_ASSERT(found.value().record == record(1, RecordState::Done) && found.value().version == second.value());
-            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::NotFound), base::errorKindName(failureOf(bed->store->read(orderId(2)))));
+            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::NotFound), base::errorKindName(failureOf(fixture->store->read(orderId(2)))));
         }
     }
 
     // Every fault at every call of a write: the error never says less than what happened.
     void testFaults()
     {
-        for (const MakeBed make : AllBeds) {
+        for (const MakeFixture make : AllFixtures) {
             for (const StoreFault fault : store::AllStoreFaults) {
                 for (const std::uint64_t skip : {0U, 1U, 2U}) {
                     for (const std::uint64_t calls : {std::uint64_t{1}, UINT64_MAX}) {
-                        const auto bed = make();
-                        bed->faulty.inject(fault, calls, skip);
-                        const auto written = bed->store->write(orderId(1), record(1), {});
-                        bed->faulty.inject(StoreFault::None);
-                        checkOutcome(*bed, written);
+                        const auto fixture = make();
+                        fixture->faulty.inject(fault, calls, skip);
+                        const auto written = fixture->store->write(orderId(1), record(1), {});
+                        fixture->faulty.inject(StoreFault::None);
+                        checkOutcome(*fixture, written);
                     }
                 }
             }
@@ -140,29 +140,29 @@
     // The pruner acts while a claim is under way, at every call of the claim.
     void testClosedKeyIsNeverClaimed()
     {
-        for (const MakeBed make : AllBeds) {
-            const auto bed = make();
-            const auto first = bed->store->write(orderId(1), record(1), {});
+        for (const MakeFixture make : AllFixtures) {
+            const auto fixture = make();
+            const auto first = fixture->store->write(orderId(1), record(1), {});
             CPPUNIT_ASSERT(first);
-            bed->pruneBefore(orderId(1), 1);
-            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::StaleState), base::errorKindName(failureOf(bed->store->write(orderId(1), record(2), {}))));
-            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::StaleState), base::errorKindName(failureOf(bed->store->read(orderId(1)))));
-            CPPUNIT_ASSERT(bed->store->write(orderId(2), record(3), {}));
+            fixture->pruneBefore(orderId(1), 1);
+            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::StaleState), base::errorKindName(failureOf(fixture->store->write(orderId(1), record(2), {}))));
+            CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::StaleState), base::errorKindName(failureOf(fixture->store->read(orderId(1)))));
+            CPPUNIT_ASSERT(fixture->store->write(orderId(2), record(3), {}));
         }
     }
 
-    void testOneOfManyRacersWins()
+    void testOneConcurrentClaimWins()
     {
-        constexpr std::uint64_t Racers = 8;
+        constexpr std::uint64_t Claimants = 8;
         constexpr std::uint64_t Orders = 50;
-        for (const MakeBed make : AllBeds) {
-            const auto bed = make();
+        for (const MakeFixture make : AllFixtures) {
+            const auto fixture = make();
             std::atomic<std::uint64_t> wins = 0;
             std::vector<std::thread> threads;
-            for (std::uint64_t racer = 1; racer <= Racers; ++racer) {
-                threads.emplace_back([&bed, &wins, racer] {
+            for (std::uint64_t claimant = 1; claimant <= Claimants; ++claimant) {
+                threads.emplace_back([&fixture, &wins, claimant] {
                     for (std::uint64_t n = 0; n < Orders; ++n) {
-                        wins += bed->store->write(orderId(n), record(racer), {}) ? 1 : 0;
+                        wins += fixture->store->write(orderId(n), record(claimant), {}) ? 1 : 0;
                     }
                 });
             }
@@ -177,8 +177,8 @@
     void testTwoStoresOnOnePlatform()
     {
         store::MemoryStore platform;
-        JournalClaimStore one(platform, JournalSettings{1, 500, 20});
-        JournalClaimStore two(platform, JournalSettings{1, 500, 20});
+        JournalRecordStore one(platform, JournalSettings{1, 500, 20});
+        JournalRecordStore two(platform, JournalSettings{1, 500, 20});
         const auto first = one.write(orderId(1), record(1), {});
         CPPUNIT_ASSERT_EQUAL(base::errorKindName(ErrorKind::Conflict), base::errorKindName(failureOf(two.write(orderId(1), record(2), {}))));
         CPPUNIT_ASSERT(two.write(orderId(1), record(1, RecordState::Reopened), first.value()));
@@ -192,8 +192,8 @@
     void testAgainstMap()
     {
         constexpr int Steps = 2000;
-        for (const MakeBed make : AllBeds) {
-            const auto bed = make();
+        for (const MakeFixture make : AllFixtures) {
+            const auto fixture = make();
             base::Random random(carawaylatch::testing::seed());
             std::map<std::uint64_t, VersionedRecord> model;
             for (int step = 0; step < Steps; ++step) {
@@ -201,11 +201,11 @@
                 const auto it = model.find(n);
                 const Version present = it == model.end() ? Version{} : it->second.version;
                 const Version expected = random.below(4) == 0 ? Version{random.below(50)} : present;
-                bed->faulty.inject(store::AllStoreFaults[random.below(4)], 1 + random.below(2), random.below(3));
+                fixture->faulty.inject(store::AllStoreFaults[random.below(4)], 1 + random.below(2), random.below(3));
                 const OrderRecord value = record(static_cast<std::uint64_t>(step) + 1, static_cast<RecordState>(random.below(4)));
-                const auto written = bed->store->write(orderId(n), value, expected);
-                bed->faulty.inject(StoreFault::None);
-                const auto found = bed->store->read(orderId(n));
+                const auto written = fixture->store->write(orderId(n), value, expected);
+                fixture->faulty.inject(StoreFault::None);
+                const auto found = fixture->store->read(orderId(n));
                 const bool isWritten = found && found.value().record == value;
                 if (written) {
                     CPPUNIT_ASSERT(isWritten && found.value().version == written.value());
@@ -222,12 +222,12 @@
         }
     }
 
-    void testRejectsForeignBytes()
+    void testRejectsMalformedBytes()
     {
         CPPUNIT_ASSERT(!decodeRecord("\xff\xff\xff"));
         CPPUNIT_ASSERT(!decodeRecord(""));
         CPPUNIT_ASSERT(!JournalImage::decode("\xff\xff\xff"));
-        CPPUNIT_ASSERT(!ClosedSet::decode("short"));
+        CPPUNIT_ASSERT(!ClosedKeySet::decode("short"));
         for (const char *key : {"plain", "a/b c", "~", "\xc3\xa9\n", ""}) {
             const OrderId order{base::CustomerId("a b"), key};
             CPPUNIT_ASSERT(OrderId::fromPath(order.path()).value() == order);
@@ -237,9 +237,9 @@
     }
 
 private:
-    static void checkOutcome(Bed &bed, const base::Result<Version> &written)
+    static void checkOutcome(StoreFixture &fixture, const base::Result<Version> &written)
     {
-        const auto found = bed.store->read(orderId(1));
+        const auto found = fixture.store->read(orderId(1));
         if (written) {
             CPPUNIT_ASSERT(found && found.value().record == record(1) && found.value().version == written.value());
             return;
@@ -250,6 +250,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ClaimStoreTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(OrderRecordStoreTest);
 
 } // namespace carawaylatch::orders::testing
--- a/carawaylatch/orders/testing/retentiontest.cpp
+++ b/carawaylatch/orders/testing/retentiontest.cpp
@@ -2,7 +2,7 @@
 // the pruner acts in the middle of a claim.
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/orders/retention.h"
 #include "carawaylatch/orders/testing/fakes.h"
 #include "carawaylatch/store/faultystore.h"
@@ -20,10 +20,10 @@
     CPPUNIT_TEST(testDuplicateAfterPruning);
     CPPUNIT_TEST(testPrunerBetweenAnyTwoCallsOfDuplicate);
     CPPUNIT_TEST(testPrunerBetweenClaimAndItsCheck);
-    CPPUNIT_TEST(testStampWhileOrderRuns);
+    CPPUNIT_TEST(testEpochAssignedWhileOrderRuns);
     CPPUNIT_TEST(testObserverLearnsEpochWithFewReads);
     CPPUNIT_TEST(testFaultsOfPruner);
-    CPPUNIT_TEST(testClosedSetIsBounded);
+    CPPUNIT_TEST(testClosedKeySetIsBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -53,7 +53,7 @@
         passEpochs(3);
         CPPUNIT_ASSERT(m_platform.list("order/").value().written.empty());
         const auto late = order();
-        CPPUNIT_ASSERT(late.kind == OrderAnswerKind::Unknown && late.attempt == AttemptFate::NotRun);
+        CPPUNIT_ASSERT(late.kind == OrderAnswerKind::Unknown && late.execution == ExecutionStatus::NotRun);
         CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/k"));
     }
 
@@ -81,17 +81,17 @@
     }
 
     // A claim without an epoch is stamped while its order runs.
-    void testStampWhileOrderRuns()
+    void testEpochAssignedWhileOrderRuns()
     {
         passEpochs(m_settings.keepEpochs + 1);
-        SingleClaimStore claims(m_platform);
-        OrderDesk desk(base::RouterId("r1"), base::Incarnation{77}, claims, m_liveness, m_clock);
+        ObjectRecordStore claims(m_platform);
+        OrderExecutor executor(base::RouterId("r1"), base::Incarnation{77}, claims, m_liveness, m_clock);
         m_service.before = [this] {
             passEpochs(0);
         };
-        CPPUNIT_ASSERT(desk.run(makeRequest(m_clock, "k"), m_service, m_chooser).kind == OrderAnswerKind::Done);
+        CPPUNIT_ASSERT(executor.run(makeRequest(m_clock, "k"), m_service, m_chooser).kind == OrderAnswerKind::Done);
         m_service.before = nullptr;
-        CPPUNIT_ASSERT(desk.flush());
+        CPPUNIT_ASSERT(executor.flush());
         CPPUNIT_ASSERT(order().kind == OrderAnswerKind::Done);
         CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/k"));
     }
@@ -130,20 +130,20 @@
         }
     }
 
-    void testClosedSetIsBounded()
+    void testClosedKeySetIsBounded()
     {
         std::vector<std::uint64_t> digests(MaxClosedPerRange);
         for (std::size_t i = 0; i < digests.size(); ++i) {
             digests[i] = i * 3;
         }
-        ClosedSet closed;
+        ClosedKeySet closed;
         CPPUNIT_ASSERT(closed.add(digests));
         const std::uint64_t known[] = {3};
         const std::uint64_t fresh[] = {4};
         CPPUNIT_ASSERT(closed.add(known) && !closed.add(fresh));
         CPPUNIT_ASSERT(closed.contains(3) && !closed.contains(4));
         CPPUNIT_ASSERT(closed.encode().size() <= store::MaxValueBytes);
-        CPPUNIT_ASSERT(ClosedSet::decode(closed.encode()).value().contains(3));
+        CPPUNIT_ASSERT(ClosedKeySet::decode(closed.encode()).value().contains(3));
     }
 
 private:
@@ -153,10 +153,10 @@
     }
     OrderAnswer orderOver(store::ObjectStore &store)
     {
-        SingleClaimStore claims(store);
-        OrderDesk desk(base::RouterId("r1"), base::Incarnation{++m_incarnation}, claims, m_liveness, m_clock);
-        desk.setEpoch(m_pruner.epoch());
-        return desk.run(makeRequest(m_clock, "k"), m_service, m_chooser);
+        ObjectRecordStore claims(store);
+        OrderExecutor executor(base::RouterId("r1"), base::Incarnation{++m_incarnation}, claims, m_liveness, m_clock);
+        executor.setEpoch(m_pruner.epoch());
+        return executor.run(makeRequest(m_clock, "k"), m_service, m_chooser);
     }
     // Prunes everything before the given call of an order.
     OrderAnswer orderWhilePruned(store::MemoryStore &memory, int call)
--- a/carawaylatch/router.h
+++ b/carawaylatch/router.h
@@ -50,7 +50,7 @@
 //
 //     carawaylatch/routing/strategy.h      choose an upstream for a prompt
 //     carawaylatch/prefix/cacheindex.h     who caches what, bounded in bytes
-//     carawaylatch/orders/orderdesk.h      calls that run at most once
+//     carawaylatch/orders/orderexecutor.h      calls that run at most once
 //     carawaylatch/admission/gate.h        limits, fair queueing, refusal in time
 //     carawaylatch/relay/streamassembler.h streams whole and in order
 //     carawaylatch/config/headstore.h      tables with one point of acceptance
--- a/carawaylatch/router/platformduties.cpp
+++ b/carawaylatch/router/platformduties.cpp
@@ -36,9 +36,9 @@
 
 } // namespace
 
-PlatformDuties::PlatformDuties(const ControlParts &parts, orders::OrderDesk &desk, fleet::EngineControl &engines, ListHandler onList)
+PlatformDuties::PlatformDuties(const ControlParts &parts, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList)
     : m_parts(parts)
-    , m_desk(desk)
+    , m_executor(executor)
     , m_onList(std::move(onList))
     , m_pruner(parts.objects, {})
     , m_fleet({parts.settings.router.id, parts.incarnation, parts.settings.router.failureDomain}, parts.objects, engines, parts.clock,
@@ -60,7 +60,7 @@
         readList();
     }));
     m_timers.push_back(m_orderLoop.timers().every(now, DeskInterval, [this](base::TimePoint) {
-        m_desk.step();
+        m_executor.step();
     }));
     m_timers.push_back(m_orderLoop.timers().every(now, RetentionInterval, [this](base::TimePoint at) {
         stepRetention(at);
@@ -114,7 +114,7 @@
 void PlatformDuties::stepRetention(base::TimePoint now)
 {
     m_pruner.step(now, isAmongFirst(RetentionDuty, 1) ? orders::PrunerRole::Pruner : orders::PrunerRole::Observer);
-    m_desk.setEpoch(m_pruner.epoch());
+    m_executor.setEpoch(m_pruner.epoch());
 }
 
 bool PlatformDuties::isAmongFirst(std::string_view duty, std::size_t n) const
--- a/carawaylatch/router/platformduties.h
+++ b/carawaylatch/router/platformduties.h
@@ -7,7 +7,7 @@
 
 #include "carawaylatch/base/eventloop.h"
 #include "carawaylatch/fleet/fleetdriver.h"
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/orders/retention.h"
 #include "carawaylatch/router/controlstate.h"
 
@@ -20,7 +20,7 @@
     using ListHandler = std::function<void(const std::vector<store::VmRecord> &vms, base::TimePoint now)>;
 
     // All outlive the duties; `onList` is called on the control thread.
-    PlatformDuties(const ControlParts &parts, orders::OrderDesk &desk, fleet::EngineControl &engines, ListHandler onList);
+    PlatformDuties(const ControlParts &parts, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList);
     ~PlatformDuties();
 
     void start(base::TimePoint now);
@@ -36,7 +36,7 @@
     [[nodiscard]] bool isAmongFirst(std::string_view duty, std::size_t n) const;
 
     const ControlParts &m_parts;
-    orders::OrderDesk &m_desk;
+    orders::OrderExecutor &m_executor;
     const ListHandler m_onList;
     orders::RecordPruner m_pruner; // order loop
     fleet::FleetDriver m_fleet; // fleet loop
--- a/carawaylatch/router/routeplacer.cpp
+++ b/carawaylatch/router/routeplacer.cpp
@@ -59,7 +59,7 @@
         }
     }
     BOOST_OUTCOME_TRY(placement, m_parts.strategy.place(routingRequest(excluded, now), *view));
-    if (!view->mayStart(placement.upstream, placement.incarnation, now)) {
+    if (!view->maySend(placement.upstream, placement.incarnation, now)) {
         return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", ViewRetry);
     }
     Placed placed{placement.slot, placement.incarnation, placement.predictedBlocks, bestHeld(now), {}};
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -87,18 +87,18 @@
     {
     }
 
-    [[nodiscard]] orders::ClaimantLife life(const base::RouterId &router, base::Incarnation incarnation) const override
+    [[nodiscard]] orders::ClaimantLiveness livenessOf(const base::RouterId &router, base::Incarnation incarnation) const override
     {
         const auto members = m_published.load()->members;
         if (!members) {
-            return orders::ClaimantLife::Unsure;
+            return orders::ClaimantLiveness::Unknown;
         }
         for (const auto &it : members->members) {
             if (it.record.id == router) {
-                return it.record.incarnation == incarnation ? orders::ClaimantLife::Live : orders::ClaimantLife::Gone;
+                return it.record.incarnation == incarnation ? orders::ClaimantLiveness::Live : orders::ClaimantLiveness::Gone;
             }
         }
-        return orders::ClaimantLife::Unsure;
+        return orders::ClaimantLiveness::Unknown;
     }
 
 private:
@@ -174,9 +174,9 @@
     http::EngineClient m_engineClient;
     http::ServiceClient m_serviceClient{ConnectTimeout};
     relay::RelayDriver m_relay;
-    orders::SingleClaimStore m_claims{m_objects};
+    orders::ObjectRecordStore m_claims{m_objects};
     const PublishedLiveness m_liveness{m_published};
-    orders::OrderDesk m_orderDesk;
+    orders::OrderExecutor m_orderExecutor;
     std::unique_ptr<routing::RoutingStrategy> m_strategy;
     std::unique_ptr<TrafficPlane> m_traffic;
 
@@ -267,7 +267,7 @@
           [this](const auto &peer, base::Revision revision, base::TimePoint now) {
               config.onPeerRevision(peer, revision, now);
           })
-    , duties(router.m_controlParts, router.m_orderDesk, router.m_upstreamClient,
+    , duties(router.m_controlParts, router.m_orderExecutor, router.m_upstreamClient,
              [&router](const auto &vms, base::TimePoint now) {
                  router.onList(vms, now);
              })
@@ -293,7 +293,7 @@
                          });
                      })
     , m_relay(m_engineClient, m_clock, m_attemptIds, m_budgets, m_hedgeDelays)
-    , m_orderDesk(settings.router.id, m_incarnation, m_claims, m_liveness, m_clock)
+    , m_orderExecutor(settings.router.id, m_incarnation, m_claims, m_liveness, m_clock)
     , m_operatorFront(std::make_unique<OperatorFront>(*this))
     , m_callers(callersOptions(settings), *m_operatorFront)
     , m_operators({settings.operators.address, settings.operators.port}, *m_operatorFront)
@@ -317,7 +317,7 @@
     m_traffic = std::make_unique<TrafficPlane>(TrafficParts{{m_published, m_knowledge, *m_strategy, m_clock, onAttempt},
                                                             m_gate,
                                                             m_relay,
-                                                            m_orderDesk,
+                                                            m_orderExecutor,
                                                             m_serviceClient,
                                                             m_attemptIds,
                                                             m_metrics,
@@ -421,7 +421,7 @@
 void Router::Impl::flushOrders()
 {
     const base::TimePoint until = m_clock.now() + LongestFlush;
-    while (!m_orderDesk.flush() && m_clock.now() < until) {
+    while (!m_orderExecutor.flush() && m_clock.now() < until) {
         std::this_thread::sleep_for(FlushPause);
     }
 }
--- a/carawaylatch/router/servicechooser.cpp
+++ b/carawaylatch/router/servicechooser.cpp
@@ -31,7 +31,7 @@
     request.excluded = refused;
     request.spreadKey = base::hash64(m_context.head.requestId);
     BOOST_OUTCOME_TRY(placement, m_parts.strategy.place(request, *view));
-    if (!view->mayStart(placement.upstream, placement.incarnation, now)) {
+    if (!view->maySend(placement.upstream, placement.incarnation, now)) {
         return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", base::seconds{1});
     }
     m_ticket = m_parts.knowledge.inflight.begin(placement.slot, CallTokens, now, m_context.head.trafficClass);
--- a/carawaylatch/router/servicechooser.h
+++ b/carawaylatch/router/servicechooser.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/router/routeplacer.h"
 
 namespace carawaylatch::router
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -56,7 +56,7 @@
     switch (answer.kind) {
     case orders::OrderAnswerKind::Done:
         reply.outcome = http::OrderOutcome::Done;
-        reply.isReplayed = answer.attempt == orders::AttemptFate::NotRun;
+        reply.isReplayed = answer.execution == orders::ExecutionStatus::NotRun;
         reply.answer.status = answer.answer.status;
         reply.answer.contentType = answer.answer.contentType;
         reply.answer.body = answer.answer.body;
@@ -288,7 +288,7 @@
     request.service = serviceRequest(call, context);
     request.deadline = context.deadline;
     ServiceChooser chooser(m_parts.placing, context);
-    auto reply = replyOf(m_parts.desk.run(request, m_parts.services, chooser));
+    auto reply = replyOf(m_parts.executor.run(request, m_parts.services, chooser));
     m_parts.metrics.countOrder(metricOf(reply.outcome));
     return reply;
 }
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -9,7 +9,7 @@
 
 #include "carawaylatch/admission/gate.h"
 #include "carawaylatch/http/callerhandler.h"
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/relay/relaydriver.h"
 #include "carawaylatch/router/filterchain.h"
 #include "carawaylatch/router/routeplacer.h"
@@ -25,7 +25,7 @@
     PlacingParts placing;
     admission::Gate &gate;
     relay::RelayDriver &relay;
-    orders::OrderDesk &desk;
+    orders::OrderExecutor &executor;
     orders::ServiceConnection &services;
     relay::AttemptIds &attemptIds;
     telemetry::Metrics &metrics;
--- a/carawaylatch/router/upstreamcontroller.cpp
+++ b/carawaylatch/router/upstreamcontroller.cpp
@@ -116,7 +116,7 @@
 {
     const auto view = m_registry.view();
     return static_cast<std::size_t>(std::count_if(view->upstreams.begin(), view->upstreams.end(), [now](const upstreams::UpstreamStatus &it) {
-        return it.takesWork(now);
+        return it.acceptsRequests(now);
     }));
 }
 
--- a/carawaylatch/routing/estimate.cpp
+++ b/carawaylatch/routing/estimate.cpp
@@ -34,11 +34,12 @@
     queue.tokensPerSecond = status.load.prefillTokensPerSecond > 0 ? status.load.prefillTokensPerSecond : DefaultTokensPerSecond;
     const double age = std::max(0.0, base::toSeconds(question.now - status.loadAt));
     const double routers = std::max(1U, question.routers);
-    const auto ownWaiting = static_cast<double>(own.tokensBeforeFirst);
-    const double corrected = static_cast<double>(status.load.queuedTokens) + static_cast<double>(own.tokensSince) * routers - queue.tokensPerSecond * age;
+    const auto ownWaiting = static_cast<double>(own.pendingPrefillTokens);
+    const double corrected =
+        static_cast<double>(status.load.queuedTokens) + static_cast<double>(own.prefillTokensSince) * routers - queue.tokensPerSecond * age;
     queue.tokens = std::max(corrected, ownWaiting) * question.workRatio;
     if (question.trafficClass == base::TrafficClass::Interactive && ownWaiting > 0) {
-        queue.tokens *= 1 - static_cast<double>(std::min(own.batchBeforeFirst, own.tokensBeforeFirst)) / ownWaiting;
+        queue.tokens *= 1 - static_cast<double>(std::min(own.pendingBatchPrefillTokens, own.pendingPrefillTokens)) / ownWaiting;
     }
     queue.requests = status.load.running + status.load.waiting + static_cast<double>(own.requestsSince) * routers;
     queue.wait = prefillTime(queue.tokens, queue);
--- a/carawaylatch/routing/scoring.cpp
+++ b/carawaylatch/routing/scoring.cpp
@@ -29,7 +29,7 @@
 bool isAllowed(const Decision &decision, std::uint32_t index)
 {
     const auto &status = decision.view.upstreams[index];
-    return status.takesWork(decision.request.now) && !isExcluded(decision.request, status.id);
+    return status.acceptsRequests(decision.request.now) && !isExcluded(decision.request, status.id);
 }
 
 // The earliest time from now at which the upstream may take work again.
--- a/carawaylatch/routing/testing/strategytest.cpp
+++ b/carawaylatch/routing/testing/strategytest.cpp
@@ -145,7 +145,7 @@
                 const auto placement = router.strategy->place(request, *router.registry.view());
                 CPPUNIT_ASSERT_MESSAGE(message, placement.has_value());
                 CPPUNIT_ASSERT_MESSAGE(message, placement.value().upstream >= Router::id(3));
-                CPPUNIT_ASSERT_MESSAGE(message, router.registry.view()->mayStart(placement.value().upstream, placement.value().incarnation, router.now));
+                CPPUNIT_ASSERT_MESSAGE(message, router.registry.view()->maySend(placement.value().upstream, placement.value().incarnation, router.now));
             }
         }
     }
--- a/carawaylatch/upstreams/inflight.cpp
+++ b/carawaylatch/upstreams/inflight.cpp
@@ -94,10 +94,10 @@
 void InflightTable::Ticket::onFirstToken()
 {
     if (m_table != nullptr) {
-        Row &row = m_table->m_rows[m_slot.index];
-        row.tokensBeforeFirst.fetch_sub(m_tokens, std::memory_order_relaxed);
+        UpstreamCounters &counters = m_table->m_counters[m_slot.index];
+        counters.pendingPrefillTokens.fetch_sub(m_tokens, std::memory_order_relaxed);
         if (m_trafficClass == base::TrafficClass::Batch) {
-            row.batchBeforeFirst.fetch_sub(m_tokens, std::memory_order_relaxed);
+            counters.pendingBatchPrefillTokens.fetch_sub(m_tokens, std::memory_order_relaxed);
         }
         m_tokens = 0;
     }
@@ -107,17 +107,17 @@
 {
     if (m_table != nullptr) {
         onFirstToken();
-        m_table->m_rows[m_slot.index].requests.fetch_sub(1, std::memory_order_relaxed);
+        m_table->m_counters[m_slot.index].requests.fetch_sub(1, std::memory_order_relaxed);
         m_table = nullptr;
     }
 }
 
 InflightTable::InflightTable(std::size_t maxUpstreams)
     : m_size(std::min(maxUpstreams, MaxSlots))
-    , m_rows(std::make_unique<Row[]>(m_size))
+    , m_counters(std::make_unique<UpstreamCounters[]>(m_size))
 {
     for (std::size_t i = 0; i < m_size; ++i) {
-        m_rows[i].limit.store(InitialLimit, std::memory_order_relaxed);
+        m_counters[i].limit.store(InitialLimit, std::memory_order_relaxed);
     }
 }
 
@@ -126,14 +126,14 @@
     if (slot.index >= m_size) {
         return {};
     }
-    Row &row = m_rows[slot.index];
-    row.requests.fetch_add(1, std::memory_order_relaxed);
-    row.tokensBeforeFirst.fetch_add(tokens, std::memory_order_relaxed);
+    UpstreamCounters &counters = m_counters[slot.index];
+    counters.requests.fetch_add(1, std::memory_order_relaxed);
+    counters.pendingPrefillTokens.fetch_add(tokens, std::memory_order_relaxed);
     if (trafficClass == base::TrafficClass::Batch) {
-        row.batchBeforeFirst.fetch_add(tokens, std::memory_order_relaxed);
+        counters.pendingBatchPrefillTokens.fetch_add(tokens, std::memory_order_relaxed);
     }
     const std::uint64_t period = periodAt(now, BucketWidth);
-    auto &word = row.history[period % HistoryBuckets];
+    auto &word = counters.history[period % HistoryBuckets];
     std::uint64_t old = word.load(std::memory_order_relaxed);
     std::uint64_t renewed = 0;
     do {
@@ -154,17 +154,17 @@
     if (slot.index >= m_size) {
         return counts;
     }
-    const Row &row = m_rows[slot.index];
-    counts.requests = row.requests.load(std::memory_order_relaxed);
-    counts.batchBeforeFirst = row.batchBeforeFirst.load(std::memory_order_relaxed);
-    counts.tokensBeforeFirst = row.tokensBeforeFirst.load(std::memory_order_relaxed);
+    const UpstreamCounters &counters = m_counters[slot.index];
+    counts.requests = counters.requests.load(std::memory_order_relaxed);
+    counts.pendingBatchPrefillTokens = counters.pendingBatchPrefillTokens.load(std::memory_order_relaxed);
+    counts.pendingPrefillTokens = counters.pendingPrefillTokens.load(std::memory_order_relaxed);
     // A bucket that began before `since` is left out: better to count half a bucket
     // too little than work that the report already contains.
     const base::TimePoint earliest = std::max(since + BucketWidth - base::Duration{1}, now - HistorySpan);
     for (std::uint64_t period = periodAt(earliest, BucketWidth), last = periodAt(now, BucketWidth); period <= last; ++period) {
-        const Bucket bucket = unpack(row.history[period % HistoryBuckets].load(std::memory_order_relaxed));
+        const Bucket bucket = unpack(counters.history[period % HistoryBuckets].load(std::memory_order_relaxed));
         if (bucket.period == period) {
-            counts.tokensSince += bucket.tokens;
+            counts.prefillTokensSince += bucket.tokens;
             counts.requestsSince += static_cast<std::uint32_t>(bucket.requests);
         }
     }
@@ -176,36 +176,36 @@
     if (slot.index >= m_size) {
         return;
     }
-    Row &row = m_rows[slot.index];
-    const std::uint32_t limit = row.limit.load(std::memory_order_relaxed);
+    UpstreamCounters &counters = m_counters[slot.index];
+    const std::uint32_t limit = counters.limit.load(std::memory_order_relaxed);
     if (report.waiting > 0) {
-        row.limit.store(std::max(MinLimit, limit - std::max(1U, limit / 10)), std::memory_order_relaxed);
-    } else if (row.requests.load(std::memory_order_relaxed) * 4 >= limit * 3) {
-        row.limit.store(std::min(MaxLimit, limit + 1), std::memory_order_relaxed);
+        counters.limit.store(std::max(MinLimit, limit - std::max(1U, limit / 10)), std::memory_order_relaxed);
+    } else if (counters.requests.load(std::memory_order_relaxed) * 4 >= limit * 3) {
+        counters.limit.store(std::min(MaxLimit, limit + 1), std::memory_order_relaxed);
     }
 }
 
 void InflightTable::onIncarnation(Slot slot)
 {
     if (slot.index < m_size) {
-        m_rows[slot.index].limit.store(InitialLimit, std::memory_order_relaxed);
+        m_counters[slot.index].limit.store(InitialLimit, std::memory_order_relaxed);
     }
 }
 
-std::uint32_t InflightTable::freeSlots(Slot slot) const
+std::uint32_t InflightTable::remainingCapacity(Slot slot) const
 {
     if (slot.index >= m_size) {
         return 0;
     }
-    const Row &row = m_rows[slot.index];
-    const std::uint32_t used = row.requests.load(std::memory_order_relaxed);
-    const std::uint32_t bound = row.limit.load(std::memory_order_relaxed);
+    const UpstreamCounters &counters = m_counters[slot.index];
+    const std::uint32_t used = counters.requests.load(std::memory_order_relaxed);
+    const std::uint32_t bound = counters.limit.load(std::memory_order_relaxed);
     return used < bound ? bound - used : 0;
 }
 
 std::uint32_t InflightTable::limit(Slot slot) const
 {
-    return slot.index < m_size ? m_rows[slot.index].limit.load(std::memory_order_relaxed) : 0;
+    return slot.index < m_size ? m_counters[slot.index].limit.load(std::memory_order_relaxed) : 0;
 }
 
 } // namespace carawaylatch::upstreams
--- a/carawaylatch/upstreams/inflight.h
+++ b/carawaylatch/upstreams/inflight.h
@@ -28,9 +28,9 @@
 struct InflightCounts
 {
     std::uint32_t requests = 0; // sent and not finished
-    std::uint64_t tokensBeforeFirst = 0; // prompt tokens to compute of requests without a first token
-    std::uint64_t batchBeforeFirst = 0; // the part of these that is of class batch
-    std::uint64_t tokensSince = 0; // prompt tokens to compute of requests sent since the given time
+    std::uint64_t pendingPrefillTokens = 0; // prompt tokens to compute of requests without a first token
+    std::uint64_t pendingBatchPrefillTokens = 0; // the part of these that is of class batch
+    std::uint64_t prefillTokensSince = 0; // prompt tokens to compute of requests sent since the given time
     std::uint32_t requestsSince = 0;
 };
 
@@ -70,7 +70,7 @@
     // Starts the slot anew for another life of the upstream; open tickets stay counted.
     void onIncarnation(Slot slot);
     // Returns how many more requests this router should send now.
-    [[nodiscard]] std::uint32_t freeSlots(Slot slot) const;
+    [[nodiscard]] std::uint32_t remainingCapacity(Slot slot) const;
     [[nodiscard]] std::uint32_t limit(Slot slot) const;
 
 private:
@@ -79,17 +79,17 @@
 
     // Sums over one BucketWidth. `period` and the sums are packed into one word, so
     // that a bucket is never read half renewed.
-    struct Row
+    struct UpstreamCounters
     {
         std::atomic<std::uint32_t> requests{0};
         std::atomic<std::uint32_t> limit{0};
-        std::atomic<std::uint64_t> tokensBeforeFirst{0};
-        std::atomic<std::uint64_t> batchBeforeFirst{0};
+        std::atomic<std::uint64_t> pendingPrefillTokens{0};
+        std::atomic<std::uint64_t> pendingBatchPrefillTokens{0};
         std::array<std::atomic<std::uint64_t>, HistoryBuckets> history{};
     };
 
     std::size_t m_size;
-    std::unique_ptr<Row[]> m_rows;
+    std::unique_ptr<UpstreamCounters[]> m_counters;
 
 public:
     static constexpr base::Duration HistorySpan = BucketWidth * (HistoryBuckets - 1);
--- a/carawaylatch/upstreams/registry.cpp
+++ b/carawaylatch/upstreams/registry.cpp
@@ -31,7 +31,7 @@
 namespace
 {
 
-constexpr std::uint32_t SuspectMisses = 2; // failed polls in a row
+constexpr std::uint32_t SuspectAfterFailedPolls = 2; // failed polls in a row
 constexpr base::Duration DeadAfter = base::seconds{5};
 constexpr std::uint32_t EjectAfterFailures = 3; // failed attempts in a row
 constexpr base::Duration MinEjection = base::seconds{1};
@@ -113,14 +113,14 @@
         return;
     }
     Entry &entry = it->second;
-    if (std::find(entry.past.begin(), entry.past.end(), report.incarnation) != entry.past.end()) {
+    if (std::find(entry.pastIncarnations.begin(), entry.pastIncarnations.end(), report.incarnation) != entry.pastIncarnations.end()) {
         return;
     }
     if (report.incarnation != entry.status.incarnation) {
         adopt(entry, report);
     }
-    entry.heardAt = now;
-    entry.misses = 0;
+    entry.lastReportAt = now;
+    entry.failedPolls = 0;
     const base::TimePoint trueAt = now - report.age;
     if (trueAt < entry.status.loadAt) {
         return;
@@ -139,19 +139,19 @@
 {
     const base::Incarnation old = entry.status.incarnation;
     if (old.value != 0) {
-        entry.past.push_back(old);
-        if (entry.past.size() > MaxPastIncarnations) {
-            entry.past.erase(entry.past.begin());
+        entry.pastIncarnations.push_back(old);
+        if (entry.pastIncarnations.size() > MaxPastIncarnations) {
+            entry.pastIncarnations.erase(entry.pastIncarnations.begin());
         }
     } else if (m_marks.isLeaving(entry.status.id, {})) {
-        mark(entry, report.incarnation);
+        markLeaving(entry, report.incarnation);
     }
     entry.status.incarnation = report.incarnation;
     entry.status.loadAt = {};
     entry.failures = 0;
     entry.ejections = 0;
     entry.ejectedUntil = {};
-    entry.saidLeaving = false;
+    entry.isReportedLeaving = false;
     m_marks.prune(entry.status.id, report.incarnation);
     m_actions.emplace_back(AdoptIncarnation{entry.status.slot, entry.status.id, report.incarnation, report.capacityBlocks});
     m_isDirty = true;
@@ -163,7 +163,7 @@
     if (it == m_entries.end()) {
         return;
     }
-    ++it->second.misses;
+    ++it->second.failedPolls;
     m_isDirty = m_isDirty || stateOf(it->second, now) != it->second.status.state;
 }
 
@@ -180,7 +180,7 @@
         entry.ejections = 0;
         break;
     case AttemptOutcome::NotSent:
-        entry.misses = std::max(entry.misses, SuspectMisses);
+        entry.failedPolls = std::max(entry.failedPolls, SuspectAfterFailedPolls);
         m_isDirty = true;
         break;
     case AttemptOutcome::Failed:
@@ -227,13 +227,13 @@
     Entry &entry = it->second;
     const base::Incarnation marked = incarnation.value == 0 ? entry.status.incarnation : incarnation;
     if ((source == LeavingSource::LoadReport || source == LeavingSource::Refusal) && marked == entry.status.incarnation) {
-        entry.saidLeaving = true;
+        entry.isReportedLeaving = true;
     }
-    mark(entry, marked);
+    markLeaving(entry, marked);
     rebuild(now);
 }
 
-void Registry::mark(const Entry &entry, base::Incarnation incarnation)
+void Registry::markLeaving(const Entry &entry, base::Incarnation incarnation)
 {
     const LeavingMark mark{entry.status.id, incarnation, m_marks.generation(entry.status.id, incarnation) | 1U};
     if (m_marks.merge(mark)) {
@@ -245,7 +245,7 @@
 void Registry::onUndrain(const base::UpstreamId &id, base::TimePoint now)
 {
     const auto it = m_entries.find(id);
-    if (it == m_entries.end() || it->second.saidLeaving || it->second.isListedLeaving) {
+    if (it == m_entries.end() || it->second.isReportedLeaving || it->second.isListedLeaving) {
         return;
     }
     const base::Incarnation incarnation = it->second.status.incarnation;
@@ -263,7 +263,7 @@
         }
         const auto it = m_entries.find(base::UpstreamId{vm.name});
         if (it != m_entries.end()) {
-            onListed(it->second, vm.state);
+            onPlatformState(it->second, vm.state);
         }
     }
     if (m_isDirty) {
@@ -271,11 +271,11 @@
     }
 }
 
-void Registry::onListed(Entry &entry, store::VmRecord::State state)
+void Registry::onPlatformState(Entry &entry, store::VmRecord::State state)
 {
     const bool isLeaving = state == store::VmRecord::State::Leaving;
     if (isLeaving && !entry.isListedLeaving && entry.status.incarnation.value != 0) {
-        mark(entry, entry.status.incarnation);
+        markLeaving(entry, entry.status.incarnation);
     }
     m_isDirty = m_isDirty || isLeaving != entry.isListedLeaving;
     entry.isListedLeaving = isLeaving;
@@ -339,16 +339,16 @@
 UpstreamState Registry::stateOf(const Entry &entry, base::TimePoint now) const
 {
     const auto &status = entry.status;
-    if (entry.saidLeaving || entry.isListedLeaving || m_marks.isLeaving(status.id, status.incarnation)) {
+    if (entry.isReportedLeaving || entry.isListedLeaving || m_marks.isLeaving(status.id, status.incarnation)) {
         return UpstreamState::Leaving;
     }
     if (status.incarnation.value == 0) {
         return UpstreamState::Unknown;
     }
-    if (now - entry.heardAt > DeadAfter) {
+    if (now - entry.lastReportAt > DeadAfter) {
         return UpstreamState::Dead;
     }
-    if (entry.misses >= SuspectMisses || now - status.confirmedAt > MaxConfirmationAge) {
+    if (entry.failedPolls >= SuspectAfterFailedPolls || now - status.confirmedAt > MaxConfirmationAge) {
         return UpstreamState::Suspect;
     }
     if (status.load.state == ReportedState::Loading) {
@@ -399,20 +399,20 @@
 
 // The configured version as soon as half of the live members hold it; until then
 // the version that most of them hold, so that a change of weights keeps capacity.
-base::WeightsVersion chooseVersion(const config::Pool &pool, const std::map<base::WeightsVersion, std::size_t> &holders)
+base::WeightsVersion chooseServingVersion(const config::Pool &pool, const std::map<base::WeightsVersion, std::size_t> &holders)
 {
     std::size_t live = 0;
-    base::WeightsVersion commonest = pool.weightsVersion;
+    base::WeightsVersion mostCommon = pool.weightsVersion;
     std::size_t most = 0;
     for (const auto &[version, n] : holders) {
         live += n;
         if (n > most) {
             most = n;
-            commonest = version;
+            mostCommon = version;
         }
     }
     const auto wanted = holders.find(pool.weightsVersion);
-    return wanted != holders.end() && wanted->second * 2 >= live ? pool.weightsVersion : commonest;
+    return wanted != holders.end() && wanted->second * 2 >= live ? pool.weightsVersion : mostCommon;
 }
 
 } // namespace
@@ -439,14 +439,14 @@
         }
     }
     std::sort(result.members.begin(), result.members.end());
-    result.servingVersion = pool.kind == config::UpstreamKind::Service ? pool.weightsVersion : chooseVersion(pool, holders);
+    result.servingVersion = pool.kind == config::UpstreamKind::Service ? pool.weightsVersion : chooseServingVersion(pool, holders);
     for (const std::uint32_t it : result.members) {
         const UpstreamStatus &status = view.upstreams[it];
         if (servesModel(status, pool) && (pool.kind == config::UpstreamKind::Service || status.load.weightsVersion == result.servingVersion)) {
             result.eligible.push_back(it);
         }
     }
-    result.arrange(view.upstreams);
+    result.indexEligible(view.upstreams);
     return result;
 }
 
--- a/carawaylatch/upstreams/registry.h
+++ b/carawaylatch/upstreams/registry.h
@@ -104,20 +104,20 @@
     {
         UpstreamStatus status;
         // When the last report arrived; unlike confirmedAt it ignores the report's age.
-        base::TimePoint heardAt;
-        std::uint32_t misses = 0; // failed polls in a row
+        base::TimePoint lastReportAt;
+        std::uint32_t failedPolls = 0; // failed polls in a row
         std::uint32_t failures = 0; // failed attempts in a row
         std::uint32_t ejections = 0; // in a row; lengthens the pause
         base::TimePoint ejectedUntil;
-        bool saidLeaving = false; // by its own word, this incarnation
+        bool isReportedLeaving = false; // by its own word, this incarnation
         bool isListedLeaving = false; // by the platform's last list, whatever the incarnation
-        std::vector<base::Incarnation> past; // newest last, at most MaxPastIncarnations
+        std::vector<base::Incarnation> pastIncarnations; // newest last, at most MaxPastIncarnations
     };
 
     void adopt(Entry &entry, const LoadReport &report);
     void eject(Entry &entry, base::TimePoint now);
-    void mark(const Entry &entry, base::Incarnation incarnation);
-    void onListed(Entry &entry, store::VmRecord::State state);
+    void markLeaving(const Entry &entry, base::Incarnation incarnation);
+    void onPlatformState(Entry &entry, store::VmRecord::State state);
     void remove(const base::UpstreamId &id);
     void addMember(const config::PoolMember &member);
     [[nodiscard]] UpstreamState stateOf(const Entry &entry, base::TimePoint now) const;
--- a/carawaylatch/upstreams/testing/registrytest.cpp
+++ b/carawaylatch/upstreams/testing/registrytest.cpp
@@ -48,12 +48,12 @@
 {
     CPPUNIT_TEST_SUITE(RegistryTest);
     CPPUNIT_TEST(testLeavingFromEachSource);
-    CPPUNIT_TEST(testOwnWordBoundsLeavingWithoutAnyNotice);
+    CPPUNIT_TEST(testReportAgeBoundsLeavingWithoutNotice);
     CPPUNIT_TEST(testFrozenRouterWaitsForMarks);
     CPPUNIT_TEST(testMarksMergeInAnyOrder);
     CPPUNIT_TEST(testUndrain);
-    CPPUNIT_TEST(testListCoversNewLifeOnlyWhileItSaysSo);
-    CPPUNIT_TEST(testLateReportOfPastLifeIsIgnored);
+    CPPUNIT_TEST(testListAppliesToNewIncarnationOnlyWhileListed);
+    CPPUNIT_TEST(testLateReportOfPastIncarnationIsIgnored);
     CPPUNIT_TEST(testHealth);
     CPPUNIT_TEST(testEjectsAtMostHalf);
     CPPUNIT_TEST(testServingVersion);
@@ -101,14 +101,14 @@
             Registry registry;
             start(registry, 2);
             const auto before = registry.view();
-            CPPUNIT_ASSERT_MESSAGE(row.name, before->mayStart(Id, {1}, m_now));
+            CPPUNIT_ASSERT_MESSAGE(row.name, before->maySend(Id, {1}, m_now));
             row.notice(registry, m_now);
             // The upstream goes on to say live, as one does that doesn't know that it is drained.
             registry.onLoadReport(base::UpstreamId{"e1"}, report(1), m_now);
-            CPPUNIT_ASSERT_MESSAGE(row.name, !registry.view()->mayStart(Id, {1}, m_now));
+            CPPUNIT_ASSERT_MESSAGE(row.name, !registry.view()->maySend(Id, {1}, m_now));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, std::size_t{1}, registry.view()->pools[0].eligible.size());
             // A traffic thread that still holds the former view stops by the view's age.
-            CPPUNIT_ASSERT_MESSAGE(row.name, !before->mayStart(Id, {1}, m_now + MaxViewAge + base::milliseconds{1}));
+            CPPUNIT_ASSERT_MESSAGE(row.name, !before->maySend(Id, {1}, m_now + MaxViewAge + base::milliseconds{1}));
             CPPUNIT_ASSERT_MESSAGE(row.name, MaxViewAge < LeavingBound);
             bool isAnnounced = false;
             for (const auto &it : registry.takeActions()) {
@@ -119,7 +119,7 @@
         }
     }
 
-    void testOwnWordBoundsLeavingWithoutAnyNotice()
+    void testReportAgeBoundsLeavingWithoutNotice()
     {
         // Cut off from list and peers, and reports stop or come 2 s late: the age of
         // the last word that it is live ends new work within the bound.
@@ -133,7 +133,7 @@
         for (int i = 0; i < 20; ++i) {
             m_now += ViewPeriod;
             m_registry.onTick(m_now);
-            lastStart = m_registry.view()->mayStart(Id, {1}, m_now) ? m_now : lastStart;
+            lastStart = m_registry.view()->maySend(Id, {1}, m_now) ? m_now : lastStart;
         }
         CPPUNIT_ASSERT(lastStart > lastLive + base::seconds{2});
         CPPUNIT_ASSERT(lastStart - lastLive < LeavingBound);
@@ -147,7 +147,7 @@
         m_registry.onTick(m_now);
         m_registry.onLoadReport(Id, report(1), m_now);
         m_registry.onTick(m_now);
-        CPPUNIT_ASSERT(!m_registry.view()->mayStart(Id, {1}, m_now));
+        CPPUNIT_ASSERT(!m_registry.view()->maySend(Id, {1}, m_now));
         bool isAsked = false;
         for (const auto &it : m_registry.takeActions()) {
             isAsked = isAsked || std::holds_alternative<RequestMarks>(it);
@@ -156,10 +156,10 @@
         const LeavingMark mark{base::UpstreamId{"e1"}, {1}, 1};
         m_registry.importMarks(std::span{&mark, 1}, m_now);
         m_registry.onMarksSynchronised(m_now);
-        CPPUNIT_ASSERT(m_registry.view()->mayStart(Id, {1}, m_now));
-        CPPUNIT_ASSERT(!m_registry.view()->mayStart(base::UpstreamId{"e1"}, {1}, m_now));
+        CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {1}, m_now));
+        CPPUNIT_ASSERT(!m_registry.view()->maySend(base::UpstreamId{"e1"}, {1}, m_now));
         // Upstreams that were not heard since the freeze take no work either.
-        CPPUNIT_ASSERT(!m_registry.view()->mayStart(base::UpstreamId{"e2"}, {1}, m_now));
+        CPPUNIT_ASSERT(!m_registry.view()->maySend(base::UpstreamId{"e2"}, {1}, m_now));
     }
 
     void testMarksMergeInAnyOrder()
@@ -181,38 +181,38 @@
     {
         m_registry.onLeaving(Id, {}, LeavingSource::Drain, m_now);
         m_registry.onUndrain(Id, m_now);
-        CPPUNIT_ASSERT(m_registry.view()->mayStart(Id, {1}, m_now));
+        CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {1}, m_now));
         // The drain's mark comes around once more: it is older than the undrain.
         const LeavingMark old{Id, {1}, 1};
         m_registry.importMarks(std::span{&old, 1}, m_now);
-        CPPUNIT_ASSERT(m_registry.view()->mayStart(Id, {1}, m_now));
+        CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {1}, m_now));
         m_registry.onLoadReport(Id, report(1, ReportedState::Leaving), m_now);
         m_registry.onUndrain(Id, m_now);
-        CPPUNIT_ASSERT(!m_registry.view()->mayStart(Id, {1}, m_now));
+        CPPUNIT_ASSERT(!m_registry.view()->maySend(Id, {1}, m_now));
     }
 
-    void testListCoversNewLifeOnlyWhileItSaysSo()
+    void testListAppliesToNewIncarnationOnlyWhileListed()
     {
         store::VmRecord vm{"e0", store::VmRecord::Role::Upstream, store::VmRecord::State::Leaving, {}, {}};
         m_registry.onPlatformList(std::span{&vm, 1}, m_now);
         m_registry.onLoadReport(Id, report(2), m_now);
         m_registry.onTick(m_now);
-        CPPUNIT_ASSERT(!m_registry.view()->mayStart(Id, {2}, m_now));
+        CPPUNIT_ASSERT(!m_registry.view()->maySend(Id, {2}, m_now));
         vm.state = store::VmRecord::State::Live;
         m_registry.onPlatformList(std::span{&vm, 1}, m_now);
-        CPPUNIT_ASSERT(m_registry.view()->mayStart(Id, {2}, m_now));
+        CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {2}, m_now));
         // The mark of the former life stands.
         CPPUNIT_ASSERT(m_registry.exportMarks() == (std::vector<LeavingMark>{{Id, {1}, 1}}));
     }
 
-    void testLateReportOfPastLifeIsIgnored()
+    void testLateReportOfPastIncarnationIsIgnored()
     {
         std::ignore = m_registry.takeActions();
         m_registry.onLoadReport(Id, report(2), m_now);
         m_registry.onLoadReport(Id, report(1, ReportedState::Leaving), m_now);
         m_registry.onTick(m_now);
-        CPPUNIT_ASSERT(m_registry.view()->mayStart(Id, {2}, m_now));
-        CPPUNIT_ASSERT(!m_registry.view()->mayStart(Id, {1}, m_now));
+        CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {2}, m_now));
+        CPPUNIT_ASSERT(!m_registry.view()->maySend(Id, {1}, m_now));
         const auto actions = m_registry.takeActions();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
         CPPUNIT_ASSERT(std::get<AdoptIncarnation>(actions[0]).incarnation == base::Incarnation{2});
@@ -328,17 +328,17 @@
         const auto now = m_now + base::milliseconds{400};
         auto counts = table.counts(slot, m_now + base::milliseconds{100}, now);
         CPPUNIT_ASSERT_EQUAL(2U, counts.requests);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{107}, counts.tokensBeforeFirst);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, counts.tokensSince);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{107}, counts.pendingPrefillTokens);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, counts.prefillTokensSince);
         early.onFirstToken();
         early.onFirstToken();
         early.finish();
         late = InflightTable::Ticket{};
         counts = table.counts(slot, m_now - base::seconds{1}, now);
         CPPUNIT_ASSERT_EQUAL(0U, counts.requests);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, counts.tokensBeforeFirst);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{107}, counts.tokensSince);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.counts(slot, m_now, m_now + base::seconds{5}).tokensSince);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, counts.pendingPrefillTokens);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{107}, counts.prefillTokensSince);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.counts(slot, m_now, m_now + base::seconds{5}).prefillTokensSince);
         // A slot beyond the table counts nothing.
         CPPUNIT_ASSERT_EQUAL(0U, (std::ignore = table.begin(Slot{9}, 1, m_now), table.counts(Slot{9}, m_now, m_now).requests));
     }
@@ -358,7 +358,7 @@
         CPPUNIT_ASSERT(floor >= 1);
         std::vector<InflightTable::Ticket> tickets;
         for (int i = 0; i < 50; ++i) {
-            while (table.freeSlots(Slot{0}) > 0) {
+            while (table.remainingCapacity(Slot{0}) > 0) {
                 tickets.push_back(table.begin(Slot{0}, 1, m_now));
             }
             table.onLoadReport(Slot{0}, LoadReport{});
--- a/carawaylatch/upstreams/upstreamview.cpp
+++ b/carawaylatch/upstreams/upstreamview.cpp
@@ -29,7 +29,7 @@
     return "unknown";
 }
 
-void PoolView::arrange(const std::vector<UpstreamStatus> &upstreams)
+void PoolView::indexEligible(const std::vector<UpstreamStatus> &upstreams)
 {
     std::sort(eligible.begin(), eligible.end(), [&upstreams](std::uint32_t left, std::uint32_t right) {
         return upstreams[left].nodeHash < upstreams[right].nodeHash;
@@ -74,10 +74,10 @@
     return now >= usableFrom && now - builtAt <= MaxViewAge;
 }
 
-bool UpstreamView::mayStart(const base::UpstreamId &id, base::Incarnation incarnation, base::TimePoint now) const
+bool UpstreamView::maySend(const base::UpstreamId &id, base::Incarnation incarnation, base::TimePoint now) const
 {
     const UpstreamStatus *status = find(id);
-    return status != nullptr && isUsable(now) && status->incarnation == incarnation && status->takesWork(now);
+    return status != nullptr && isUsable(now) && status->incarnation == incarnation && status->acceptsRequests(now);
 }
 
 } // namespace carawaylatch::upstreams
--- a/carawaylatch/upstreams/upstreamview.h
+++ b/carawaylatch/upstreams/upstreamview.h
@@ -2,7 +2,7 @@
 //
 // The control thread publishes a view whenever something changed and at least
 // every ViewPeriod. A traffic thread takes the shared pointer once for each
-// decision and asks mayStart() again right before an attempt is sent, because a
+// decision and asks maySend() again right before an attempt is sent, because a
 // request may have waited in a queue since it was placed.
 //
 // Two bounds keep new work from an upstream that leaves, also when this process
@@ -59,7 +59,7 @@
     base::TimePoint ejectedUntil; // only in state Ejected
 
     // Tells whether the upstream may be given new work now.
-    [[nodiscard]] bool takesWork(base::TimePoint now) const
+    [[nodiscard]] bool acceptsRequests(base::TimePoint now) const
     {
         return state == UpstreamState::Live && now - confirmedAt <= MaxConfirmationAge;
     }
@@ -88,7 +88,7 @@
     static constexpr std::size_t HomeGroupSize = 64;
 
     // Sorts `eligible` and fills `isEligible` and `groupEnds`.
-    void arrange(const std::vector<UpstreamStatus> &upstreams);
+    void indexEligible(const std::vector<UpstreamStatus> &upstreams);
 };
 
 struct UpstreamView
@@ -111,7 +111,7 @@
     // Returns the upstream in a slot, or nothing.
     [[nodiscard]] const UpstreamStatus *find(Slot slot) const;
     // Tells whether an attempt may be sent to this life of the upstream now.
-    [[nodiscard]] bool mayStart(const base::UpstreamId &id, base::Incarnation incarnation, base::TimePoint now) const;
+    [[nodiscard]] bool maySend(const base::UpstreamId &id, base::Incarnation incarnation, base::TimePoint now) const;
 };
 
 } // namespace carawaylatch::upstreams
--- a/examples/orderguard.cpp
+++ b/examples/orderguard.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 
 #include <carawaylatch/base/incarnation.h>
-#include <carawaylatch/orders/orderdesk.h>
+#include <carawaylatch/orders/orderexecutor.h>
 #include <carawaylatch/store/memorystore.h>
 
 namespace base = carawaylatch::base;
@@ -46,9 +46,9 @@
 class OneProcess : public orders::RouterLiveness
 {
 public:
-    orders::ClaimantLife life(const base::RouterId &, base::Incarnation) const override
+    orders::ClaimantLiveness livenessOf(const base::RouterId &, base::Incarnation) const override
     {
-        return orders::ClaimantLife::Unsure;
+        return orders::ClaimantLiveness::Unknown;
     }
 };
 
@@ -57,10 +57,10 @@
 int main()
 {
     store::MemoryStore objects;
-    orders::SingleClaimStore claims(objects);
+    orders::ObjectRecordStore claims(objects);
     const OneProcess liveness;
     const base::SteadyClock clock;
-    orders::OrderDesk desk(base::RouterId("booking-1"), base::newIncarnation(), claims, liveness, clock);
+    orders::OrderExecutor executor(base::RouterId("booking-1"), base::newIncarnation(), claims, liveness, clock);
 
     BookingService service;
     OneService chooser;
@@ -73,11 +73,11 @@
         request.service.path = "/trucks";
         request.service.body = "truck DK-4711";
         request.deadline = clock.now() + base::seconds{5};
-        const auto answer = desk.run(request, service, chooser);
+        const auto answer = executor.run(request, service, chooser);
         done += answer.kind == orders::OrderAnswerKind::Done ? 1 : 0;
         std::cout << "answer " << i + 1 << ": " << answer.answer.body << answer.error.message << '\n';
     }
-    static_cast<void>(desk.flush());
+    static_cast<void>(executor.flush());
     std::cout << "the service ran " << service.runs << " time for " << done << " answers\n";
     return service.runs == 1 && done == 2 ? 0 : 1;
 }
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -44,7 +44,7 @@
 step "build with thread sanitizer" build_tests build-tsan -DCARAWAYLATCH_SANITIZE=thread -DCMAKE_BUILD_TYPE=Debug
 step "tests with thread sanitizer" tests build-tsan -R "^($THREADED_MODULES)$"
 # Of the orders, the suites that start threads; the others explore states on one.
-for suite in OrderDeskTest ClaimStoreTest; do
+for suite in OrderExecutorTest OrderRecordStoreTest; do
     step "orders with thread sanitizer: $suite" build-tsan/test-orders --known-red KNOWN-RED.txt --only "$suite"
 done
 for script in scripts/check.d/*.sh; do
