--- a/carawaylatch/orders/journalrecordstore.cpp
+++ b/carawaylatch/orders/journalrecordstore.cpp
@@ -1,19 +1,21 @@
 // Group commit over conditional writes.
 //
-// The thread that finds no write under way becomes the leader of its range: it
+// The thread that finds no write in progress becomes the leader of its range: it
 // takes all queued calls, applies them to the last known image and writes the
-// result on condition that the object still has the version of that image. The
-// others sleep until the leader has their results.
+// result, on condition that the object still has the version of that image. The
+// other threads wait until the leader has set their results.
 //
-// A lost race means that the image was old: it is read again and the batch
-// applied anew, each call under its own condition. After an unclear write the
-// image is read back. A call whose record is found as it was to be written has
-// succeeded; the others are applied again. The old write may still be on its way,
-// but it is conditional on a version that our next write replaces, so at most one
-// of the two takes effect. Only if reading back fails too are the calls Unclear.
+// If the condition fails, the image was outdated: it is read again and the batch is
+// applied again, each call under its own condition. After a write with unknown
+// outcome the image is read back. A call whose record is found as it was to be
+// written has succeeded; the others are applied again. The earlier write may still
+// take effect, but it is conditional on a version that the next write replaces, so
+// at most one of the two does. Only if reading back fails too do the calls fail as
+// Unclear.
 //
-// A condition that fails on a cached image proves nothing, so it is checked again
-// on a fresh one, unless the write of the rest of the batch succeeds.
+// A call whose condition fails on a cached image may have failed only because the
+// image was outdated. It is checked again on an image just read, unless the write
+// of the rest of the batch succeeds.
 #include "carawaylatch/orders/journalrecordstore.h"
 
 #include <condition_variable>
@@ -30,7 +32,7 @@
 namespace
 {
 
-constexpr std::size_t EntryOverheadBytes = 96; // field tags, numbers and lengths of one entry
+constexpr std::size_t EntryOverheadBytes = 96; // field tags, numbers and lengths of an encoded entry
 
 std::size_t entryBytes(const OrderId &order, const OrderRecord &record)
 {
@@ -141,7 +143,7 @@
     return m_records.size();
 }
 
-// One caller's compare-and-set, on the caller's stack until it has its result.
+// A compare-and-set of one caller; stays on the caller's stack until the result is set.
 struct JournalRecordStore::Call
 {
     const OrderId &order;
@@ -157,7 +159,7 @@
     std::condition_variable changed;
     std::deque<Call *> waiting;
     bool isWriting = false;
-    std::optional<Loaded> cached; // the leader's alone while isWriting
+    std::optional<Loaded> cached; // accessed only by the leader while isWriting
 };
 
 JournalRecordStore::JournalRecordStore(store::ObjectStore &store, JournalSettings settings)
@@ -233,14 +235,15 @@
             return;
         }
     }
-    const auto error = isUnclear ? base::fail(ErrorKind::Unclear, "the journal's write stayed unclear; read the record back")
-                                 : base::fail(ErrorKind::Overloaded, "too many routers write the journal; raise its ranges", base::seconds{1});
+    const auto error =
+        isUnclear ? base::fail(ErrorKind::Unclear, "the outcome of the journal write is unknown; read the record back")
+                  : base::fail(ErrorKind::Overloaded, "too many concurrent writers of the order journal; increase its number of ranges", base::seconds{1});
     for (Call *it : batch) {
         it->result = error;
     }
 }
 
-// Applies the batch once. Returns true if all results are final.
+// Tries one write of the batch. Returns true if all results are final.
 bool JournalRecordStore::tryCommit(std::uint32_t index, std::span<Call *const> batch, bool &isUnclear)
 {
     std::optional<Loaded> &cached = m_ranges[index]->cached;
--- a/carawaylatch/orders/journalrecordstore.h
+++ b/carawaylatch/orders/journalrecordstore.h
@@ -1,18 +1,19 @@
-// Group commit of order records: many orders in one conditional write.
+// Stores order records with group commit: many records in one conditional write.
 //
-// The hash space is cut into ranges; each range is one object "orderjournal/N".
-// While a write of a range is under way, calls for it queue up; the next caller
-// then writes all of them at once. So the writes of one router to a range never
-// exceed one for each round trip, whatever the rate of orders. Routers that race
-// for a range lose the conditional update, read again and repeat their batch.
+// The hash space of orders is divided into ranges; each range is one object,
+// "orderjournal/N". While a write of a range is in progress, further calls for the
+// range are queued, and the next write carries all of them. A router therefore has
+// at most one write per range in progress, whatever the rate of orders. When
+// routers write a range concurrently, the conditional update of all but one fails;
+// they read the range again and repeat their batch.
 //
-// Each call keeps the meaning of a single compare-and-set: its condition is
-// checked against its own record's version in the journal that is replaced.
+// Each call keeps the semantics of a single compare-and-set: its condition is
+// checked against the version of its own record in the journal being replaced.
 //
 // Bounds: a range holds MaxJournalBytes; when it is full, new orders of the range
-// are refused as Overloaded until prune() makes room. Answers longer than
-// MaxJournalAnswerBytes are not kept. A pruned record leaves eight bytes behind,
-// in the same object, so a claim needs no second read.
+// are rejected as Overloaded until prune() frees space. Answers longer than
+// MaxJournalAnswerBytes are not stored. A pruned record leaves an eight-byte digest
+// in the same object, so that a claim needs no second read.
 #pragma once
 
 #include <map>
@@ -44,29 +45,29 @@
     [[nodiscard]] base::Result<VersionedRecord> find(const OrderId &order) const;
     // Compare-and-set of one record: Conflict, StaleState, or Overloaded if the journal is full.
     [[nodiscard]] base::Result<store::Version> apply(const OrderId &order, const OrderRecord &record, store::Version expected);
-    // Closes keys and drops records written before the epoch; returns how many.
+    // Closes the keys of records written before the epoch and removes these records; returns their number.
     std::size_t prune(std::uint64_t beforeEpoch);
     [[nodiscard]] std::size_t size() const;
 
 private:
     std::map<OrderId, VersionedRecord> m_records;
     ClosedKeySet m_closed;
-    std::uint64_t m_lastVersion = 0; // grows with every applied write
-    std::size_t m_bytes = 0; // upper estimate of the encoded size
+    std::uint64_t m_lastVersion = 0; // increases with each applied write
+    std::size_t m_bytes = 0; // upper bound of the encoded size, estimated
 };
 
 struct JournalSettings
 {
-    std::uint32_t ranges = 16; // equal on all routers; never changes for a given store
+    std::uint32_t ranges = 16; // must be equal on all routers and never change for a given store
     std::size_t maxBatch = 500;
-    std::uint32_t maxTries = 20; // lost races and read-backs before a batch is given up
+    std::uint32_t maxTries = 20; // failed conditional writes and read-backs before a batch fails
 };
 
 struct JournalCounters
 {
-    std::uint64_t writes = 0; // platform writes that were tried
-    std::uint64_t records = 0; // records that these carried
-    std::uint64_t conflicts = 0; // writes lost against another router
+    std::uint64_t writes = 0; // attempted writes to the object store
+    std::uint64_t records = 0; // records contained in these writes
+    std::uint64_t conflicts = 0; // writes that failed because another router had written the range
 };
 
 class JournalRecordStore : public OrderRecordStore
@@ -77,7 +78,7 @@
 
     [[nodiscard]] base::Result<VersionedRecord> read(const OrderId &order) override;
     [[nodiscard]] base::Result<store::Version> write(const OrderId &order, const OrderRecord &record, store::Version expected) override;
-    // Prunes one range in one conditional write; returns the records dropped.
+    // Prunes one range with one conditional write; returns the number of records removed.
     [[nodiscard]] base::Result<std::size_t> prune(std::uint32_t range, std::uint64_t beforeEpoch);
     [[nodiscard]] JournalCounters counters() const;
 
--- a/carawaylatch/orders/orderrecord.cpp
+++ b/carawaylatch/orders/orderrecord.cpp
@@ -1,9 +1,9 @@
-// Names, hashes and bytes of order records.
+// Names, hashes and encoding of order records.
 //
-// Records are protobuf messages: routers of two versions run side by side during
-// an upgrade, and a field that one of them doesn't know must not stop it from
-// reading the claim. An unknown state does stop it: a router that can't tell
-// what a record means must not run the order.
+// Records are protobuf messages: during an upgrade routers of two versions run side
+// by side, and a field that one of them doesn't know must not prevent it from
+// reading the claim. An unknown state does prevent it: a router that can't interpret
+// a record must not run the order.
 #include "carawaylatch/orders/orderrecord.h"
 
 #include <cctype>
@@ -56,7 +56,7 @@
         const int high = i + 2 < text.size() ? hexValue(text[i + 1]) : -1;
         const int low = i + 2 < text.size() ? hexValue(text[i + 2]) : -1;
         if (high < 0 || low < 0) {
-            return base::fail(base::ErrorKind::InvalidArgument, "order path has a broken escape; remove the object if no router wrote it");
+            return base::fail(base::ErrorKind::InvalidArgument, "order path has an invalid escape; remove the object if no router wrote it");
         }
         out += static_cast<char>(high * 16 + low);
         i += 2;
--- a/carawaylatch/orders/orderrecord.h
+++ b/carawaylatch/orders/orderrecord.h
@@ -1,10 +1,10 @@
-// What the platform keeps of one order, and the identity it is kept under.
+// The stored record of an order and the identity that it is stored under.
 //
-// A record has one of four states. `Claimed`: the claimant, one incarnation of
-// one router, is the only one that may send the order. `Done`: it ran and this
-// is its answer. `Lost`: it was sent and no answer came, so nobody can know.
-// `Reopened`: the claimant says that it did not send and never will; the next
-// request may claim again. No other party ever moves a claim.
+// A record has one of four states. `Claimed`: only the claimant, one incarnation of
+// one router, may send the order. `Done`: it ran and the record holds its answer.
+// `Lost`: it was sent and no answer came, so it is unknown whether it ran.
+// `Reopened`: the claimant did not send it and never will; a later request may claim
+// it. Nobody but the claimant changes a claimed record's state.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 // Longest answer body kept for duplicates, in bytes.
 constexpr std::size_t MaxStoredAnswerBytes = 256'000;
 
-// An order as its customer names it. Equal keys of two customers are two orders.
+// Identity of an order. Equal keys of two customers are two orders.
 struct OrderId
 {
     base::CustomerId customer;
@@ -31,12 +31,12 @@
     auto operator<=>(const OrderId &) const = default;
     bool operator==(const OrderId &) const = default;
 
-    // Returns the stable hash that assigns the order to a hash range and stands for
+    // Returns the stable hash that assigns the order to a hash range and identifies
     // its key once the record is pruned.
     [[nodiscard]] std::uint64_t hash() const;
     // Returns "CUSTOMER/KEY" with every byte outside [A-Za-z0-9._-] as ~XX.
     [[nodiscard]] std::string path() const;
-    // Returns the order of a path, or InvalidArgument.
+    // Parses a path; InvalidArgument if it is malformed.
     [[nodiscard]] static base::Result<OrderId> fromPath(std::string_view path);
 };
 
@@ -47,7 +47,7 @@
     Reopened,
 };
 
-// Who may send an order: one attempt of one life of a router.
+// Identifies who may send an order: one attempt of one incarnation of a router.
 struct Claimant
 {
     base::RouterId router;
@@ -76,19 +76,19 @@
     std::uint64_t epoch = 0;
     // Set in state Done. The body is empty if it was longer than MaxStoredAnswerBytes.
     StoredAnswer answer;
-    // True if the answer's body was too long to keep.
+    // True if the answer's body was too long to store.
     bool isAnswerDropped = false;
 
     bool operator==(const OrderRecord &) const = default;
 };
 
-// Returns the record with its answer's body left out if that is too long to keep.
+// Returns the record without its answer's body if that is longer than MaxStoredAnswerBytes.
 [[nodiscard]] OrderRecord dropOversizedAnswer(OrderRecord record);
-// Returns the digest of a request that duplicates are compared by.
+// Returns the digest by which duplicate requests are compared.
 [[nodiscard]] std::uint64_t requestDigest(std::string_view method, std::string_view path, std::string_view contentType, std::string_view body);
-// Returns the record's bytes (protobuf, so that mixed versions of routers agree).
+// Encodes a record as protobuf, so that routers of different versions can read it.
 [[nodiscard]] std::string encodeRecord(const OrderRecord &record);
-// Returns the record, or InvalidArgument for bytes that no router wrote.
+// Decodes a record; InvalidArgument if the bytes are malformed.
 [[nodiscard]] base::Result<OrderRecord> decodeRecord(std::string_view bytes);
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/recordcodec.h
+++ b/carawaylatch/orders/recordcodec.h
@@ -1,5 +1,4 @@
-// Conversion between records and their generated protobuf form; for the .cpp
-// files of this folder only.
+// Conversion between records and their protobuf messages; internal to this folder.
 #pragma once
 
 #include "carawaylatch/orders/orderrecord.h"
@@ -9,7 +8,7 @@
 {
 
 [[nodiscard]] wire::OrderRecord toWire(const OrderRecord &record);
-// Returns InvalidArgument for a state this version doesn't know.
+// Fails with InvalidArgument for a state that this version doesn't know.
 [[nodiscard]] base::Result<OrderRecord> fromWire(const wire::OrderRecord &message);
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/recordstore.cpp
+++ b/carawaylatch/orders/recordstore.cpp
@@ -1,10 +1,10 @@
-// One platform object for each order, and the check against the closed set.
+// Record storage in one object per order, with the check for closed keys.
 //
-// The check comes after the claim is written. The pruner closes a key before it
-// removes the record. So if our claim was created because the record had been
-// removed, the key was closed before the creation, and the read that follows the
-// creation sees it. Reading the set first, or trusting a cached one, would let a
-// paused router claim a pruned key.
+// The check follows the write of the claim. The pruner closes a key before it
+// removes the record. So if the claim was created because the record had been
+// removed, the key was closed before, and the read after the write sees it.
+// Checking before the write, or against a cached set, would let a paused router
+// claim a pruned key.
 #include "carawaylatch/orders/recordstore.h"
 
 #include "carawaylatch/orders/retention.h"
@@ -49,7 +49,7 @@
     if (open.error().kind == ErrorKind::StaleState) {
         return open.error();
     }
-    return base::fail(ErrorKind::Unclear, "the claim was written but the closed set could not be read; read the record back");
+    return base::fail(ErrorKind::Unclear, "the claim was written but the set of closed keys could not be read; read the record back");
 }
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/recordstore.h
+++ b/carawaylatch/orders/recordstore.h
@@ -1,18 +1,19 @@
-// Where order records are kept: compare-and-set on one record.
+// Storage of order records with compare-and-set on a single record.
 //
-// Two implementations behind one contract: ObjectRecordStore (one object for each
-// order) and JournalRecordStore (claimjournal.h, many orders in one write). Both
-// check the closed set of retention.h after a record was written or read, so
-// that a key whose record was pruned is never taken for a new one. Errors:
+// Two implementations of one contract: ObjectRecordStore (one object per order) and
+// JournalRecordStore (journalrecordstore.h, many orders in one write). Both check
+// the set of closed keys (retention.h) after a record was written or read, so that
+// a key whose record was pruned is never treated as new. Errors:
 //
-//   Conflict       the record's version is another; nothing was written
+//   Conflict       the record has another version; nothing was written
 //   Unavailable    nothing was sent; nothing was written
-//   Overloaded     no room for the record; nothing was written
-//   Unclear        it may have been written, now or later; settle it by reading
-//   StaleState     the key is closed: its record is past retention; never run it
-//   NotFound       read only: no record, and the key is not closed
+//   Overloaded     no space for the record; nothing was written
+//   Unclear        the write may have taken effect or may still do so; read the
+//                  record back
+//   StaleState     the key is closed: its record was pruned; never run the order
+//   NotFound       read() only: no record, and the key is not closed
 //
-// All calls block and are safe from any thread.
+// All calls block and are thread-safe.
 #pragma once
 
 #include "carawaylatch/orders/orderrecord.h"
@@ -33,11 +34,11 @@
     virtual ~OrderRecordStore() = default;
     // Returns the order's record.
     [[nodiscard]] virtual base::Result<VersionedRecord> read(const OrderId &order) = 0;
-    // Writes the record if its version is still `expected`; zero creates it.
+    // Writes the record if its version is still `expected`; version zero creates the record.
     [[nodiscard]] virtual base::Result<store::Version> write(const OrderId &order, const OrderRecord &record, store::Version expected) = 0;
 };
 
-// One platform object for each order, below "order/". Two writes an order.
+// Stores each order in an object of its own below "order/". Two writes per order.
 class ObjectRecordStore : public OrderRecordStore
 {
 public:
--- a/carawaylatch/orders/retention.cpp
+++ b/carawaylatch/orders/retention.cpp
@@ -1,15 +1,15 @@
-// Epochs, closed sets and the pruner.
+// Epochs, closed keys and the pruner.
 //
-// No wall clock takes part. An epoch ends when some router has seen it unchanged
-// for its whole length by its own monotonic clock, so it is never shorter than
-// that; restarts and outages only make it longer. Age decides when an answer can
-// no longer be replayed. It never decides whether an order may run: that is the
-// closed set's part, and the set only grows.
+// No wall clock is used. An epoch ends when some router has seen it unchanged for
+// its whole length by its own monotonic clock, so it is never shorter than that;
+// restarts and outages only make it longer. Age decides when an answer can no longer
+// be replayed. It never decides whether an order may run: that is decided by the set
+// of closed keys, which only grows.
 //
 // Order of steps for one range: list its records, add the keys of old ones to the
-// closed object (conditional write), then remove each record at the version that
-// was listed. A crash between the steps leaves closed keys with records, which is
-// harmless; the next round removes them.
+// closed keys (conditional write), then remove each record at the version that was
+// listed. A crash between the steps leaves closed keys whose records still exist,
+// which is harmless; the next round removes the records.
 #include "carawaylatch/orders/retention.h"
 
 #include <algorithm>
@@ -59,7 +59,7 @@
 base::Result<ClosedKeySet> ClosedKeySet::decode(std::string_view bytes)
 {
     if (bytes.size() % DigestBytes != 0 || bytes.size() / DigestBytes > MaxClosedPerRange) {
-        return base::fail(ErrorKind::InvalidArgument, "closed set has a wrong length; restore the object from the platform's backup");
+        return base::fail(ErrorKind::InvalidArgument, "set of closed keys has a wrong length; restore the object from the platform's backup");
     }
     ClosedKeySet set;
     set.m_digests.reserve(bytes.size() / DigestBytes);
@@ -71,7 +71,7 @@
         set.m_digests.push_back(digest);
     }
     if (!std::is_sorted(set.m_digests.begin(), set.m_digests.end())) {
-        return base::fail(ErrorKind::InvalidArgument, "closed set is not in order; restore the object from the platform's backup");
+        return base::fail(ErrorKind::InvalidArgument, "set of closed keys is not sorted; restore the object from the platform's backup");
     }
     return set;
 }
@@ -238,15 +238,15 @@
     }
 }
 
-// Gives a record its epoch. The state stays; a claimant that loses a conditional
-// write to this reads back and finds its claim.
+// Sets the epoch of a record and keeps its state. A claimant whose conditional write
+// fails because of this reads the record back and finds its claim.
 void RecordPruner::assignEpoch(const store::Object &object, OrderRecord record)
 {
     record.epoch = m_counters.epoch;
     (void)m_store.write(object.name, encodeRecord(record), object.version);
 }
 
-// Returns true only if all digests are certainly in the closed object.
+// Returns true only if all digests are certainly stored.
 bool RecordPruner::closeKeys(std::uint32_t range, std::span<const std::uint64_t> digests)
 {
     const std::string name = rangeName(ClosedPrefix, range);
