--- a/carawaylatch/orders/duplicates.cpp
+++ b/carawaylatch/orders/duplicates.cpp
@@ -1,6 +1,7 @@
-// Answers from a duty. An outcome that the platform does not have yet is given as
-// it is. NotRun is repeated only while our claim certainly stands: once a call
-// that reopens it may have taken effect, a newer request may run the order.
+// Answers duplicates from a pending update. An outcome that is not stored yet is
+// returned as it is. NotRun is repeated only while the claim of this router
+// certainly stands: once a write that reopens it may have taken effect, a newer
+// request may run the order.
 #include "carawaylatch/orders/duplicates.h"
 
 #include <utility>
--- a/carawaylatch/orders/duplicates.h
+++ b/carawaylatch/orders/duplicates.h
@@ -1,4 +1,4 @@
-// What a later request for an order is told at the router that answered it first.
+// Answers to duplicate requests of an order at the router that answered it first.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,16 @@
 
 enum class PendingUpdatePhase {
     Idle,
-    InProgress, // a call to the platform may take effect at any moment
+    InProgress, // a call to the object store may take effect at any time
 };
 
-// Returns a refusal whose request ran nothing.
+// Returns an error answer for a request that did not run the order.
 [[nodiscard]] OrderAnswer refusal(OrderAnswerKind kind, base::Error error);
-// Returns the refusal of a request that used another request's key.
+// Returns the answer to a request that reuses the key of a different request.
 [[nodiscard]] OrderAnswer keyReuseRefusal();
-// Returns the refusal of a duplicate while another request may run the order.
+// Returns the answer to a duplicate while another request may run the order.
 [[nodiscard]] OrderAnswer retryLaterRefusal(base::Duration retryAfter);
-// Returns the answer to a duplicate of an order that left a duty behind.
+// Returns the answer to a duplicate of an order that has a pending update.
 [[nodiscard]] OrderAnswer answerDuplicate(const PendingUpdate &pendingUpdate, PendingUpdatePhase phase, std::uint64_t requestDigest,
                                           const OrderStateMachineSettings &settings);
 
--- a/carawaylatch/orders/orderexecutor.cpp
+++ b/carawaylatch/orders/orderexecutor.cpp
@@ -1,14 +1,15 @@
-// Carries the guard's actions out on traffic threads and keeps what outlives an
-// answer: the first run of each order, duties, and reopenings that were seen.
+// Carries out the actions of OrderStateMachine on traffic threads and keeps the
+// state that outlives an answer: the running orders, pending updates, and the
+// reopened records seen.
 //
-// Per order at most one guard runs at a time in one router. A later request for
-// the same order takes the first one's answer, or is answered from the duty that
-// the first one left behind. NotRun is repeated to it only while that duty has
-// not begun to reopen the claim, looked up under the lock, since afterwards a
-// newer request may already run elsewhere.
+// At most one state machine runs per order at one router. A later request for the
+// same order gets the answer of the first one, or is answered from the pending
+// update of the first one. NotRun is repeated only while that update has not begun
+// to reopen the claim, which is checked under the lock, since afterwards a newer
+// request may already run elsewhere.
 //
-// Whether a request arrived before or after a reopening was seen is told by a
-// count of arrivals, not by a clock.
+// Requests are numbered on arrival. The number tells whether a request arrived
+// before or after this router saw a reopened record, independent of any clock.
 #include "carawaylatch/orders/orderexecutor.h"
 
 #include <algorithm>
@@ -41,22 +42,22 @@
 
 } // namespace
 
-// An order under way at this router.
+// An order in progress at this router.
 struct OrderExecutor::RunningOrder
 {
     std::uint64_t digest = 0;
     std::condition_variable changed;
-    std::optional<OrderAnswer> answer; // guarded by the desk's mutex
+    std::optional<OrderAnswer> answer; // guarded by m_mutex of the executor
 };
 
 struct OrderExecutor::ScheduledUpdate
 {
     PendingUpdate update;
     base::TimePoint dueAt;
-    bool isInProgress = false; // step() works on a copy of the machine
+    bool isInProgress = false; // step() works on a copy of the update
 };
 
-// One request on its way through the guard; belongs to its thread.
+// State of one request that runs a state machine; used by its thread only.
 struct OrderExecutor::RequestContext
 {
     OrderId order;
@@ -132,7 +133,7 @@
     return last.answer;
 }
 
-// Returns an answer if this request must not or need not run a guard of its own.
+// Returns an answer if this request must not or need not run a state machine of its own.
 std::optional<OrderAnswer> OrderExecutor::answerWithoutRun(Lock &lock, const OrderId &order, const OrderRequest &request, std::uint64_t digest)
 {
     if (auto answer = answerFromPendingUpdate(order, digest)) {
@@ -307,7 +308,7 @@
         }
     }
     for (const OrderId &order : due) {
-        ScheduledUpdate &pendingUpdate = m_pendingUpdates.at(order); // only this function erases duties
+        ScheduledUpdate &pendingUpdate = m_pendingUpdates.at(order); // only this function erases updates
         pendingUpdate.isInProgress = true;
         PendingUpdate update = pendingUpdate.update;
         lock.unlock();
@@ -324,7 +325,7 @@
     }
 }
 
-// Goes on until the duty is finished or the platform does not help on.
+// Continues until the update is finished or a call makes no progress.
 void OrderExecutor::writePendingUpdate(const OrderId &order, PendingUpdate &update)
 {
     constexpr int MaxCalls = 4; // write, read back, write, read back
--- a/carawaylatch/orders/orderexecutor.h
+++ b/carawaylatch/orders/orderexecutor.h
@@ -1,14 +1,14 @@
-// Thread-safe entrance to the order guard for traffic threads.
+// Runs orders at most once; the thread-safe entry point for traffic threads.
 //
-//     OrderExecutor desk(router, incarnation, claimStore, liveness, clock);
-//     OrderAnswer answer = desk.run(request, connection, chooser);
+//     OrderExecutor executor(router, incarnation, recordStore, liveness, clock);
+//     OrderAnswer answer = executor.run(request, connection, chooser);
 //
-// run() blocks the calling thread until the order has an answer, at most until
-// the request's deadline. Requests for an order that already runs at this router
-// wait for the first one's answer. What must reach the platform after the answer
-// (outcomes, reopened claims) stays in a bounded table that step() works off;
-// call step() from a platform worker thread about every 100 ms, and flush()
-// before a planned stop ends.
+// run() blocks the calling thread until the order has an answer, at most until the
+// deadline of the request. Requests for an order that already runs at this router
+// wait for the answer of the first one. Record updates that remain after the answer
+// (outcomes, reopened claims) are kept in a bounded table that step() processes;
+// call step() from a worker thread about every 100 ms, and flush() before a planned
+// stop ends.
 #pragma once
 
 #include <atomic>
@@ -34,7 +34,7 @@
 {
     base::CustomerId customer;
     std::string key; // the caller's Idempotency-Key
-    // The desk fills in upstream, endpoint, attempt, orderKey and timeout.
+    // The executor sets upstream, endpoint, attempt, orderKey and timeout.
     ServiceRequest service;
     base::TimePoint deadline;
 };
@@ -45,17 +45,17 @@
     base::Endpoint endpoint;
 };
 
-// Chooses a service for each try. `refused` holds those that refused this order.
+// Chooses a service for each send. `refused` holds the upstreams tried before for this order.
 class UpstreamChooser
 {
 public:
     virtual ~UpstreamChooser() = default;
-    // An error means that no service can take the order now; its retryAfter is passed on.
+    // An error means that no service can take the order now; its retryAfter is passed on to the caller.
     [[nodiscard]] virtual base::Result<ChosenUpstream> choose(const std::vector<base::UpstreamId> &refused) = 0;
 };
 
-// What membership knows of other routers' incarnations; safe from any thread.
-// A wrong word here costs a true answer its precision, never a second run.
+// What membership knows of the incarnations of other routers; thread-safe.
+// A wrong value only makes an answer less precise; it never causes a second run.
 class RouterLiveness
 {
 public:
@@ -66,24 +66,24 @@
 struct OrderExecutorSettings
 {
     OrderStateMachineSettings stateMachine;
-    std::size_t maxRunning = 10'000; // orders under way; new ones are refused beyond it
-    std::size_t maxPendingUpdates = 10'000; // answered orders with work left; new orders are refused beyond it
-    std::size_t maxSeenReopened = 10'000; // the oldest is dropped, which costs its caller one more try
+    std::size_t maxRunning = 10'000; // orders in progress; beyond it new ones are rejected
+    std::size_t maxPendingUpdates = 10'000; // answered orders with a pending update; beyond it new orders are rejected
+    std::size_t maxSeenReopened = 10'000; // beyond it the oldest is dropped, which costs its caller one more retry
     std::size_t maxPendingUpdatesPerStep = 50;
     base::Duration pendingUpdateRetryInterval = base::seconds{1};
-    // Blocks the calling thread; replaced by tests in virtual time.
+    // Replaces std::this_thread::sleep_for; set by tests in virtual time.
     std::function<void(base::Duration)> sleep;
 };
 
 struct OrderExecutorCounters
 {
-    std::uint64_t done = 0; // answered by a run of this router
-    std::uint64_t replayed = 0; // stored answers given to duplicates
+    std::uint64_t done = 0; // orders run by this router
+    std::uint64_t replayed = 0; // duplicates answered with a stored answer
     std::uint64_t notRun = 0;
     std::uint64_t unknown = 0;
     std::uint64_t running = 0;
     std::uint64_t refused = 0;
-    std::size_t pendingUpdates = 0; // now
+    std::size_t pendingUpdates = 0; // current number
 };
 
 class OrderExecutor
@@ -96,11 +96,11 @@
     OrderExecutor &operator=(const OrderExecutor &) = delete;
 
     [[nodiscard]] OrderAnswer run(const OrderRequest &request, ServiceConnection &connection, UpstreamChooser &chooser);
-    // Works off what is due; blocks on the platform. One thread at a time.
+    // Writes the pending updates that are due; blocks on the object store. One thread at a time.
     void step();
-    // Works off everything once, due or not; true if nothing is left.
+    // Tries all pending updates once, due or not; returns true if none are left.
     bool flush();
-    // Sets the retention epoch that new records carry (retention.h).
+    // Sets the retention epoch of new records (retention.h).
     void setEpoch(std::uint64_t epoch);
     [[nodiscard]] OrderExecutorCounters counters() const;
 
@@ -140,16 +140,16 @@
     struct SeenReopened
     {
         store::Version version;
-        std::uint64_t afterArrival = 0; // requests received before that
+        std::uint64_t afterArrival = 0; // number of requests received before that
     };
-    mutable std::mutex m_mutex; // guards all below
+    mutable std::mutex m_mutex; // guards all members below
     std::map<OrderId, std::shared_ptr<RunningOrder>> m_running;
     std::map<OrderId, ScheduledUpdate> m_pendingUpdates; // at most maxPendingUpdates + maxRunning; never dropped
     std::map<OrderId, SeenReopened> m_seenReopened;
     std::deque<OrderId> m_seenReopenedQueue; // keys of m_seenReopened, oldest first
     std::uint64_t m_arrivals = 0; // requests received so far
     std::uint64_t m_attempts = 0;
-    bool m_isFull = false; // as last logged
+    bool m_isFull = false; // state last logged
     OrderExecutorCounters m_counters;
 };
 
--- a/carawaylatch/orders/orderstatemachine.cpp
+++ b/carawaylatch/orders/orderstatemachine.cpp
@@ -1,25 +1,26 @@
 // One order at one router, from claim to answer.
 //
-// The claim is optimistic: the first call creates the record if it is absent, so
-// a new order costs one write, and only duplicates cost a read. Whoever finds a
-// record of another attempt waits for its outcome, replays it, or says what can
-// be known.
+// The claim is optimistic: the first call creates the record if it is absent, so a
+// new order costs one write, and only duplicates cost a read. An attempt that finds
+// the record of another one waits for its outcome, replays it, or answers with what
+// is known.
 //
-// Why at most once holds. A send needs a confirmed claim of this very attempt:
-// the platform said that our write took effect, or reading back showed our
-// attempt id. A record leaves the claimed state by its claimant's hand alone, so
-// no two attempts have confirmed claims unless the first reopened the record,
-// and it does that only when mayHaveRun is false and it has stopped sending.
+// Why an order runs at most once: a send needs a confirmed claim of the same
+// attempt, that is, a successful claim write, or the attempt's id in the record read
+// back. Only its claimant moves a record out of state Claimed. So no two attempts
+// have confirmed claims unless the first one reopened the record, which it does only
+// when mayHaveRun is false and it has stopped sending.
 //
-// Why NotRun is true. It is said with our claim confirmed, nothing run and the
-// decision made never to send. Every other request for the order finds our claim
-// and can't run it. The claim is reopened only after the answer was given, and a
-// reopened record is claimed only by a request that arrived after its router saw
-// the reopening, so by one that arrived after the answer. A restart between
-// answer and reopening leaves the claim where it is; the order then stays unrun.
+// Why NotRun is true: it is answered with the claim confirmed, nothing run and the
+// decision made never to send. Any other request for the order finds the claim and
+// can't run the order. The claim is reopened only after the answer was given, and a
+// reopened record is claimed only by a request that arrived after its router saw the
+// reopened record, hence after the answer. If the router restarts between answer and
+// reopening, the claim stays and the order is never run.
 //
-// Everything else that stops short of an outcome is Unknown, with what this
-// attempt did. Time only ever makes the guard give up, never act.
+// All other endings without an outcome are answered with Unknown and what this
+// attempt did. Elapsed time only ever ends an order, it never permits a claim or a
+// send.
 #include "carawaylatch/orders/orderstatemachine.h"
 
 #include <algorithm>
@@ -136,8 +137,8 @@
     return send(now);
 }
 
-// Reads again after a pause if our claim may exist, else gives up: nothing of
-// this attempt is in the platform.
+// Reads again after a delay if the claim of this attempt may have taken effect;
+// otherwise answers, as nothing of this attempt was written.
 OrderAction OrderStateMachine::retryResolving(base::TimePoint now, const base::Error &error)
 {
     const base::Error refusal{error.kind, text(error.message, SameKeyRemedy), std::max(error.retryAfter, m_settings.retryAfter)};
@@ -179,9 +180,9 @@
         return confirmClaim(now, found.version);
     }
     if (m_state.mayHaveClaimed && found.version == m_state.expected) {
-        return claim(now, found.version); // the unclear write has not taken effect, but still can
+        return claim(now, found.version); // the earlier claim write has not taken effect but still can
     }
-    m_state.mayHaveClaimed = false; // its condition can never hold again
+    m_state.mayHaveClaimed = false; // the version that the claim write was conditional on was replaced
     return onForeignRecord(now, found, seen, claimantLiveness);
 }
 
@@ -214,7 +215,7 @@
         }
         return refuse(
             OrderAnswerKind::Unknown, ExecutionStatus::NotRun,
-            base::fail(ErrorKind::Unavailable, text("an earlier attempt gave the order up without running it", SameKeyRemedy), m_settings.initialPollInterval));
+            base::fail(ErrorKind::Unavailable, text("an earlier attempt ended without running the order", SameKeyRemedy), m_settings.initialPollInterval));
     case RecordState::Claimed:
         break;
     }
@@ -225,7 +226,7 @@
 {
     if (claimantLiveness == ClaimantLiveness::Gone) {
         return refuse(OrderAnswerKind::Unknown, ExecutionStatus::NotRun,
-                      base::fail(ErrorKind::Unclear, text("the router that took the order is gone and may have run it", AskServiceRemedy)));
+                      base::fail(ErrorKind::Unclear, text("the router that claimed the order has stopped and may have run it", AskServiceRemedy)));
     }
     if (!m_state.waitUntil) {
         m_state.waitUntil = std::min(m_request.deadline, now + m_settings.maxWait);
@@ -359,7 +360,7 @@
 {
     const auto execution = m_state.sends > 0 ? ExecutionStatus::MayHaveRun : ExecutionStatus::NotRun;
     return refuse(OrderAnswerKind::Unknown, execution,
-                  base::fail(ErrorKind::Internal, text("the order guard got an event that does not fit its step", AskServiceRemedy)));
+                  base::fail(ErrorKind::Internal, text("internal error: the event does not match the state of the order", AskServiceRemedy)));
 }
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/orderstatemachine.h
+++ b/carawaylatch/orders/orderstatemachine.h
@@ -1,17 +1,19 @@
-// The state machine of one order at one router: events in, one action out.
+// State machine that runs one order at most once at one router: takes events and
+// returns one action for each.
 //
-// The guard decides what may be sent and what may be said; OrderExecutor carries the
-// actions out. Its promises, whatever faults occur:
+// OrderStateMachine decides what may be sent and what may be answered; OrderExecutor
+// carries the actions out. Guarantees under any faults:
 //
-//   - The order is sent only under a confirmed claim of this very attempt, and
-//     again only if the former send provably did not run.
-//   - An unclear write is settled by reading the record back, never by sending.
-//   - NotRun is said by the claimant alone, while its claim stands and after it
-//     has decided never to send. Nobody else can run the order until the
+//   - An order is sent only under a confirmed claim of the same attempt, and again
+//     only if the former send provably did not run.
+//   - A write with unknown outcome is resolved by reading the record back, never by
+//     sending.
+//   - NotRun is answered only by the claimant, while its claim stands and after it
+//     has decided never to send. No other attempt can run the order until the
 //     claimant reopens the record, which it does only after that answer.
-//   - A reopened record is claimed only by a request that arrived after its
-//     router had seen the reopening; an older one may have been received before
-//     a NotRun was said elsewhere.
+//   - A reopened record is claimed only by a request that arrived after its router
+//     had seen the reopened record; an older one may have been received before
+//     another router answered NotRun.
 #pragma once
 
 #include <cstdint>
@@ -30,15 +32,15 @@
 enum class OrderAnswerKind {
     Done, // the stored answer
     NotRun, // no request received so far has run the order or will run it
-    Unknown, // it may have run; see attempt for what this request did
-    Running, // another attempt holds the claim and its router lives
+    Unknown, // it may have run; OrderAnswer::execution says what this request did
+    Running, // another attempt holds the claim and its router is live
     Refused, // the request itself is wrong (InvalidArgument)
 };
 
 // What the answered request itself did.
 enum class ExecutionStatus {
     Ran,
-    NotRun, // this request ran nothing and never will
+    NotRun, // this request did not run the order and never will
     MayHaveRun,
 };
 
@@ -47,26 +49,26 @@
     OrderAnswerKind kind = OrderAnswerKind::Unknown;
     ExecutionStatus execution = ExecutionStatus::NotRun;
     StoredAnswer answer; // set with Done
-    base::Error error; // set otherwise; message names the remedy, retryAfter when to come back
+    base::Error error; // set otherwise; the message names the remedy, retryAfter when to retry
 };
 
-// What this router knows of a claimant: from membership, or its own incarnation.
+// What this router knows of the claimant's router, from membership or its own incarnation.
 enum class ClaimantLiveness {
     Live,
     Gone,
     Unknown,
 };
 
-// Steps of the guard. The fault table has a row for each step and event.
+// Steps of an order. The fault table in orderstatemachinetest.cpp has a row for each.
 enum class OrderStep {
     Idle, // nothing done yet
-    Reading, // reading who has the claim after ours was refused
-    Claiming, // claim write under way
-    ResolvingClaim, // reading back after an unclear claim
-    Sending, // the service has the order, or is about to
-    Recording, // outcome write under way
-    Waiting, // another attempt holds the claim; read again after a pause
-    Answered, // stays last
+    Reading, // reading the record after the claim write failed with Conflict
+    Claiming, // claim write in progress
+    ResolvingClaim, // reading back after a claim write with unknown outcome
+    Sending, // the order is being sent to a service
+    Recording, // outcome write in progress
+    Waiting, // another attempt holds the claim; read again after a delay
+    Answered, // must stay last, see OrderStepCount
 };
 constexpr std::size_t OrderStepCount = static_cast<std::size_t>(OrderStep::Answered) + 1;
 
@@ -78,15 +80,14 @@
     Answer, // final
 };
 
-// Work that stays after the answer, until the platform has it.
 struct OrderAction
 {
     OrderActionKind kind = OrderActionKind::Answer;
-    OrderRecord record; // with WriteRecord and with duties
+    OrderRecord record; // with WriteRecord
     store::Version expected; // with WriteRecord
     base::Duration pause{};
     OrderAnswer answer;
-    std::optional<PendingUpdate> pendingUpdate; // with Answer: what the platform must still learn
+    std::optional<PendingUpdate> pendingUpdate; // with Answer: what remains to be written after it
 };
 
 // Whether this router had seen the reopened record before the request arrived.
@@ -97,33 +98,33 @@
 
 struct OrderStateMachineSettings
 {
-    base::Duration initialPollInterval = base::milliseconds{20}; // between two reads while another attempt runs
+    base::Duration initialPollInterval = base::milliseconds{20}; // between reads while another attempt runs, doubles with each read
     base::Duration maxPollInterval = base::milliseconds{500};
-    base::Duration retryAfter = base::seconds{1}; // named in refusals
-    std::uint32_t maxSends = 3; // sends of one attempt, all but the last provably not run
+    base::Duration retryAfter = base::seconds{1}; // given in error answers
+    std::uint32_t maxSends = 3; // sends per attempt, all but the last provably not run
     base::Duration maxWait = base::seconds{2}; // for another attempt's answer
-    std::uint32_t maxResolveTries = 5; // reads and writes to settle one unclear write before the answer
+    std::uint32_t maxResolveTries = 5; // reads and writes to resolve a claim write before the answer
 };
 
 struct OrderStateMachineRequest
 {
-    Claimant self; // attempt is fresh for each request
+    Claimant self; // the attempt is unique to each request
     std::uint64_t requestDigest = 0;
     std::uint64_t epoch = 0;
     base::TimePoint deadline;
 };
 
-// All that a guard remembers; two guards of equal state and request act alike.
+// Complete state; two machines with equal state and request behave alike.
 struct OrderStateMachineState
 {
     OrderStep step = OrderStep::Idle;
-    // Version of our own claim; set only while it is confirmed.
+    // Version of this attempt's claim; set only while it is confirmed.
     std::optional<store::Version> claim;
     // Expected version of the last claim write.
     store::Version expected;
-    // True while a claim write of ours may be in the platform or reach it later.
+    // True while a claim write of this attempt may have taken effect or may still do so.
     bool mayHaveClaimed = false;
-    // True from a send until it provably did not run; no send happens while it is true.
+    // True from a send until it provably did not run; nothing is sent while it is true.
     bool mayHaveRun = false;
     std::uint32_t sends = 0;
     std::uint32_t tries = 0;
@@ -138,14 +139,14 @@
 public:
     OrderStateMachine(OrderStateMachineRequest request, OrderStateMachineSettings settings);
 
-    // Each event returns the next action. An event that doesn't fit the step is
-    // an internal fault: the guard answers Unknown and never sends again.
+    // Each event returns the next action. An event that doesn't match the step is
+    // an internal error: the answer is Unknown and nothing is sent any more.
     [[nodiscard]] OrderAction onStart(base::TimePoint now);
-    // `seen` counts for a reopened record, `life` for one claimed by another.
+    // `seen` matters only for a reopened record, `claimantLiveness` only for one claimed by another attempt.
     [[nodiscard]] OrderAction onRead(base::TimePoint now, const base::Result<VersionedRecord> &result, ReopenedSeen seen, ClaimantLiveness claimantLiveness);
     [[nodiscard]] OrderAction onWritten(base::TimePoint now, const base::Result<store::Version> &result);
     [[nodiscard]] OrderAction onSent(base::TimePoint now, const base::Result<ServiceAnswer> &result);
-    // No upstream can take the order; nothing was sent by this try.
+    // No upstream can take the order; nothing was sent in this step.
     [[nodiscard]] OrderAction onNoUpstream(base::TimePoint now, const base::Error &error);
     [[nodiscard]] OrderAction onPauseOver(base::TimePoint now);
 
--- a/carawaylatch/orders/pendingupdate.cpp
+++ b/carawaylatch/orders/pendingupdate.cpp
@@ -1,14 +1,15 @@
-// The loop of write, read back, write again that ends when the platform has the
-// record, or when it is certain that it never needs it.
+// Writes, reads back and writes again until the record is stored or certainly need
+// not be.
 //
-// A write is conditional on the version of our claim, so it can't hide anybody
-// else's record. After an unclear write the record is read: our target record is
-// there (done), our claim is still there (write again over the version read), or
-// something else is there, and then the duty is void.
+// A write is conditional on the version of the claim, so it can't overwrite the
+// record of another attempt. After a write with unknown outcome the record is read.
+// If the target record is found, the update is done; if the claim is found, the
+// update is written again over the version read; any other record makes the update
+// obsolete.
 //
-// A claim write that stayed unclear is the awkward case: it may take effect long
-// after it was sent. If the version that it was conditional on is still there,
-// Reopened is written over that version; from then on the old write must fail.
+// A claim write with unknown outcome may take effect long after it was sent. If the
+// record still has the version that the write was conditional on, Reopened is
+// written over that version, after which the claim write can only fail.
 #include "carawaylatch/orders/pendingupdate.h"
 
 #include <utility>
@@ -52,7 +53,7 @@
         break;
     case base::ErrorKind::Unavailable:
     case base::ErrorKind::Overloaded:
-        break; // nothing was written; try the same write again
+        break; // nothing was written; repeat the write
     case base::ErrorKind::StaleState:
         finish();
         break;
--- a/carawaylatch/orders/pendingupdate.h
+++ b/carawaylatch/orders/pendingupdate.h
@@ -1,9 +1,11 @@
-// What a router still owes the platform about an order that it has answered.
+// Updates of an order's record that remain to be written after the order was
+// answered.
 //
-// Two duties exist. RecordOutcome: write Done or Lost over our claim, so that
-// duplicates elsewhere learn the outcome. Reopen: say that this attempt did not
-// send and never will. Both are tried until the platform has them; an unclear
-// write is settled by reading back. Like the guard, the machine does no I/O.
+// RecordOutcome replaces the router's claim with Done or Lost, so that duplicates
+// at other routers learn the outcome. Reopen records that the attempt did not send
+// the order and never will. Both are retried until the record is stored; a write
+// with unknown outcome is resolved by reading the record back. Like
+// OrderStateMachine, PendingUpdate does no I/O.
 #pragma once
 
 #include <optional>
@@ -27,10 +29,10 @@
 struct PendingUpdateState
 {
     PendingUpdateStep step = PendingUpdateStep::Writing;
-    store::Version expected; // of the next or present write
-    // True once a write may have taken effect; a reopened order may then run elsewhere.
+    store::Version expected; // of the next write or the write in progress
+    // True once a write may have taken effect; after a Reopen another router may then run the order.
     bool mayHaveWritten = false;
-    // Set when a Reopen finished: the version of the reopened record.
+    // Version of the reopened record; set when a Reopen has finished.
     std::optional<store::Version> reopened;
 
     bool operator==(const PendingUpdateState &) const = default;
@@ -39,21 +41,21 @@
 class PendingUpdate
 {
 public:
-    // `claim` is the version of our confirmed claim.
+    // `claim` is the version of the confirmed claim of this attempt.
     PendingUpdate(PendingUpdateKind kind, OrderRecord record, store::Version claim);
-    // For a claim write over `expected` that stayed unclear: Reopen, or finish if
-    // it is seen that the write can never take effect.
+    // Returns the update for a claim write over `expected` whose outcome is unknown: it
+    // reopens the record, or finishes if the write can no longer take effect.
     [[nodiscard]] static PendingUpdate reopenUnclear(OrderRecord record, store::Version expected);
 
-    // Reports the result of the call that state().step names. A call that was not
-    // answered leaves the step as it must be tried again.
+    // Handles the result of the call that state().step names. After a call that
+    // must be repeated the step stays the same.
     void onWritten(const base::Result<store::Version> &result);
     void onRead(const base::Result<VersionedRecord> &result);
 
     [[nodiscard]] PendingUpdateKind kind() const;
     [[nodiscard]] const OrderRecord &record() const;
     [[nodiscard]] const PendingUpdateState &state() const;
-    // True if our claim stands in the platform, so that nobody else can run the order.
+    // Tells whether the claim certainly stands, so that no other attempt can run the order.
     [[nodiscard]] bool holdsClaim() const;
 
 private:
@@ -62,7 +64,7 @@
     PendingUpdateKind m_kind;
     OrderRecord m_record; // what to write
     PendingUpdateState m_state;
-    // Version that a still unclear claim write was conditional on.
+    // Version that a claim write with unknown outcome was conditional on.
     std::optional<store::Version> m_unclearOver;
 };
 
--- a/carawaylatch/orders/serviceconnection.h
+++ b/carawaylatch/orders/serviceconnection.h
@@ -1,4 +1,4 @@
-// What the order guard needs from a connection to a plain service.
+// Interface to a connection to a plain service, as orders need it.
 #pragma once
 
 #include <string>
@@ -36,7 +36,7 @@
     int status = 0;
     std::string contentType;
     std::string body;
-    base::AttemptId attempt; // the service's echo
+    base::AttemptId attempt; // echoed by the service
     base::Incarnation incarnation;
 };
 
@@ -44,9 +44,9 @@
 {
 public:
     virtual ~ServiceConnection() = default;
-    // Sends the request once and returns the answer. Unavailable: no byte left,
-    // nothing ran. Overloaded: the service refused, nothing ran. Any other error:
-    // it may have run.
+    // Sends the request once and returns the answer. Unavailable: nothing was sent,
+    // nothing ran. Overloaded: the service refused, nothing ran. Any other error: the
+    // request may have run.
     [[nodiscard]] virtual base::Result<ServiceAnswer> call(const ServiceRequest &request) = 0;
 };
 
