--- a/carawaylatch/orders/testing/fakes.h
+++ b/carawaylatch/orders/testing/fakes.h
@@ -1,5 +1,5 @@
-// Fakes around orders: a service that keeps a journal of what it ran, a chooser
-// over a list, a liveness table, and a platform that lets other work in between.
+// Fakes for the tests of orders: a service that counts its runs, a chooser, router
+// liveness, and an object store that runs a hook before a chosen call.
 #pragma once
 
 #include <functional>
@@ -20,20 +20,20 @@
     Refused, // nothing ran
     NotSent, // nothing ran
     AnswerLost, // ran
-    RequestLost, // did not run, and the caller can't tell
+    RequestLost, // did not run, unknown to the caller
     WrongAttempt, // ran; the answer is that of another attempt
 };
 
 constexpr ServiceFault AllServiceFaults[] = {ServiceFault::None,       ServiceFault::Refused,     ServiceFault::NotSent,
                                              ServiceFault::AnswerLost, ServiceFault::RequestLost, ServiceFault::WrongAttempt};
 
-// Runs orders in memory. Safe for use from any thread.
+// Runs orders in memory; thread-safe.
 class FakeService : public ServiceConnection
 {
 public:
-    // Decides each call's fate; called without a lock.
+    // Chooses the fault of each call; called without a lock.
     std::function<ServiceFault(const ServiceRequest &)> chooseFault;
-    // Runs before the call's fate is decided, to interleave other work.
+    // Runs before the fault is chosen, to interleave other work.
     std::function<void()> before;
 
     [[nodiscard]] base::Result<ServiceAnswer> call(const ServiceRequest &request) override
--- a/carawaylatch/orders/testing/orderexecutortest.cpp
+++ b/carawaylatch/orders/testing/orderexecutortest.cpp
@@ -1,5 +1,6 @@
-// OrderExecutor over a platform in memory: replays, releases, duties, bounds, and
-// two desks under threads and random faults with the service's journal as judge.
+// OrderExecutor over an object store in memory: replays, reopened orders, pending
+// updates, bounds, and two executors under threads and random faults, where the
+// service must have run each order at most once.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <atomic>
@@ -25,7 +26,7 @@
 namespace
 {
 
-constexpr std::size_t Bound = 4; // of each table, in the test of bounds
+constexpr std::size_t Bound = 4; // maximum number of pending updates, in the test of bounds
 
 } // namespace
 
@@ -67,7 +68,7 @@
         CPPUNIT_ASSERT(m_one->counters().done == 1 && m_one->counters().replayed == 1);
     }
 
-    // A refused order: NotRun, closed for duplicates, reopened, and then run.
+    // A refused order: NotRun, also for duplicates, then reopened, then run.
     void testOrderRunsOnRetryAfterNotRun()
     {
         m_service.chooseFault = [](const ServiceRequest &) {
@@ -90,7 +91,7 @@
         CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/k"));
     }
 
-    // A duplicate arrives while the write that reopens the claim is under way.
+    // A duplicate arrives while the write that reopens the claim is in progress.
     void testNotRunIsNotRepeatedWhileReopening()
     {
         m_service.chooseFault = [](const ServiceRequest &) {
@@ -143,7 +144,7 @@
         }
     }
 
-    // The claim took effect, its answer was lost and the platform went down.
+    // The outcome of the claim write is unknown and the object store becomes unavailable.
     void testUnclearClaimIsReopened()
     {
         for (const StoreFault fault : {StoreFault::AnswerLost, StoreFault::RequestLost}) {
@@ -231,7 +232,7 @@
         CPPUNIT_ASSERT_EQUAL(Bound, m_one->counters().pendingUpdates);
     }
 
-    // Threads at two desks use few keys under random faults of platform and service.
+    // Threads at two executors use few keys under random faults of object store and service.
     void testRandomFaultsAndDuplicates()
     {
         constexpr int Threads = 6;
--- a/carawaylatch/orders/testing/orderexplorertest.cpp
+++ b/carawaylatch/orders/testing/orderexplorertest.cpp
@@ -1,4 +1,5 @@
-// Exhaustive interleavings of guards, duties, faults, restarts and pruning.
+// Explores all interleavings of requests, pending updates, faults, restarts and
+// pruning.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -11,7 +12,7 @@
 namespace
 {
 
-constexpr std::size_t MaxDepth = 40; // longer than any path of the worlds below
+constexpr std::size_t MaxDepth = 40; // longer than any path of the models below
 
 struct ModelCase
 {
@@ -28,8 +29,8 @@
     {"third request at the second router, two faults", {0, 1, 1}, {2, 0, 0, 0, false}},
     {"four requests, a fault", {0, 1, 0, 1}, {1, 0, 0, 0, false}},
     {"pruning, two faults, a restart", {0, 1}, {2, 1, 1, 0, false}},
-    {"stamping, two faults, a restart", {0, 1}, {2, 1, 0, 1, false}},
-    {"third request, stamping, a fault", {0, 1, 1}, {1, 0, 0, 1, false}},
+    {"epoch write, two faults, a restart", {0, 1}, {2, 1, 0, 1, false}},
+    {"third request, epoch write, a fault", {0, 1, 1}, {1, 0, 0, 1, false}},
     {"wrong liveness, two faults, a restart", {0, 1}, {2, 1, 0, 0, true}},
 };
 
--- a/carawaylatch/orders/testing/ordermodel.cpp
+++ b/carawaylatch/orders/testing/ordermodel.cpp
@@ -1,5 +1,5 @@
-// Events of the order world. Each copies the world, lets one thing happen and
-// hands the result to the guard concerned.
+// Transitions of the order model. Each copies the model, applies one event and passes
+// the result to the state machine or update concerned.
 #include "carawaylatch/orders/testing/ordermodel.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 constexpr base::TimePoint Now{base::hours{1}};
 constexpr base::TimePoint Deadline = Now + base::seconds{30};
-constexpr int AnswerBase = 200; // the service answers 200 + index of the request that ran
+constexpr int AnswerBase = 200; // the service answers with AnswerBase + index of the request that ran
 
 OrderStateMachineSettings modelSettings()
 {
@@ -117,7 +117,7 @@
     }
     for (const std::size_t it : m_runs) {
         if ((m_mustNotRun & (1U << it)) != 0) {
-            return "a request ran that an answer had ruled out";
+            return "a request ran that by an earlier answer must not run";
         }
     }
     const int expected = m_runs.empty() ? -1 : AnswerBase + static_cast<int>(m_runs.front());
@@ -172,7 +172,7 @@
     }
 }
 
-// As OrderExecutor does on arrival: a duty answers, a running first one is waited for.
+// As in OrderExecutor: answers from a pending update, else waits for a running request.
 void OrderModel::arrive(std::size_t index)
 {
     ModelRequest &request = m_requests[index];
@@ -401,7 +401,7 @@
         if (!m_routers[i].pendingUpdate) {
             continue;
         }
-        const std::string name = "duty of router " + std::to_string(i);
+        const std::string name = "pending update of router " + std::to_string(i);
         const PendingUpdate &pendingUpdate = *m_routers[i].pendingUpdate;
         if (pendingUpdate.state().step == PendingUpdateStep::Reading) {
             OrderModel next = *this;
@@ -447,7 +447,7 @@
         OrderModel next = *this;
         --next.m_remaining.epochWrites;
         next.m_record->version.value = ++next.m_lastVersion;
-        choices.push_back({"the record is stamped", std::move(next)});
+        choices.push_back({"the pruner sets the epoch of the record", std::move(next)});
     }
     if (m_remaining.prunes > 0 && m_record && !m_isClosed) {
         OrderModel next = *this;
@@ -471,8 +471,8 @@
     }
 }
 
-// What the router had under way may or may not take effect: a write or an order
-// on its way is delayed, and exploration covers that it never arrives.
+// A write or a send in progress may or may not take effect: it becomes a delayed one,
+// and exploration includes that it never arrives.
 void OrderModel::crash(int index)
 {
     --m_remaining.crashes;
--- a/carawaylatch/orders/testing/ordermodel.h
+++ b/carawaylatch/orders/testing/ordermodel.h
@@ -1,12 +1,12 @@
-// A small world around order guards for exhaustive exploration: two routers with
-// restarts, a platform that loses answers and delays writes, a pruner, and a
-// service whose journal is the judge.
+// Model of one order for exhaustive exploration: two routers with restarts, an
+// object store that loses answers and delays writes, a pruner, and a service that
+// records which requests it ran.
 //
-// The parts under test are the real OrderStateMachine, PendingUpdate and answerDuplicate;
-// this file adds what surrounds them. Invariants, at every state:
+// The real OrderStateMachine, PendingUpdate and answerDuplicate are under test; the
+// model adds their surroundings. Invariants, in every state:
 //   - the service ran the order at most once;
-//   - no request that had been received when NotRun was said has run or runs;
-//   - no request that was told that it ran nothing has run or runs;
+//   - no request received before a NotRun answer was given has run or runs later;
+//   - no request that was told that it did not run has run or runs later;
 //   - each Done answer and each Done record is the answer of the run.
 #pragma once
 
@@ -24,8 +24,8 @@
 
 enum class RequestPhase {
     NotArrived, // not received yet
-    Active, // its guard runs
-    WaitingForFirst, // another request of the router runs the guard
+    Active, // its state machine runs
+    WaitingForFirst, // another request at the router runs the state machine
     Answered,
     RouterCrashed, // its router crashed
 };
@@ -35,8 +35,8 @@
     int router = 0;
     RequestPhase phase = RequestPhase::NotArrived;
     std::optional<OrderStateMachine> stateMachine;
-    OrderAction action; // to be carried out, in phase Active
-    store::Version seenAtArrival; // reopened version that the router had seen; zero: none
+    OrderAction action; // next action, in phase Active
+    store::Version seenAtArrival; // version of the reopened record seen by the router; zero: none
     std::optional<OrderAnswer> answer;
 };
 
@@ -58,14 +58,14 @@
     int faults = 2; // lost, delayed, refused or unreachable calls
     int crashes = 1;
     int prunes = 0;
-    int epochWrites = 0; // rewrites of a record by the pruner that change its version alone
-    bool isLivenessWrong = false; // membership takes the dead for live and the live for dead
+    int epochWrites = 0; // writes of a record's epoch by the pruner, which change its version
+    bool isLivenessWrong = false; // membership reports live routers as gone and gone ones as live
 };
 
 class OrderModel
 {
 public:
-    // One request for the same order for each entry, which names its router (0 or 1).
+    // Creates a request for the same order for each entry, the router that gets it (0 or 1).
     OrderModel(const std::vector<int> &routers, ModelLimits limits);
 
     [[nodiscard]] std::string key() const;
@@ -104,10 +104,10 @@
     std::uint64_t m_lastVersion = 0;
     bool m_isClosed = false;
     std::vector<DelayedWrite> m_delayed;
-    std::vector<std::size_t> m_delayedRuns; // requests that the service may still run
-    std::vector<std::size_t> m_runs; // the service's journal
-    std::uint32_t m_received = 0; // bit of each request received
-    std::uint32_t m_mustNotRun = 0; // bit of each request that some answer has ruled out
+    std::vector<std::size_t> m_delayedRuns; // requests sent that the service may still run
+    std::vector<std::size_t> m_runs; // requests that the service has run
+    std::uint32_t m_received = 0; // bit set of the requests received
+    std::uint32_t m_mustNotRun = 0; // bit set of the requests that by some answer must not run
 };
 
 } // namespace carawaylatch::orders::testing
--- a/carawaylatch/orders/testing/orderstatemachinetest.cpp
+++ b/carawaylatch/orders/testing/orderstatemachinetest.cpp
@@ -1,5 +1,5 @@
-// Fault table of the order guard: every fault at every step, over a claim store
-// in memory, and what a duplicate at another router then gets.
+// Fault table of OrderStateMachine: every fault at every step, over a record store in
+// memory, and the answer to a later duplicate at another router.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <optional>
@@ -21,9 +21,9 @@
 
 enum class InjectedFault {
     None,
-    PlatformDown, // from this step on
-    AnswerLost, // one call to the platform
-    RequestLost, // one call to the platform
+    PlatformDown, // object store unavailable from this step on
+    AnswerLost, // of one call to the object store
+    RequestLost, // of one call to the object store
     Slow, // the deadline passes before this step's result
     ServiceRefuses, // from this step on
     ServiceLosesAnswer,
@@ -32,14 +32,14 @@
 };
 constexpr std::size_t FaultCount = static_cast<std::size_t>(InjectedFault::NoServiceAvailable) + 1;
 
-// Expected answers, one letter a fault in the order above:
-//   D done, N not run, R running, u unknown and this request ran nothing,
+// Expected answers, one letter per fault in the order above:
+//   D done, N not run, R running, u unknown and this request did not run,
 //   m unknown and this request may have run.
 struct FaultRow
 {
     OrderStep step;
     std::string_view answers;
-    char duplicate; // answer elsewhere if the router vanishes at this step
+    char duplicate; // answer at another router after this one crashed at this step
 };
 
 constexpr FaultRow FaultRows[] = {
@@ -56,7 +56,7 @@
 
 const OrderId Order{base::CustomerId("acme"), "k"};
 
-// Carries a guard's actions out until the answer.
+// Carries out the actions of a state machine until the answer.
 class Harness
 {
 public:
@@ -71,7 +71,7 @@
     }
 
     // Runs until the answer; the fault starts when the step is reached. With
-    // `stopThere` the router vanishes instead and nothing is returned.
+    // `stopThere` the router crashes there instead and nothing is returned.
     std::optional<OrderAnswer> run(InjectedFault fault, bool stopThere)
     {
         OrderStateMachine stateMachine(OrderStateMachineRequest{Claimant{base::RouterId("r1"), base::Incarnation{1}, base::AttemptId{1}}, 0, 0, m_deadline},
@@ -91,12 +91,11 @@
             action = execute(stateMachine, action);
         }
         CPPUNIT_ASSERT(stateMachine.state().step == OrderStep::Answered);
-        CPPUNIT_ASSERT_MESSAGE("a duty exactly if the platform lacks something",
-                               action.pendingUpdate.has_value() || action.answer.kind != OrderAnswerKind::NotRun);
+        CPPUNIT_ASSERT_MESSAGE("NotRun must leave a pending update", action.pendingUpdate.has_value() || action.answer.kind != OrderAnswerKind::NotRun);
         return action.answer;
     }
 
-    // What a duplicate at another router is told once ours is known to be gone.
+    // Returns the answer to a duplicate at another router that knows the first one as gone.
     OrderAnswer duplicate()
     {
         m_faulty.inject(StoreFault::None);
--- a/carawaylatch/orders/testing/recordstoretest.cpp
+++ b/carawaylatch/orders/testing/recordstoretest.cpp
@@ -1,6 +1,6 @@
 // Contract of OrderRecordStore, run against both implementations: compare-and-set of
-// one record, faults of the platform, closed keys, races, and generated
-// operations against a map.
+// one record, faults of the object store, closed keys, concurrent writers, and random
+// operations compared with a map.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -40,14 +40,14 @@
     return out;
 }
 
-// Kind of a failure; Cancelled, which no store returns, for a success.
+// Returns the kind of a failure; Cancelled, which no store returns, on success.
 template <typename T>
 ErrorKind failureOf(const base::Result<T> &result)
 {
     return result ? ErrorKind::Cancelled : result.error().kind;
 }
 
-// A store under test with its platform and its faults.
+// A store under test, the object store below it and its faults.
 struct StoreFixture
 {
     store::MemoryStore platform;
@@ -119,7 +119,7 @@
         }
     }
 
-    // Every fault at every call of a write: the error never says less than what happened.
+    // Every fault at every call of a write: an error other than Unclear means that nothing was written.
     void testFaults()
     {
         for (const MakeFixture make : AllFixtures) {
@@ -137,7 +137,7 @@
         }
     }
 
-    // The pruner acts while a claim is under way, at every call of the claim.
+    // A pruned key can be neither claimed nor read.
     void testClosedKeyIsNeverClaimed()
     {
         for (const MakeFixture make : AllFixtures) {
@@ -173,7 +173,7 @@
         }
     }
 
-    // Two routers with a journal each on one platform: a cached image must not decide.
+    // Two routers with a journal store each on one object store: an outdated cached image must not decide.
     void testTwoStoresOnOnePlatform()
     {
         store::MemoryStore platform;
--- a/carawaylatch/orders/testing/retentiontest.cpp
+++ b/carawaylatch/orders/testing/retentiontest.cpp
@@ -1,5 +1,5 @@
 // Retention: epochs by monotonic time, pruning, and duplicates after it, also when
-// the pruner acts in the middle of a claim.
+// the pruner runs in the middle of a claim.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "carawaylatch/orders/orderexecutor.h"
@@ -57,7 +57,7 @@
         CPPUNIT_ASSERT_EQUAL(1, m_service.runs("acme/k"));
     }
 
-    // A duplicate meets the pruner before its claim, and between claim and reading.
+    // The pruner runs before the claim write of a duplicate, or between that and the read.
     void testPrunerBetweenAnyTwoCallsOfDuplicate()
     {
         for (const int call : {0, 1}) {
@@ -70,8 +70,8 @@
         }
     }
 
-    // A claim of a router that was paused for the whole retention is pruned before
-    // it is confirmed.
+    // A router is paused for the whole retention between claim write and confirmation,
+    // and its claim is pruned.
     void testPrunerBetweenClaimAndItsCheck()
     {
         store::MemoryStore memory;
@@ -80,7 +80,7 @@
         CPPUNIT_ASSERT_EQUAL(0, m_service.runs("acme/k"));
     }
 
-    // A claim without an epoch is stamped while its order runs.
+    // The pruner sets the epoch of a claim without one while the order runs.
     void testEpochAssignedWhileOrderRuns()
     {
         passEpochs(m_settings.keepEpochs + 1);
@@ -158,14 +158,14 @@
         executor.setEpoch(m_pruner.epoch());
         return executor.run(makeRequest(m_clock, "k"), m_service, m_chooser);
     }
-    // Prunes everything before the given call of an order.
+    // Runs an order and prunes all records before the given store call.
     OrderAnswer orderWhilePruned(store::MemoryStore &memory, int call)
     {
         HookedStore hooked(memory);
         hooked.callsUntilHook = call;
         hooked.hook = [this, &memory] {
             RecordPruner pruner(memory, m_settings);
-            passEpochs(pruner, 2 * m_settings.keepEpochs); // stamps what has no epoch
+            passEpochs(pruner, 2 * m_settings.keepEpochs); // sets the epoch of records without one
             passEpochs(pruner, 2 * m_settings.keepEpochs);
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, pruner.counters().pruned);
         };
@@ -175,7 +175,7 @@
     {
         passEpochs(m_pruner, epochs);
     }
-    // Each epoch one step advances, one reads.
+    // Two steps per epoch: one increments the epoch, one reads it.
     void advanceEpochs(RecordPruner &pruner, std::uint64_t epochs)
     {
         for (std::uint64_t i = 0; i < epochs; ++i) {
@@ -184,7 +184,7 @@
             pruner.step(m_now);
         }
     }
-    // Epochs, then a whole round of all ranges.
+    // Passes epochs, then prunes each range once.
     void passEpochs(RecordPruner &pruner, std::uint64_t epochs)
     {
         advanceEpochs(pruner, epochs);
