--- a/carawaylatch/upstreams/inflight.cpp
+++ b/carawaylatch/upstreams/inflight.cpp
@@ -1,14 +1,14 @@
 // Counters of own requests, and the adaptive limit.
 //
-// History: a ring of buckets of BucketWidth. A bucket is one 64-bit word that
-// packs the bucket's period, its requests and its tokens, updated by
-// compare-and-swap, so that a reader never sees a sum of one period under the
-// number of another. The period's number wraps after 9 days; a bucket that
-// nobody touched for exactly that long would count once too often.
+// History: a ring of buckets of BucketWidth. A bucket is one 64-bit word that packs
+// the bucket's period, its requests and its tokens, updated by compare-and-swap, so
+// that a reader never sees the sums of one period under the number of another. The
+// period number wraps around after 9 days; a bucket not written for exactly that
+// long would be counted once by mistake.
 //
-// Limit: additive increase, multiplicative decrease. A report that shows waiting
-// requests says that the queue stands in the upstream: the limit falls. If none
-// wait and this router uses most of its limit, it rises by one.
+// Limit: additive increase, multiplicative decrease. If a report shows waiting
+// requests, the queue is in the upstream and the limit decreases. If none wait and
+// this router uses at least three quarters of its limit, the limit increases by one.
 #include "carawaylatch/upstreams/inflight.h"
 
 #include <algorithm>
@@ -158,8 +158,8 @@
     counts.requests = counters.requests.load(std::memory_order_relaxed);
     counts.pendingBatchPrefillTokens = counters.pendingBatchPrefillTokens.load(std::memory_order_relaxed);
     counts.pendingPrefillTokens = counters.pendingPrefillTokens.load(std::memory_order_relaxed);
-    // A bucket that began before `since` is left out: better to count half a bucket
-    // too little than work that the report already contains.
+    // A bucket that began before `since` is left out: counting up to one bucket too few
+    // is better than counting work that the report already includes.
     const base::TimePoint earliest = std::max(since + BucketWidth - base::Duration{1}, now - HistorySpan);
     for (std::uint64_t period = periodAt(earliest, BucketWidth), last = periodAt(now, BucketWidth); period <= last; ++period) {
         const Bucket bucket = unpack(counters.history[period % HistoryBuckets].load(std::memory_order_relaxed));
--- a/carawaylatch/upstreams/inflight.h
+++ b/carawaylatch/upstreams/inflight.h
@@ -1,15 +1,16 @@
-// The router's own requests at each upstream, counted by traffic threads.
+// This router's own requests at each upstream, counted by traffic threads.
 //
-// Load reports lag. What this router sent since a report's figures were true is
-// known here without lag, so a decision adds it to the report; the same counters
-// show how much of this router's work still waits for its first token.
+// Load reports arrive late. Requests that this router sent after a report's figures
+// were true are counted here without delay, so a routing decision adds them to the
+// report; the same counters tell how much of this router's work still waits for its
+// first token.
 //
-// The table also holds an adaptive limit for each upstream: how many requests
-// this router may have there at once. It grows while the upstream answers
-// without a queue and shrinks when the upstream reports waiting requests, so that
-// queues form in the router, where priorities and customers' shares are honoured.
+// The table also holds an adaptive limit for each upstream: how many requests this
+// router may have there at once. It grows while the upstream answers without a queue
+// and shrinks when the upstream reports waiting requests, so that requests are
+// queued in the router, which orders them by priority and by customers' shares.
 //
-// All counters are atomics; any thread may call any function.
+// All counters are atomic; all functions are thread-safe.
 #pragma once
 
 #include <array>
@@ -28,16 +29,16 @@
 struct InflightCounts
 {
     std::uint32_t requests = 0; // sent and not finished
-    std::uint64_t pendingPrefillTokens = 0; // prompt tokens to compute of requests without a first token
-    std::uint64_t pendingBatchPrefillTokens = 0; // the part of these that is of class batch
-    std::uint64_t prefillTokensSince = 0; // prompt tokens to compute of requests sent since the given time
+    std::uint64_t pendingPrefillTokens = 0; // prompt tokens to compute, of requests without a first token
+    std::uint64_t pendingBatchPrefillTokens = 0; // the part of these in traffic class batch
+    std::uint64_t prefillTokensSince = 0; // prompt tokens to compute, of requests sent since the given time
     std::uint32_t requestsSince = 0;
 };
 
 class InflightTable
 {
 public:
-    // Counts one request until it is destroyed.
+    // Counts one request as in flight for as long as the ticket exists.
     class Ticket
     {
     public:
@@ -48,7 +49,7 @@
         Ticket(const Ticket &) = delete;
         Ticket &operator=(const Ticket &) = delete;
         ~Ticket();
-        // The first token arrived: the prompt is computed.
+        // Called when the first token has arrived, so the prompt is computed.
         void onFirstToken();
         void finish();
 
@@ -61,15 +62,15 @@
 
     explicit InflightTable(std::size_t maxUpstreams = MaxSlots);
 
-    // Counts a request that is sent now and has to compute `tokens` prompt tokens.
+    // Counts a request sent now, for which the upstream has to compute `tokens` prompt tokens.
     [[nodiscard]] Ticket begin(Slot slot, std::uint32_t tokens, base::TimePoint now, base::TrafficClass trafficClass = base::TrafficClass::Interactive);
     // Returns the counts; `since` reaches back at most HistorySpan.
     [[nodiscard]] InflightCounts counts(Slot slot, base::TimePoint since, base::TimePoint now) const;
-    // Adapts the limit to a report. Control thread.
+    // Adapts the limit to a report. Called on the control thread only.
     void onLoadReport(Slot slot, const LoadReport &report);
-    // Starts the slot anew for another life of the upstream; open tickets stay counted.
+    // Resets the limit for a new incarnation of the upstream; open tickets stay counted.
     void onIncarnation(Slot slot);
-    // Returns how many more requests this router should send now.
+    // Returns how many more requests this router may send now.
     [[nodiscard]] std::uint32_t remainingCapacity(Slot slot) const;
     [[nodiscard]] std::uint32_t limit(Slot slot) const;
 
@@ -77,14 +78,14 @@
     static constexpr std::size_t HistoryBuckets = 64;
     static constexpr base::Duration BucketWidth = base::milliseconds{50};
 
-    // Sums over one BucketWidth. `period` and the sums are packed into one word, so
-    // that a bucket is never read half renewed.
     struct UpstreamCounters
     {
         std::atomic<std::uint32_t> requests{0};
         std::atomic<std::uint32_t> limit{0};
         std::atomic<std::uint64_t> pendingPrefillTokens{0};
         std::atomic<std::uint64_t> pendingBatchPrefillTokens{0};
+        // Sums over one BucketWidth each. A bucket's period and sums are packed into one
+        // word, so that it is never read half updated.
         std::array<std::atomic<std::uint64_t>, HistoryBuckets> history{};
     };
 
--- a/carawaylatch/upstreams/leavingmarks.h
+++ b/carawaylatch/upstreams/leavingmarks.h
@@ -1,9 +1,9 @@
-// Marks that a life of an upstream leaves: a set that only grows.
+// Replicated marks of upstream incarnations that are leaving; a grow-only set.
 //
-// A mark names (upstream, incarnation) and a generation. Odd generations mean
-// leaving, even ones that an operator took the drain back. Merging keeps the
-// greatest generation, so that routers agree in whatever order and however
-// often marks arrive, and a new incarnation starts unmarked.
+// A mark consists of (upstream, incarnation) and a generation. An odd generation
+// means leaving, an even one that an operator revoked the drain. Merging keeps the
+// highest generation, so that routers agree in whatever order and however often
+// marks arrive. A new incarnation starts without a mark.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
     Peer,
 };
 
-// Returns the source's name as it stands in logs, such as "load_report".
+// Returns the source's name in logs, such as "load_report".
 [[nodiscard]] std::string_view leavingSourceName(LeavingSource source);
 
 struct LeavingMark
@@ -43,15 +43,15 @@
 class LeavingMarks
 {
 public:
-    // Merges a mark; tells whether it said something new.
+    // Merges a mark; returns whether it changed the set.
     [[nodiscard]] bool merge(const LeavingMark &mark);
     [[nodiscard]] bool isLeaving(const base::UpstreamId &id, base::Incarnation incarnation) const;
-    // Returns the mark's generation, zero without a mark.
+    // Returns the mark's generation, or zero if there is none.
     [[nodiscard]] std::uint32_t generation(const base::UpstreamId &id, base::Incarnation incarnation) const;
     [[nodiscard]] std::vector<LeavingMark> all() const;
-    // Drops marks of an upstream whose incarnation is not `current`, beyond the newest few.
+    // Removes the oldest marks of an upstream beyond MaxMarksPerUpstream, except that of `current`.
     void prune(const base::UpstreamId &id, base::Incarnation current);
-    // Drops all marks of an upstream that is no longer configured.
+    // Removes all marks of an upstream that is no longer configured.
     void drop(const base::UpstreamId &id);
     // Returns the number of upstreams with marks.
     [[nodiscard]] std::size_t upstreams() const;
@@ -62,7 +62,7 @@
         base::Incarnation incarnation;
         std::uint32_t generation = 0;
     };
-    // Rows in order of arrival; at most MaxMarksPerUpstream after prune().
+    // In order of arrival; at most MaxMarksPerUpstream each after prune().
     std::map<base::UpstreamId, std::vector<Row>> m_rows;
 };
 
--- a/carawaylatch/upstreams/loadreport.h
+++ b/carawaylatch/upstreams/loadreport.h
@@ -1,4 +1,4 @@
-// An upstream's answer to GET /v1/load (docs/design/wire.md).
+// An upstream's response to GET /v1/load (docs/design/wire.md).
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
     std::uint64_t capacityBlocks = 0;
     double prefillTokensPerSecond = 0;
     double decodeMsPerToken = 0;
-    base::Duration age{}; // how old the figures were when the report was sent
+    base::Duration age{}; // age of the figures when the report was sent
 };
 
 } // namespace carawaylatch::upstreams
--- a/carawaylatch/upstreams/registry.cpp
+++ b/carawaylatch/upstreams/registry.cpp
@@ -1,22 +1,23 @@
 // State of upstreams on the control thread.
 //
-// Health. An upstream is polled every PollPeriod. It takes new work while its own
-// last word, counted from when the report's figures were true, is younger than
-// MaxConfirmationAge; two failed polls or one refused connection make it suspect
-// before that. A report lifts suspicion at once. Failed attempts eject it for a
-// pause that doubles, but never more than half of the upstreams at a time.
+// Health. An upstream is polled every PollPeriod. It gets new requests while its
+// last report as live, dated by the time at which its figures were true, is younger
+// than MaxConfirmationAge. Two failed polls or one refused connection make it
+// suspect before that; the next report clears the suspicion. Failed attempts eject
+// it for a time that doubles with each ejection, but never more than half of the
+// upstreams at a time.
 //
-// Incarnations. They don't sort, so the registry remembers the last few of each
+// Incarnations. They have no order, so the registry remembers the last few of each
 // upstream: a report that names one of them is late and is ignored.
 //
-// Leaving. The first notice from any source makes a mark for (upstream,
-// incarnation), announced to peers at once. The platform's list names no
-// incarnation and lags, so besides the mark it holds back whatever life it covers,
-// but only for as long as it says so: a new life on a VM that the list stopped
-// calling leaving is usable without anyone's help.
+// Leaving. The first notice from any source creates a mark for (upstream,
+// incarnation), which is announced to peers at once. The platform's list names no
+// incarnation and lags. Besides creating the mark, it blocks any incarnation of the
+// upstream for as long as it lists it as leaving. A new incarnation on a VM that the
+// list no longer calls leaving is usable without further action.
 //
-// Freeze. A gap between ticks means that notices may wait unread. Until a peer has
-// sent its marks, or for at most ResyncWait if none answers, views are not usable.
+// Freeze. After a gap between ticks, notices may be waiting unread. Views are not
+// usable until a peer has sent its marks, or for ResyncWait if none answers.
 #include "carawaylatch/upstreams/registry.h"
 
 #include <algorithm>
@@ -397,8 +398,8 @@
            && (pool.kind == config::UpstreamKind::Service || (status.load.model == pool.model && status.load.adapter == pool.adapter));
 }
 
-// The configured version as soon as half of the live members hold it; until then
-// the version that most of them hold, so that a change of weights keeps capacity.
+// Returns the configured version as soon as half of the live members have loaded it;
+// until then the version most of them have, so that a change of weights keeps capacity.
 base::WeightsVersion chooseServingVersion(const config::Pool &pool, const std::map<base::WeightsVersion, std::size_t> &holders)
 {
     std::size_t live = 0;
--- a/carawaylatch/upstreams/registry.h
+++ b/carawaylatch/upstreams/registry.h
@@ -1,9 +1,9 @@
 // The control thread's table of upstreams: configuration, health, load,
-// incarnations, leaving marks and ejection, out of which views are built.
+// incarnations, leaving marks and ejection, from which views are built.
 //
-// A state machine: events and `now` in, actions out; no I/O. The driver polls
-// /v1/load of each upstream every PollPeriod and reports the answer or the miss;
-// traffic threads report failed attempts through the control queue.
+// A state machine without I/O: takes events and the current time, returns actions.
+// The caller polls /v1/load of each upstream every PollPeriod and reports the answer
+// or the failure; traffic threads report failed attempts through the control queue.
 //
 //     registry.configure(tables, now);
 //     registry.onLoadReport(id, report, now);
@@ -38,13 +38,13 @@
 
 enum class AttemptOutcome {
     Succeeded,
-    NotSent, // the connection could not be made
-    Failed, // broke, timed out or made no sense after it was sent
-    RefusedLeaving, // the upstream refused because it leaves
+    NotSent, // the connection could not be established
+    Failed, // broke off, timed out or got an invalid answer after it was sent
+    RefusedLeaving, // the upstream refused because it is leaving
     RefusedOther, // overloaded or loading; says nothing about health
 };
 
-// The slot's cache knowledge is void; entries recorded from now on belong to `incarnation`.
+// Discard what is known of the slot's cache; later entries belong to `incarnation`.
 struct AdoptIncarnation
 {
     Slot slot;
@@ -53,7 +53,7 @@
     std::uint64_t capacityBlocks = 0;
 };
 
-// A mark that peers must hear of at once.
+// Send this mark to the peers at once.
 struct AnnounceMark
 {
     LeavingMark mark;
@@ -69,34 +69,34 @@
 class Registry
 {
 public:
-    // Takes the upstreams of accepted tables; those no longer named get no new work.
+    // Applies the upstreams of accepted tables; those no longer listed get no new requests.
     void configure(const config::Tables &tables, base::TimePoint now);
-    // A report of the upstream itself. A report of a past incarnation is ignored.
+    // Handles a load report of the upstream. A report of a past incarnation is ignored.
     void onLoadReport(const base::UpstreamId &id, const LoadReport &report, base::TimePoint now);
-    // A poll of /v1/load that failed.
+    // Handles a failed poll of /v1/load.
     void onUnreachable(const base::UpstreamId &id, base::TimePoint now);
-    // The end of an attempt, from traffic threads.
+    // Handles the end of an attempt, reported by traffic threads.
     void onAttempt(const base::UpstreamId &id, base::Incarnation incarnation, AttemptOutcome outcome, base::TimePoint now);
-    // The first or a later notice that this life of the upstream leaves. A zero
-    // incarnation stands for the current one.
+    // Handles a notice that an incarnation of the upstream is leaving. Incarnation
+    // zero stands for the current one.
     void onLeaving(const base::UpstreamId &id, base::Incarnation incarnation, LeavingSource source, base::TimePoint now);
-    // An operator takes a drain back; has no effect on an upstream that says itself that it leaves.
+    // Revokes a drain for an operator; no effect while the upstream itself or the platform says that it is leaving.
     void onUndrain(const base::UpstreamId &id, base::TimePoint now);
-    // The platform's lagging list; only "leaving" is taken from it.
+    // Handles the platform's list of VMs, which lags; only state "leaving" is used.
     void onPlatformList(std::span<const store::VmRecord> vms, base::TimePoint now);
-    // Marks from a peer or a snapshot, some or all.
+    // Merges marks from a peer or a snapshot, some or all.
     void importMarks(std::span<const LeavingMark> marks, base::TimePoint now);
-    // A peer answered RequestMarks in full; ends the wait after a freeze.
+    // Called when a peer has answered RequestMarks in full; makes views usable again after a freeze.
     void onMarksSynchronised(base::TimePoint now);
     [[nodiscard]] std::vector<LeavingMark> exportMarks() const;
-    // Advances health and ejection, notices that the process was frozen, and builds
-    // the view anew if a state changed or ViewPeriod is over. Called after each batch
-    // of events and at least every ViewPeriod.
+    // Updates health and ejection, detects that the process was frozen, and rebuilds
+    // the view if a state changed or ViewPeriod is over. Called after each batch of
+    // events and at least every ViewPeriod.
     void onTick(base::TimePoint now);
 
-    // Returns what has to be done since the last call, in order.
+    // Returns the actions since the last call, in order.
     [[nodiscard]] std::vector<RegistryAction> takeActions();
-    // Returns the snapshot that the last onTick() left.
+    // Returns the view built last.
     [[nodiscard]] std::shared_ptr<const UpstreamView> view() const;
 
 private:
@@ -107,10 +107,10 @@
         base::TimePoint lastReportAt;
         std::uint32_t failedPolls = 0; // failed polls in a row
         std::uint32_t failures = 0; // failed attempts in a row
-        std::uint32_t ejections = 0; // in a row; lengthens the pause
+        std::uint32_t ejections = 0; // in a row; each doubles the ejection time
         base::TimePoint ejectedUntil;
-        bool isReportedLeaving = false; // by its own word, this incarnation
-        bool isListedLeaving = false; // by the platform's last list, whatever the incarnation
+        bool isReportedLeaving = false; // by a load report or refusal of the current incarnation
+        bool isListedLeaving = false; // in the platform's last list, whatever the incarnation
         std::vector<base::Incarnation> pastIncarnations; // newest last, at most MaxPastIncarnations
     };
 
@@ -130,11 +130,11 @@
     std::map<base::UpstreamId, Entry> m_entries;
     std::vector<config::Pool> m_pools;
     LeavingMarks m_marks;
-    std::deque<Slot> m_freeSlots; // oldest first, so that a slot rests before it is used again
+    std::deque<Slot> m_freeSlots; // oldest first, so that a slot is reused as late as possible
     std::uint16_t m_nextSlot = 0;
     std::vector<RegistryAction> m_actions;
     bool m_isDirty = true; // a state changed since the view was built
-    bool m_hasNewLoad = false; // only figures changed
+    bool m_hasNewLoad = false; // load figures changed since the view was built
     base::TimePoint m_lastTick;
     base::TimePoint m_usableFrom;
     std::shared_ptr<const UpstreamView> m_view = std::make_shared<const UpstreamView>();
--- a/carawaylatch/upstreams/slot.h
+++ b/carawaylatch/upstreams/slot.h
@@ -1,9 +1,8 @@
-// Dense number of an upstream inside one router process.
+// Dense index of an upstream inside one router process.
 //
-// The registry hands slots out; tables that traffic threads touch for every
-// request (cache index, in-flight counters) are arrays over slots. A slot means
-// nothing outside its process: snapshots and messages carry UpstreamId and
-// Incarnation.
+// The registry assigns slots; tables that traffic threads access for every request
+// (cache index, in-flight counters) are arrays over slots. A slot has no meaning
+// outside its process: snapshots and messages carry UpstreamId and Incarnation.
 #pragma once
 
 #include <compare>
@@ -21,7 +20,7 @@
     bool operator==(const Slot &) const = default;
 };
 
-// Upper bound of slots in one process.
+// Maximum number of slots in one process.
 constexpr std::size_t MaxSlots = 16'384;
 
 } // namespace carawaylatch::upstreams
--- a/carawaylatch/upstreams/testing/registrytest.cpp
+++ b/carawaylatch/upstreams/testing/registrytest.cpp
@@ -1,5 +1,5 @@
-// Tests of the upstream registry: leaving from each source under each delay,
-// incarnations, health, ejection, freeze, choice of the weights version.
+// Upstream registry: leaving by each source of notice and under delays, incarnations,
+// health, ejection, freeze, choice of the weights version; in-flight table.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -103,11 +103,11 @@
             const auto before = registry.view();
             CPPUNIT_ASSERT_MESSAGE(row.name, before->maySend(Id, {1}, m_now));
             row.notice(registry, m_now);
-            // The upstream goes on to say live, as one does that doesn't know that it is drained.
+            // An upstream that doesn't know that it is drained goes on to report live.
             registry.onLoadReport(base::UpstreamId{"e1"}, report(1), m_now);
             CPPUNIT_ASSERT_MESSAGE(row.name, !registry.view()->maySend(Id, {1}, m_now));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, std::size_t{1}, registry.view()->pools[0].eligible.size());
-            // A traffic thread that still holds the former view stops by the view's age.
+            // A traffic thread that still holds the previous view stops using it by its age.
             CPPUNIT_ASSERT_MESSAGE(row.name, !before->maySend(Id, {1}, m_now + MaxViewAge + base::milliseconds{1}));
             CPPUNIT_ASSERT_MESSAGE(row.name, MaxViewAge < LeavingBound);
             bool isAnnounced = false;
@@ -121,8 +121,8 @@
 
     void testReportAgeBoundsLeavingWithoutNotice()
     {
-        // Cut off from list and peers, and reports stop or come 2 s late: the age of
-        // the last word that it is live ends new work within the bound.
+        // No notice from the list or peers, and reports stop or arrive 2 s late: the age
+        // of the last report as live ends new requests within the bound.
         const base::TimePoint lastLive = m_now;
         for (int i = 0; i < 8; ++i) {
             m_now += ViewPeriod;
@@ -158,7 +158,7 @@
         m_registry.onMarksSynchronised(m_now);
         CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {1}, m_now));
         CPPUNIT_ASSERT(!m_registry.view()->maySend(base::UpstreamId{"e1"}, {1}, m_now));
-        // Upstreams that were not heard since the freeze take no work either.
+        // Upstreams without a report since the freeze get no requests either.
         CPPUNIT_ASSERT(!m_registry.view()->maySend(base::UpstreamId{"e2"}, {1}, m_now));
     }
 
@@ -182,7 +182,7 @@
         m_registry.onLeaving(Id, {}, LeavingSource::Drain, m_now);
         m_registry.onUndrain(Id, m_now);
         CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {1}, m_now));
-        // The drain's mark comes around once more: it is older than the undrain.
+        // The drain's mark arrives once more; its generation is below that of the undrain.
         const LeavingMark old{Id, {1}, 1};
         m_registry.importMarks(std::span{&old, 1}, m_now);
         CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {1}, m_now));
@@ -201,7 +201,7 @@
         vm.state = store::VmRecord::State::Live;
         m_registry.onPlatformList(std::span{&vm, 1}, m_now);
         CPPUNIT_ASSERT(m_registry.view()->maySend(Id, {2}, m_now));
-        // The mark of the former life stands.
+        // The mark of the previous incarnation remains.
         CPPUNIT_ASSERT(m_registry.exportMarks() == (std::vector<LeavingMark>{{Id, {1}, 1}}));
     }
 
@@ -339,7 +339,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, counts.pendingPrefillTokens);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{107}, counts.prefillTokensSince);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, table.counts(slot, m_now, m_now + base::seconds{5}).prefillTokensSince);
-        // A slot beyond the table counts nothing.
+        // A slot beyond the table is not counted.
         CPPUNIT_ASSERT_EQUAL(0U, (std::ignore = table.begin(Slot{9}, 1, m_now), table.counts(Slot{9}, m_now, m_now).requests));
     }
 
