--- a/carawaylatch/orders/claimjournal.cpp
+++ b/carawaylatch/orders/journalrecordstore.cpp
@@ -1,20 +1,22 @@
 // Group commit over conditional writes.
 //
-// The thread that finds no write under way becomes the leader of its range: it
+// The thread that finds no write in progress becomes the leader of its range: it
 // takes all queued calls, applies them to the last known image and writes the
-// result on condition that the object still has the version of that image. The
-// others sleep until the leader has their results.
+// result, on condition that the object still has the version of that image. The
+// other threads wait until the leader has set their results.
 //
-// A lost race means that the image was old: it is read again and the batch
-// applied anew, each call under its own condition. After an unclear write the
-// image is read back. A call whose record is found as it was to be written has
-// succeeded; the others are applied again. The old write may still be on its way,
-// but it is conditional on a version that our next write replaces, so at most one
-// of the two takes effect. Only if reading back fails too are the calls Unclear.
+// If the condition fails, the image was outdated: it is read again and the batch is
+// applied again, each call under its own condition. After a write with unknown
+// outcome the image is read back. A call whose record is found as it was to be
+// written has succeeded; the others are applied again. The earlier write may still
+// take effect, but it is conditional on a version that the next write replaces, so
+// at most one of the two does. Only if reading back fails too do the calls fail as
+// Unclear.
 //
-// A condition that fails on a cached image proves nothing, so it is checked again
-// on a fresh one, unless the write of the rest of the batch succeeds.
-#include "carawaylatch/orders/claimjournal.h"
+// A call whose condition fails on a cached image may have failed only because the
+// image was outdated. It is checked again on an image just read, unless the write
+// of the rest of the batch succeeds.
+#include "carawaylatch/orders/journalrecordstore.h"
 
 #include <condition_variable>
 #include <deque>
@@ -30,7 +32,7 @@
 namespace
 {
 
-constexpr std::size_t EntryOverheadBytes = 96; // field tags, numbers and lengths of one entry
+constexpr std::size_t EntryOverheadBytes = 96; // field tags, numbers and lengths of an encoded entry
 
 std::size_t entryBytes(const OrderId &order, const OrderRecord &record)
 {
@@ -38,7 +40,7 @@
            + record.answer.body.size();
 }
 
-OrderRecord fitForJournal(OrderRecord record)
+OrderRecord dropAnswerTooLongForJournal(OrderRecord record)
 {
     if (record.answer.body.size() > MaxJournalAnswerBytes) {
         record.answer.body.clear();
@@ -56,7 +58,7 @@
         return base::fail(ErrorKind::InvalidArgument, "order journal can't be decoded; restore the object from the platform's backup");
     }
     JournalImage image;
-    BOOST_OUTCOME_TRY(closed, ClosedSet::decode(journal.closed()));
+    BOOST_OUTCOME_TRY(closed, ClosedKeySet::decode(journal.closed()));
     image.m_closed = std::move(closed);
     image.m_lastVersion = journal.last_version();
     image.m_bytes = image.m_closed.size() * DigestBytes;
@@ -141,8 +143,8 @@
     return m_records.size();
 }
 
-// One caller's compare-and-set, on the caller's stack until it has its result.
-struct JournalClaimStore::Call
+// A compare-and-set of one caller; stays on the caller's stack until the result is set.
+struct JournalRecordStore::Call
 {
     const OrderId &order;
     OrderRecord record;
@@ -151,16 +153,16 @@
     bool isDone = false; // guarded by the range's mutex
 };
 
-struct JournalClaimStore::Range
+struct JournalRecordStore::Range
 {
     std::mutex mutex; // guards waiting, isWriting and Call::isDone
     std::condition_variable changed;
     std::deque<Call *> waiting;
     bool isWriting = false;
-    std::optional<Loaded> cached; // the leader's alone while isWriting
+    std::optional<Loaded> cached; // accessed only by the leader while isWriting
 };
 
-JournalClaimStore::JournalClaimStore(store::ObjectStore &store, JournalSettings settings)
+JournalRecordStore::JournalRecordStore(store::ObjectStore &store, JournalSettings settings)
     : m_store(store)
     , m_settings(settings)
 {
@@ -169,14 +171,14 @@
     }
 }
 
-JournalClaimStore::~JournalClaimStore() = default;
+JournalRecordStore::~JournalRecordStore() = default;
 
-std::uint32_t JournalClaimStore::rangeIndex(const OrderId &order) const
+std::uint32_t JournalRecordStore::rangeIndex(const OrderId &order) const
 {
     return static_cast<std::uint32_t>(order.hash() % m_settings.ranges);
 }
 
-base::Result<JournalClaimStore::Loaded> JournalClaimStore::load(std::uint32_t range)
+base::Result<JournalRecordStore::Loaded> JournalRecordStore::load(std::uint32_t range)
 {
     const auto object = m_store.read("orderjournal/" + std::to_string(range));
     if (!object) {
@@ -189,17 +191,17 @@
     return Loaded{std::move(image), object.value().version};
 }
 
-base::Result<VersionedRecord> JournalClaimStore::read(const OrderId &order)
+base::Result<VersionedRecord> JournalRecordStore::read(const OrderId &order)
 {
     BOOST_OUTCOME_TRY(loaded, load(rangeIndex(order)));
     return loaded.image.find(order);
 }
 
-base::Result<store::Version> JournalClaimStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
+base::Result<store::Version> JournalRecordStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
 {
     const std::uint32_t index = rangeIndex(order);
     Range &range = *m_ranges[index];
-    Call call{order, fitForJournal(record), expected, std::nullopt};
+    Call call{order, dropAnswerTooLongForJournal(record), expected, std::nullopt};
     std::unique_lock lock(range.mutex);
     range.waiting.push_back(&call);
     while (!call.isDone) {
@@ -225,7 +227,7 @@
     return *call.result;
 }
 
-void JournalClaimStore::commit(std::uint32_t index, std::span<Call *const> batch)
+void JournalRecordStore::commit(std::uint32_t index, std::span<Call *const> batch)
 {
     bool isUnclear = false;
     for (std::uint32_t i = 0; i < m_settings.maxTries; ++i) {
@@ -233,15 +235,16 @@
             return;
         }
     }
-    const auto error = isUnclear ? base::fail(ErrorKind::Unclear, "the journal's write stayed unclear; read the record back")
-                                 : base::fail(ErrorKind::Overloaded, "too many routers write the journal; raise its ranges", base::seconds{1});
+    const auto error =
+        isUnclear ? base::fail(ErrorKind::Unclear, "the outcome of the journal write is unknown; read the record back")
+                  : base::fail(ErrorKind::Overloaded, "too many concurrent writers of the order journal; increase its number of ranges", base::seconds{1});
     for (Call *it : batch) {
         it->result = error;
     }
 }
 
-// Applies the batch once. Returns true if all results are final.
-bool JournalClaimStore::tryCommit(std::uint32_t index, std::span<Call *const> batch, bool &isUnclear)
+// Tries one write of the batch. Returns true if all results are final.
+bool JournalRecordStore::tryCommit(std::uint32_t index, std::span<Call *const> batch, bool &isUnclear)
 {
     std::optional<Loaded> &cached = m_ranges[index]->cached;
     const auto failAll = [&batch, &isUnclear](const base::Error &error) {
@@ -298,7 +301,7 @@
     return false;
 }
 
-base::Result<std::size_t> JournalClaimStore::prune(std::uint32_t range, std::uint64_t beforeEpoch)
+base::Result<std::size_t> JournalRecordStore::prune(std::uint32_t range, std::uint64_t beforeEpoch)
 {
     BOOST_OUTCOME_TRY(loaded, load(range));
     const std::size_t dropped = loaded.image.prune(beforeEpoch);
@@ -308,7 +311,7 @@
     return dropped;
 }
 
-JournalCounters JournalClaimStore::counters() const
+JournalCounters JournalRecordStore::counters() const
 {
     const std::lock_guard lock(m_counterMutex);
     return m_counters;
--- a/carawaylatch/orders/claimstore.cpp
+++ b/carawaylatch/orders/recordstore.cpp
@@ -1,11 +1,11 @@
-// One platform object for each order, and the check against the closed set.
+// Record storage in one object per order, with the check for closed keys.
 //
-// The check comes after the claim is written. The pruner closes a key before it
-// removes the record. So if our claim was created because the record had been
-// removed, the key was closed before the creation, and the read that follows the
-// creation sees it. Reading the set first, or trusting a cached one, would let a
-// paused router claim a pruned key.
-#include "carawaylatch/orders/claimstore.h"
+// The check follows the write of the claim. The pruner closes a key before it
+// removes the record. So if the claim was created because the record had been
+// removed, the key was closed before, and the read after the write sees it.
+// Checking before the write, or against a cached set, would let a paused router
+// claim a pruned key.
+#include "carawaylatch/orders/recordstore.h"
 
 #include "carawaylatch/orders/retention.h"
 
@@ -14,12 +14,12 @@
 
 using base::ErrorKind;
 
-SingleClaimStore::SingleClaimStore(store::ObjectStore &store)
+ObjectRecordStore::ObjectRecordStore(store::ObjectStore &store)
     : m_store(store)
 {
 }
 
-base::Result<VersionedRecord> SingleClaimStore::read(const OrderId &order)
+base::Result<VersionedRecord> ObjectRecordStore::read(const OrderId &order)
 {
     const auto object = m_store.read(recordObjectName(order));
     if (!object && object.error().kind != ErrorKind::NotFound) {
@@ -36,7 +36,7 @@
     return VersionedRecord{std::move(record), object.value().version};
 }
 
-base::Result<store::Version> SingleClaimStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
+base::Result<store::Version> ObjectRecordStore::write(const OrderId &order, const OrderRecord &record, store::Version expected)
 {
     BOOST_OUTCOME_TRY(version, m_store.write(recordObjectName(order), encodeRecord(record), expected));
     if (record.state != RecordState::Claimed) {
@@ -49,7 +49,7 @@
     if (open.error().kind == ErrorKind::StaleState) {
         return open.error();
     }
-    return base::fail(ErrorKind::Unclear, "the claim was written but the closed set could not be read; read the record back");
+    return base::fail(ErrorKind::Unclear, "the claim was written but the set of closed keys could not be read; read the record back");
 }
 
 } // namespace carawaylatch::orders
--- a/carawaylatch/orders/retention.cpp
+++ b/carawaylatch/orders/retention.cpp
@@ -1,15 +1,15 @@
-// Epochs, closed sets and the pruner.
+// Epochs, closed keys and the pruner.
 //
-// No wall clock takes part. An epoch ends when some router has seen it unchanged
-// for its whole length by its own monotonic clock, so it is never shorter than
-// that; restarts and outages only make it longer. Age decides when an answer can
-// no longer be replayed. It never decides whether an order may run: that is the
-// closed set's part, and the set only grows.
+// No wall clock is used. An epoch ends when some router has seen it unchanged for
+// its whole length by its own monotonic clock, so it is never shorter than that;
+// restarts and outages only make it longer. Age decides when an answer can no longer
+// be replayed. It never decides whether an order may run: that is decided by the set
+// of closed keys, which only grows.
 //
 // Order of steps for one range: list its records, add the keys of old ones to the
-// closed object (conditional write), then remove each record at the version that
-// was listed. A crash between the steps leaves closed keys with records, which is
-// harmless; the next round removes them.
+// closed keys (conditional write), then remove each record at the version that was
+// listed. A crash between the steps leaves closed keys whose records still exist,
+// which is harmless; the next round removes the records.
 #include "carawaylatch/orders/retention.h"
 
 #include <algorithm>
@@ -56,12 +56,12 @@
 
 } // namespace
 
-base::Result<ClosedSet> ClosedSet::decode(std::string_view bytes)
+base::Result<ClosedKeySet> ClosedKeySet::decode(std::string_view bytes)
 {
     if (bytes.size() % DigestBytes != 0 || bytes.size() / DigestBytes > MaxClosedPerRange) {
-        return base::fail(ErrorKind::InvalidArgument, "closed set has a wrong length; restore the object from the platform's backup");
+        return base::fail(ErrorKind::InvalidArgument, "set of closed keys has a wrong length; restore the object from the platform's backup");
     }
-    ClosedSet set;
+    ClosedKeySet set;
     set.m_digests.reserve(bytes.size() / DigestBytes);
     for (std::size_t i = 0; i < bytes.size(); i += DigestBytes) {
         std::uint64_t digest = 0;
@@ -71,12 +71,12 @@
         set.m_digests.push_back(digest);
     }
     if (!std::is_sorted(set.m_digests.begin(), set.m_digests.end())) {
-        return base::fail(ErrorKind::InvalidArgument, "closed set is not in order; restore the object from the platform's backup");
+        return base::fail(ErrorKind::InvalidArgument, "set of closed keys is not sorted; restore the object from the platform's backup");
     }
     return set;
 }
 
-std::string ClosedSet::encode() const
+std::string ClosedKeySet::encode() const
 {
     std::string bytes;
     bytes.reserve(m_digests.size() * DigestBytes);
@@ -88,12 +88,12 @@
     return bytes;
 }
 
-bool ClosedSet::contains(std::uint64_t digest) const
+bool ClosedKeySet::contains(std::uint64_t digest) const
 {
     return std::binary_search(m_digests.begin(), m_digests.end(), digest);
 }
 
-bool ClosedSet::add(std::span<const std::uint64_t> digests)
+bool ClosedKeySet::add(std::span<const std::uint64_t> digests)
 {
     std::vector<std::uint64_t> merged = m_digests;
     merged.insert(merged.end(), digests.begin(), digests.end());
@@ -106,7 +106,7 @@
     return true;
 }
 
-std::size_t ClosedSet::size() const
+std::size_t ClosedKeySet::size() const
 {
     return m_digests.size();
 }
@@ -136,7 +136,7 @@
         }
         return object.error();
     }
-    BOOST_OUTCOME_TRY(closed, ClosedSet::decode(object.value().value));
+    BOOST_OUTCOME_TRY(closed, ClosedKeySet::decode(object.value().value));
     if (closed.contains(order.hash())) {
         return closedError();
     }
@@ -223,7 +223,7 @@
         const auto record = decodeRecord(it.value);
         const auto order = OrderId::fromPath(std::string_view(it.name).substr(prefix.size()));
         if (record && record.value().epoch == 0) {
-            stamp(it, record.value());
+            assignEpoch(it, record.value());
         } else if (record && order && record.value().epoch + m_settings.keepEpochs < m_counters.epoch && old.size() < m_settings.maxPrunedPerStep) {
             old.push_back(&it);
             digests.push_back(order.value().hash());
@@ -238,22 +238,22 @@
     }
 }
 
-// Gives a record its epoch. The state stays; a claimant that loses a conditional
-// write to this reads back and finds its claim.
-void RecordPruner::stamp(const store::Object &object, OrderRecord record)
+// Sets the epoch of a record and keeps its state. A claimant whose conditional write
+// fails because of this reads the record back and finds its claim.
+void RecordPruner::assignEpoch(const store::Object &object, OrderRecord record)
 {
     record.epoch = m_counters.epoch;
     (void)m_store.write(object.name, encodeRecord(record), object.version);
 }
 
-// Returns true only if all digests are certainly in the closed object.
+// Returns true only if all digests are certainly stored.
 bool RecordPruner::closeKeys(std::uint32_t range, std::span<const std::uint64_t> digests)
 {
     const std::string name = rangeName(ClosedPrefix, range);
-    ClosedSet closed;
+    ClosedKeySet closed;
     store::Version version;
     if (const auto object = m_store.read(name)) {
-        auto decoded = ClosedSet::decode(object.value().value);
+        auto decoded = ClosedKeySet::decode(object.value().value);
         if (!decoded) {
             return false;
         }
--- a/carawaylatch/orders/testing/fakes.h
+++ b/carawaylatch/orders/testing/fakes.h
@@ -1,5 +1,5 @@
-// Fakes around orders: a service that keeps a journal of what it ran, a chooser
-// over a list, a liveness table, and a platform that lets other work in between.
+// Fakes for the tests of orders: a service that counts its runs, a chooser, router
+// liveness, and an object store that runs a hook before a chosen call.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "carawaylatch/orders/orderdesk.h"
+#include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/store/faultystore.h"
 
 namespace carawaylatch::orders::testing
@@ -20,20 +20,20 @@
     Refused, // nothing ran
     NotSent, // nothing ran
     AnswerLost, // ran
-    RequestLost, // did not run, and the caller can't tell
-    Crossed, // ran; the answer is that of another attempt
+    RequestLost, // did not run, unknown to the caller
+    WrongAttempt, // ran; the answer is that of another attempt
 };
 
 constexpr ServiceFault AllServiceFaults[] = {ServiceFault::None,       ServiceFault::Refused,     ServiceFault::NotSent,
-                                             ServiceFault::AnswerLost, ServiceFault::RequestLost, ServiceFault::Crossed};
+                                             ServiceFault::AnswerLost, ServiceFault::RequestLost, ServiceFault::WrongAttempt};
 
-// Runs orders in memory. Safe for use from any thread.
+// Runs orders in memory; thread-safe.
 class FakeService : public ServiceConnection
 {
 public:
-    // Decides each call's fate; called without a lock.
-    std::function<ServiceFault(const ServiceRequest &)> fate;
-    // Runs before the call's fate is decided, to interleave other work.
+    // Chooses the fault of each call; called without a lock.
+    std::function<ServiceFault(const ServiceRequest &)> chooseFault;
+    // Runs before the fault is chosen, to interleave other work.
     std::function<void()> before;
 
     [[nodiscard]] base::Result<ServiceAnswer> call(const ServiceRequest &request) override
@@ -41,7 +41,7 @@
         if (before) {
             before();
         }
-        const ServiceFault fault = fate ? fate(request) : ServiceFault::None;
+        const ServiceFault fault = chooseFault ? chooseFault(request) : ServiceFault::None;
         if (fault == ServiceFault::Refused) {
             return base::fail(base::ErrorKind::Overloaded, "service is busy");
         }
@@ -57,7 +57,7 @@
             return base::fail(base::ErrorKind::Truncated, "connection broke");
         }
         ServiceAnswer answer{201, "text/plain", "booked " + request.orderKey + " " + std::to_string(request.attempt.value), request.attempt, {}};
-        answer.attempt.value += fault == ServiceFault::Crossed ? 1 : 0;
+        answer.attempt.value += fault == ServiceFault::WrongAttempt ? 1 : 0;
         return answer;
     }
 
@@ -100,9 +100,9 @@
 class FakeLiveness : public RouterLiveness
 {
 public:
-    ClaimantLife all = ClaimantLife::Live;
+    ClaimantLiveness all = ClaimantLiveness::Live;
 
-    [[nodiscard]] ClaimantLife life(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
+    [[nodiscard]] ClaimantLiveness livenessOf(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
     {
         return all;
     }
--- a/carawaylatch/orders/testing/orderexplorertest.cpp
+++ b/carawaylatch/orders/testing/orderexplorertest.cpp
@@ -1,9 +1,10 @@
-// Exhaustive interleavings of guards, duties, faults, restarts and pruning.
+// Explores all interleavings of requests, pending updates, faults, restarts and
+// pruning.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
 
-#include "carawaylatch/orders/testing/orderworld.h"
+#include "carawaylatch/orders/testing/ordermodel.h"
 
 namespace carawaylatch::orders::testing
 {
@@ -11,16 +12,16 @@
 namespace
 {
 
-constexpr std::size_t MaxDepth = 40; // longer than any path of the worlds below
+constexpr std::size_t MaxDepth = 40; // longer than any path of the models below
 
-struct WorldCase
+struct ModelCase
 {
     const char *name;
     std::vector<int> routers;
-    WorldLimits limits;
+    ModelLimits limits;
 };
 
-const WorldCase WorldCases[] = {
+const ModelCase ModelCases[] = {
     {"two routers, three faults, a restart", {0, 1}, {3, 1, 0, 0, false}},
     {"one router, duplicates, three faults, a restart", {0, 0}, {3, 1, 0, 0, false}},
     {"third request at the first router, two faults", {0, 1, 0}, {2, 0, 0, 0, false}},
@@ -28,8 +29,8 @@
     {"third request at the second router, two faults", {0, 1, 1}, {2, 0, 0, 0, false}},
     {"four requests, a fault", {0, 1, 0, 1}, {1, 0, 0, 0, false}},
     {"pruning, two faults, a restart", {0, 1}, {2, 1, 1, 0, false}},
-    {"stamping, two faults, a restart", {0, 1}, {2, 1, 0, 1, false}},
-    {"third request, stamping, a fault", {0, 1, 1}, {1, 0, 0, 1, false}},
+    {"epoch write, two faults, a restart", {0, 1}, {2, 1, 0, 1, false}},
+    {"third request, epoch write, a fault", {0, 1, 1}, {1, 0, 0, 1, false}},
     {"wrong liveness, two faults, a restart", {0, 1}, {2, 1, 0, 0, true}},
 };
 
@@ -44,8 +45,8 @@
 public:
     void testAllInterleavings()
     {
-        for (const WorldCase &it : WorldCases) {
-            const auto result = carawaylatch::testing::explore(OrderWorld(it.routers, it.limits), MaxDepth);
+        for (const ModelCase &it : ModelCases) {
+            const auto result = carawaylatch::testing::explore(OrderModel(it.routers, it.limits), MaxDepth);
             std::cout << it.name << ": " << result.states << " states, depth " << result.depth << (result.isComplete ? ", complete" : ", cut off") << '\n';
             CPPUNIT_ASSERT_EQUAL_MESSAGE(it.name, std::string(), result.violation);
             CPPUNIT_ASSERT_MESSAGE(it.name, result.isComplete);
--- a/carawaylatch/routing/estimate.cpp
+++ b/carawaylatch/routing/estimate.cpp
@@ -35,11 +35,12 @@
     queue.tokensPerSecond = status.load.prefillTokensPerSecond > 0 ? status.load.prefillTokensPerSecond : DefaultTokensPerSecond;
     const double age = std::max(0.0, base::toSeconds(query.now - status.loadAt));
     const double routers = std::max(1U, query.routers);
-    const auto ownWaitingTokens = static_cast<double>(own.tokensBeforeFirst);
-    const double corrected = static_cast<double>(status.load.queuedTokens) + static_cast<double>(own.tokensSince) * routers - queue.tokensPerSecond * age;
+    const auto ownWaitingTokens = static_cast<double>(own.pendingPrefillTokens);
+    const double corrected =
+        static_cast<double>(status.load.queuedTokens) + static_cast<double>(own.prefillTokensSince) * routers - queue.tokensPerSecond * age;
     queue.tokens = std::max(corrected, ownWaitingTokens) * query.prefillCorrection;
     if (query.trafficClass == base::TrafficClass::Interactive && ownWaitingTokens > 0) {
-        queue.tokens *= 1 - static_cast<double>(std::min(own.batchBeforeFirst, own.tokensBeforeFirst)) / ownWaitingTokens;
+        queue.tokens *= 1 - static_cast<double>(std::min(own.pendingBatchPrefillTokens, own.pendingPrefillTokens)) / ownWaitingTokens;
     }
     queue.requests = status.load.running + status.load.waiting + static_cast<double>(own.requestsSince) * routers;
     queue.wait = prefillTime(queue.tokens, queue);
--- a/carawaylatch/routing/scoring.cpp
+++ b/carawaylatch/routing/scoring.cpp
@@ -29,7 +29,7 @@
 bool isAllowed(const PlacementContext &context, std::uint32_t index)
 {
     const auto &status = context.view.upstreams[index];
-    return status.takesWork(context.request.now) && !isExcluded(context.request, status.id);
+    return status.acceptsRequests(context.request.now) && !isExcluded(context.request, status.id);
 }
 
 // Returns the shortest delay after which the upstream may accept requests again.
--- a/carawaylatch/upstreams/registry.cpp
+++ b/carawaylatch/upstreams/registry.cpp
@@ -1,22 +1,23 @@
 // State of upstreams on the control thread.
 //
-// Health. An upstream is polled every PollPeriod. It takes new work while its own
-// last word, counted from when the report's figures were true, is younger than
-// MaxConfirmationAge; two failed polls or one refused connection make it suspect
-// before that. A report lifts suspicion at once. Failed attempts eject it for a
-// pause that doubles, but never more than half of the upstreams at a time.
+// Health. An upstream is polled every PollPeriod. It gets new requests while its
+// last report as live, dated by the time at which its figures were true, is younger
+// than MaxConfirmationAge. Two failed polls or one refused connection make it
+// suspect before that; the next report clears the suspicion. Failed attempts eject
+// it for a time that doubles with each ejection, but never more than half of the
+// upstreams at a time.
 //
-// Incarnations. They don't sort, so the registry remembers the last few of each
+// Incarnations. They have no order, so the registry remembers the last few of each
 // upstream: a report that names one of them is late and is ignored.
 //
-// Leaving. The first notice from any source makes a mark for (upstream,
-// incarnation), announced to peers at once. The platform's list names no
-// incarnation and lags, so besides the mark it holds back whatever life it covers,
-// but only for as long as it says so: a new life on a VM that the list stopped
-// calling leaving is usable without anyone's help.
+// Leaving. The first notice from any source creates a mark for (upstream,
+// incarnation), which is announced to peers at once. The platform's list names no
+// incarnation and lags. Besides creating the mark, it blocks any incarnation of the
+// upstream for as long as it lists it as leaving. A new incarnation on a VM that the
+// list no longer calls leaving is usable without further action.
 //
-// Freeze. A gap between ticks means that notices may wait unread. Until a peer has
-// sent its marks, or for at most ResyncWait if none answers, views are not usable.
+// Freeze. After a gap between ticks, notices may be waiting unread. Views are not
+// usable until a peer has sent its marks, or for ResyncWait if none answers.
 #include "carawaylatch/upstreams/registry.h"
 
 #include <algorithm>
@@ -31,7 +32,7 @@
 namespace
 {
 
-constexpr std::uint32_t SuspectMisses = 2; // failed polls in a row
+constexpr std::uint32_t SuspectAfterFailedPolls = 2; // failed polls in a row
 constexpr base::Duration DeadAfter = base::seconds{5};
 constexpr std::uint32_t EjectAfterFailures = 3; // failed attempts in a row
 constexpr base::Duration MinEjection = base::seconds{1};
@@ -113,14 +114,14 @@
         return;
     }
     Entry &entry = it->second;
-    if (std::find(entry.past.begin(), entry.past.end(), report.incarnation) != entry.past.end()) {
+    if (std::find(entry.pastIncarnations.begin(), entry.pastIncarnations.end(), report.incarnation) != entry.pastIncarnations.end()) {
         return;
     }
     if (report.incarnation != entry.status.incarnation) {
         adopt(entry, report);
     }
-    entry.heardAt = now;
-    entry.misses = 0;
+    entry.lastReportAt = now;
+    entry.failedPolls = 0;
     const base::TimePoint trueAt = now - report.age;
     if (trueAt < entry.status.loadAt) {
         return;
@@ -139,19 +140,19 @@
 {
     const base::Incarnation old = entry.status.incarnation;
     if (old.value != 0) {
-        entry.past.push_back(old);
-        if (entry.past.size() > MaxPastIncarnations) {
-            entry.past.erase(entry.past.begin());
+        entry.pastIncarnations.push_back(old);
+        if (entry.pastIncarnations.size() > MaxPastIncarnations) {
+            entry.pastIncarnations.erase(entry.pastIncarnations.begin());
         }
     } else if (m_marks.isLeaving(entry.status.id, {})) {
-        mark(entry, report.incarnation);
+        markLeaving(entry, report.incarnation);
     }
     entry.status.incarnation = report.incarnation;
     entry.status.loadAt = {};
     entry.failures = 0;
     entry.ejections = 0;
     entry.ejectedUntil = {};
-    entry.saidLeaving = false;
+    entry.isReportedLeaving = false;
     m_marks.prune(entry.status.id, report.incarnation);
     m_actions.emplace_back(AdoptIncarnation{entry.status.slot, entry.status.id, report.incarnation, report.capacityBlocks});
     m_isDirty = true;
@@ -163,7 +164,7 @@
     if (it == m_entries.end()) {
         return;
     }
-    ++it->second.misses;
+    ++it->second.failedPolls;
     m_isDirty = m_isDirty || stateOf(it->second, now) != it->second.status.state;
 }
 
@@ -180,7 +181,7 @@
         entry.ejections = 0;
         break;
     case AttemptOutcome::NotSent:
-        entry.misses = std::max(entry.misses, SuspectMisses);
+        entry.failedPolls = std::max(entry.failedPolls, SuspectAfterFailedPolls);
         m_isDirty = true;
         break;
     case AttemptOutcome::Failed:
@@ -227,13 +228,13 @@
     Entry &entry = it->second;
     const base::Incarnation marked = incarnation.value == 0 ? entry.status.incarnation : incarnation;
     if ((source == LeavingSource::LoadReport || source == LeavingSource::Refusal) && marked == entry.status.incarnation) {
-        entry.saidLeaving = true;
+        entry.isReportedLeaving = true;
     }
-    mark(entry, marked);
+    markLeaving(entry, marked);
     rebuild(now);
 }
 
-void Registry::mark(const Entry &entry, base::Incarnation incarnation)
+void Registry::markLeaving(const Entry &entry, base::Incarnation incarnation)
 {
     const LeavingMark mark{entry.status.id, incarnation, m_marks.generation(entry.status.id, incarnation) | 1U};
     if (m_marks.merge(mark)) {
@@ -245,7 +246,7 @@
 void Registry::onUndrain(const base::UpstreamId &id, base::TimePoint now)
 {
     const auto it = m_entries.find(id);
-    if (it == m_entries.end() || it->second.saidLeaving || it->second.isListedLeaving) {
+    if (it == m_entries.end() || it->second.isReportedLeaving || it->second.isListedLeaving) {
         return;
     }
     const base::Incarnation incarnation = it->second.status.incarnation;
@@ -263,7 +264,7 @@
         }
         const auto it = m_entries.find(base::UpstreamId{vm.name});
         if (it != m_entries.end()) {
-            onListed(it->second, vm.state);
+            onPlatformState(it->second, vm.state);
         }
     }
     if (m_isDirty) {
@@ -271,11 +272,11 @@
     }
 }
 
-void Registry::onListed(Entry &entry, store::VmRecord::State state)
+void Registry::onPlatformState(Entry &entry, store::VmRecord::State state)
 {
     const bool isLeaving = state == store::VmRecord::State::Leaving;
     if (isLeaving && !entry.isListedLeaving && entry.status.incarnation.value != 0) {
-        mark(entry, entry.status.incarnation);
+        markLeaving(entry, entry.status.incarnation);
     }
     m_isDirty = m_isDirty || isLeaving != entry.isListedLeaving;
     entry.isListedLeaving = isLeaving;
@@ -339,16 +340,16 @@
 UpstreamState Registry::stateOf(const Entry &entry, base::TimePoint now) const
 {
     const auto &status = entry.status;
-    if (entry.saidLeaving || entry.isListedLeaving || m_marks.isLeaving(status.id, status.incarnation)) {
+    if (entry.isReportedLeaving || entry.isListedLeaving || m_marks.isLeaving(status.id, status.incarnation)) {
         return UpstreamState::Leaving;
     }
     if (status.incarnation.value == 0) {
         return UpstreamState::Unknown;
     }
-    if (now - entry.heardAt > DeadAfter) {
+    if (now - entry.lastReportAt > DeadAfter) {
         return UpstreamState::Dead;
     }
-    if (entry.misses >= SuspectMisses || now - status.confirmedAt > MaxConfirmationAge) {
+    if (entry.failedPolls >= SuspectAfterFailedPolls || now - status.confirmedAt > MaxConfirmationAge) {
         return UpstreamState::Suspect;
     }
     if (status.load.state == ReportedState::Loading) {
@@ -397,22 +398,22 @@
            && (pool.kind == config::UpstreamKind::Service || (status.load.model == pool.model && status.load.adapter == pool.adapter));
 }
 
-// The configured version as soon as half of the live members hold it; until then
-// the version that most of them hold, so that a change of weights keeps capacity.
-base::WeightsVersion chooseVersion(const config::Pool &pool, const std::map<base::WeightsVersion, std::size_t> &holders)
+// Returns the configured version as soon as half of the live members have loaded it;
+// until then the version most of them have, so that a change of weights keeps capacity.
+base::WeightsVersion chooseServingVersion(const config::Pool &pool, const std::map<base::WeightsVersion, std::size_t> &holders)
 {
     std::size_t live = 0;
-    base::WeightsVersion commonest = pool.weightsVersion;
+    base::WeightsVersion mostCommon = pool.weightsVersion;
     std::size_t most = 0;
     for (const auto &[version, n] : holders) {
         live += n;
         if (n > most) {
             most = n;
-            commonest = version;
+            mostCommon = version;
         }
     }
     const auto wanted = holders.find(pool.weightsVersion);
-    return wanted != holders.end() && wanted->second * 2 >= live ? pool.weightsVersion : commonest;
+    return wanted != holders.end() && wanted->second * 2 >= live ? pool.weightsVersion : mostCommon;
 }
 
 } // namespace
@@ -439,14 +440,14 @@
         }
     }
     std::sort(result.members.begin(), result.members.end());
-    result.servingVersion = pool.kind == config::UpstreamKind::Service ? pool.weightsVersion : chooseVersion(pool, holders);
+    result.servingVersion = pool.kind == config::UpstreamKind::Service ? pool.weightsVersion : chooseServingVersion(pool, holders);
     for (const std::uint32_t it : result.members) {
         const UpstreamStatus &status = view.upstreams[it];
         if (servesModel(status, pool) && (pool.kind == config::UpstreamKind::Service || status.load.weightsVersion == result.servingVersion)) {
             result.eligible.push_back(it);
         }
     }
-    result.arrange(view.upstreams);
+    result.indexEligible(view.upstreams);
     return result;
 }
 
