--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -24,10 +24,10 @@
 #include <boost/asio/write.hpp>
 
 #include "carawaylatch/proxy/loadreport.h"
-#include "carawaylatch/proxy/peerwork.h"
+#include "carawaylatch/proxy/peerload.h"
 #include "carawaylatch/proxy/placement.h"
 #include "carawaylatch/proxy/trafficplane.h"
-#include "carawaylatch/proxy/upstreambook.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 #include "platform/dialect.h"
 #include "platform/testing/standinserver.h"
 
--- a/carawaylatch/proxy/exchange.cpp
+++ b/carawaylatch/proxy/exchange.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/proxy/promptstate.h"
+#include "carawaylatch/proxy/kvtransfer.h"
 #include "carawaylatch/proxy/trafficplane.h"
 
 namespace carawaylatch::proxy
--- a/carawaylatch/proxy/exchange.h
+++ b/carawaylatch/proxy/exchange.h
@@ -18,8 +18,8 @@
 #include "carawaylatch/proxy/eventscanner.h"
 #include "carawaylatch/proxy/fleet.h"
 #include "carawaylatch/proxy/placement.h"
-#include "carawaylatch/proxy/upstreambook.h"
 #include "carawaylatch/proxy/upstreamconnection.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 #include "carawaylatch/proxy/waitqueue.h"
 
 namespace carawaylatch::proxy
--- a/carawaylatch/proxy/exchangeattempt.cpp
+++ b/carawaylatch/proxy/exchangeattempt.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "carawaylatch/proxy/promptstate.h"
+#include "carawaylatch/proxy/kvtransfer.h"
 #include "carawaylatch/proxy/trafficplane.h"
 
 namespace carawaylatch::proxy
--- a/carawaylatch/proxy/promptstate.cpp
+++ b/carawaylatch/proxy/kvtransfer.cpp
@@ -1,5 +1,5 @@
 // Keys and sources of promptstate.h.
-#include "carawaylatch/proxy/promptstate.h"
+#include "carawaylatch/proxy/kvtransfer.h"
 
 #include "carawaylatch/base/hash.h"
 
--- a/carawaylatch/proxy/promptstate.h
+++ b/carawaylatch/proxy/kvtransfer.h
@@ -15,7 +15,7 @@
 #include "carawaylatch/base/time.h"
 #include "carawaylatch/proxy/dialect.h"
 #include "carawaylatch/proxy/fleet.h"
-#include "carawaylatch/proxy/upstreambook.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 
 namespace carawaylatch::proxy
 {
--- a/carawaylatch/proxy/peerwork.cpp
+++ b/carawaylatch/proxy/peerload.cpp
@@ -1,5 +1,5 @@
 // Sums are changed by the difference between a peer's former and present figures.
-#include "carawaylatch/proxy/peerwork.h"
+#include "carawaylatch/proxy/peerload.h"
 
 #include <vector>
 
--- a/carawaylatch/proxy/placement.cpp
+++ b/carawaylatch/proxy/placement.cpp
@@ -5,7 +5,7 @@
 #include <limits>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/proxy/promptstate.h"
+#include "carawaylatch/proxy/kvtransfer.h"
 
 namespace carawaylatch::proxy
 {
--- a/carawaylatch/proxy/placement.h
+++ b/carawaylatch/proxy/placement.h
@@ -16,7 +16,7 @@
 #include "carawaylatch/base/ids.h"
 #include "carawaylatch/base/time.h"
 #include "carawaylatch/proxy/fleet.h"
-#include "carawaylatch/proxy/upstreambook.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 
 namespace carawaylatch::proxy
 {
--- a/carawaylatch/proxy/promptplacements.cpp
+++ b/carawaylatch/proxy/prefixplacements.cpp
@@ -1,5 +1,5 @@
 // Placements of a state are kept in order of their last use.
-#include "carawaylatch/proxy/promptplacements.h"
+#include "carawaylatch/proxy/prefixplacements.h"
 
 #include <algorithm>
 
--- a/carawaylatch/proxy/testing/decisionstest.cpp
+++ b/carawaylatch/proxy/testing/decisionstest.cpp
@@ -9,10 +9,10 @@
 #include "carawaylatch/proxy/attemptrules.h"
 #include "carawaylatch/proxy/eventscanner.h"
 #include "carawaylatch/proxy/fleet.h"
+#include "carawaylatch/proxy/kvtransfer.h"
 #include "carawaylatch/proxy/placement.h"
-#include "carawaylatch/proxy/promptplacements.h"
-#include "carawaylatch/proxy/promptstate.h"
-#include "carawaylatch/proxy/upstreambook.h"
+#include "carawaylatch/proxy/prefixplacements.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 #include "carawaylatch/proxy/waitqueue.h"
 
 namespace carawaylatch::proxy::testing
--- a/carawaylatch/proxy/testing/loadreporttest.cpp
+++ b/carawaylatch/proxy/testing/loadreporttest.cpp
@@ -6,7 +6,7 @@
 
 #include "carawaylatch/base/hash.h"
 #include "carawaylatch/proxy/loadreport.h"
-#include "carawaylatch/proxy/peerwork.h"
+#include "carawaylatch/proxy/peerload.h"
 #include "testing/seed.h"
 
 namespace carawaylatch::proxy::testing
--- a/carawaylatch/proxy/testing/sharedplacementtest.cpp
+++ b/carawaylatch/proxy/testing/sharedplacementtest.cpp
@@ -5,9 +5,9 @@
 #include <memory>
 #include <string>
 
+#include "carawaylatch/proxy/kvtransfer.h"
 #include "carawaylatch/proxy/placement.h"
-#include "carawaylatch/proxy/promptstate.h"
-#include "carawaylatch/proxy/upstreambook.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 
 namespace carawaylatch::proxy::testing
 {
--- a/carawaylatch/proxy/upstreambook.cpp
+++ b/carawaylatch/proxy/upstreamtracker.cpp
@@ -2,7 +2,7 @@
 //
 // Load of others is what an answer told less what this router had there itself;
 // it fades linearly, because a sample says nothing about a second later.
-#include "carawaylatch/proxy/upstreambook.h"
+#include "carawaylatch/proxy/upstreamtracker.h"
 
 #include <algorithm>
 #include <limits>
--- a/carawaylatch/proxy/upstreambook.h
+++ b/carawaylatch/proxy/upstreamtracker.h
@@ -17,8 +17,8 @@
 #include "carawaylatch/proxy/dialect.h"
 #include "carawaylatch/proxy/fleet.h"
 #include "carawaylatch/proxy/loadreport.h"
-#include "carawaylatch/proxy/peerwork.h"
-#include "carawaylatch/proxy/promptplacements.h"
+#include "carawaylatch/proxy/peerload.h"
+#include "carawaylatch/proxy/prefixplacements.h"
 
 namespace carawaylatch::proxy
 {
