--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -78,7 +78,7 @@
     void onWeightsSeen(const base::UpstreamId & /*upstream*/, base::WeightsVersion /*weights*/) override
     {
     }
-    void onRouterGone(const base::Endpoint & /*peers*/) override
+    void onRouterUnreachable(const base::Endpoint & /*peers*/) override
     {
     }
 };
@@ -229,10 +229,10 @@
     explicit EnginePool(int engines)
     {
         auto table = std::make_shared<proxy::RouteTable>();
-        table->pools.push_back(proxy::Pool{base::PoolName("p"), 100, proxy::EngineShape{100'000, 16}});
+        table->pools.push_back(proxy::Pool{base::PoolName("p"), 100, proxy::EngineCapacity{100'000, 16}});
         view.table = table;
         proxy::LoadReport report;
-        report.isWhole = true;
+        report.isFullReport = true;
         for (int i = 0; i < engines; ++i) {
             proxy::Upstream upstream;
             upstream.id = base::UpstreamId("i-" + std::to_string(1'000'000 + i));
@@ -240,13 +240,13 @@
             upstream.slots = 16;
             upstream.models[base::ModelId("m")] = base::WeightsVersion{1};
             view.upstreams.push_back(upstream);
-            report.work.push_back({base::hash64(upstream.id.value()), 2, 500, 18'000});
+            report.loads.push_back({base::hash64(upstream.id.value()), 2, 500, 18'000});
         }
-        book.adopt(view, {});
-        static_cast<void>(book.heardOf(report, {}));
+        tracker.adopt(view, {});
+        static_cast<void>(tracker.applyReport(report, {}));
     }
     proxy::FleetView view;
-    proxy::UpstreamBook book;
+    proxy::UpstreamTracker tracker;
 };
 
 void benchPlace(benchmark::State &state)
@@ -259,8 +259,8 @@
     query.sharedTokens = 6000;
     query.memoryTokens = 9000;
     for (auto _ : state) {
-        ++query.promptKey;
-        benchmark::DoNotOptimize(proxy::place(query, pool.view, pool.book, tuning));
+        ++query.prefixKey;
+        benchmark::DoNotOptimize(proxy::place(query, pool.view, pool.tracker, tuning));
     }
 }
 BENCHMARK(benchPlace)->Arg(9)->Arg(90)->Arg(833);
@@ -269,12 +269,12 @@
 void benchReport(benchmark::State &state)
 {
     proxy::LoadReport report;
-    report.isWhole = true;
-    proxy::PeerWork work;
+    report.isFullReport = true;
+    proxy::PeerLoad work;
     work.apply(report, {});
-    report.isWhole = false;
+    report.isFullReport = false;
     for (std::uint64_t i = 0; i < static_cast<std::uint64_t>(state.range(0)); ++i) {
-        report.work.push_back({i, 1, 9000, 9000});
+        report.loads.push_back({i, 1, 9000, 9000});
         report.placements.push_back({i, i});
     }
     std::size_t bytes = 0;
--- a/carawaylatch/gateway/controlplane.cpp
+++ b/carawaylatch/gateway/controlplane.cpp
@@ -279,7 +279,7 @@
     return std::string(RouterPrefix) + m_settings.router.value();
 }
 
-void ControlPlane::onRouterGone(const base::Endpoint &peers)
+void ControlPlane::onRouterUnreachable(const base::Endpoint &peers)
 {
     m_goneRouters.insert(peers);
 }
--- a/carawaylatch/gateway/controlplane.h
+++ b/carawaylatch/gateway/controlplane.h
@@ -58,7 +58,7 @@
     void onWeightsSeen(const base::UpstreamId &upstream, base::WeightsVersion weights);
     // From the control thread: the router that takes load reports there was not reached for
     // long. Its object is removed; a router that is only cut off writes it again.
-    void onRouterGone(const base::Endpoint &peers);
+    void onRouterUnreachable(const base::Endpoint &peers);
 
 private:
     // A list of which some pages were read. A busy store refuses calls, so a list of many
--- a/carawaylatch/gateway/fleetstate.cpp
+++ b/carawaylatch/gateway/fleetstate.cpp
@@ -174,7 +174,7 @@
         return;
     }
     // A version that is found rather than announced may have been named long ago.
-    target.name(version, isListed ? base::TimePoint{} : now);
+    target.announce(version, isListed ? base::TimePoint{} : now);
     m_isChanged = true;
     m_log.write(base::LogEvent::WeightsNamed, {{"model", model.value()}, {"version", std::to_string(version.value)}});
 }
@@ -182,7 +182,7 @@
 bool FleetState::isSame(const proxy::Upstream &left, const proxy::Upstream &right)
 {
     return left.pool == right.pool && left.endpoint == right.endpoint && left.domain == right.domain && left.slots == right.slots && left.phase == right.phase
-           && left.bornMs == right.bornMs && left.models == right.models;
+           && left.startTimeMs == right.startTimeMs && left.models == right.models;
 }
 
 void FleetState::applyUpstream(const StoredObject &object, bool wasOutOfReach, base::TimePoint now)
@@ -203,10 +203,10 @@
     proxy::Upstream upstream = std::move(decoded.value());
     const auto it = m_upstreams.find(id);
     if (it != m_upstreams.end()) {
-        if (it->second.bornMs > upstream.bornMs) {
+        if (it->second.startTimeMs > upstream.startTimeMs) {
             return; // of an earlier life
         }
-        const bool isSameLife = it->second.bornMs == upstream.bornMs;
+        const bool isSameLife = it->second.startTimeMs == upstream.startTimeMs;
         if (isSameLife && it->second.phase == proxy::UpstreamPhase::Draining) {
             upstream.phase = proxy::UpstreamPhase::Draining; // a life that leaves doesn't come back
         }
@@ -325,7 +325,7 @@
         view->upstreams.push_back(upstream);
     }
     view->targets = m_targets;
-    view->deadCacheStores = m_deadCacheStores;
+    view->unavailableCacheStores = m_deadCacheStores;
     if (const StoredObject *changing = duty(ChangingName)) {
         view->reloading = ChangingEngines::decode(changing->text).engines;
     }
--- a/carawaylatch/gateway/gateway.cpp
+++ b/carawaylatch/gateway/gateway.cpp
@@ -103,10 +103,10 @@
     });
 }
 
-void Gateway::onRouterGone(const base::Endpoint &peers)
+void Gateway::onRouterUnreachable(const base::Endpoint &peers)
 {
     boost::asio::post(m_controlLoop, [this, peers] {
-        m_control->onRouterGone(peers);
+        m_control->onRouterUnreachable(peers);
     });
 }
 
--- a/carawaylatch/gateway/gateway.h
+++ b/carawaylatch/gateway/gateway.h
@@ -45,7 +45,7 @@
     int run();
 
     void onWeightsSeen(const base::UpstreamId &upstream, base::WeightsVersion weights) override;
-    void onRouterGone(const base::Endpoint &peers) override;
+    void onRouterUnreachable(const base::Endpoint &peers) override;
 
 private:
     void awaitSignal();
--- a/carawaylatch/gateway/gatewaysettings.cpp
+++ b/carawaylatch/gateway/gatewaysettings.cpp
@@ -182,7 +182,7 @@
     out.retryReserve = static_cast<std::uint32_t>(retryReserve);
     out.maxTableAge = base::fromMilliseconds(maxAgeMs * UsedAgeShare);
     out.readyTableAge = base::fromMilliseconds(maxAgeMs * ReadyAgeShare);
-    out.maxBodyBytesHeld = static_cast<std::uint64_t>(memoryMegabytes * 1e6 * MaxBodiesShare);
+    out.maxBufferedBodyBytes = static_cast<std::uint64_t>(memoryMegabytes * 1e6 * MaxBodiesShare);
     out.placement.oldWeightsLimit = base::fromMilliseconds(changeWithinMs * OldWeightsShare);
     out.placement.oldWeightsStart = base::fromMilliseconds(changeWithinMs * OldWeightsStartShare);
     return out;
--- a/carawaylatch/gateway/testing/controlplanetest.cpp
+++ b/carawaylatch/gateway/testing/controlplanetest.cpp
@@ -439,9 +439,9 @@
             },
             base::seconds{5}));
         // Both find out; the second one's removal meets nothing.
-        world.routers[0]->plane.onRouterGone(gone);
-        world.routers[1]->plane.onRouterGone(gone);
-        world.routers[1]->plane.onRouterGone(base::Endpoint{"10.0.0.8", 7});
+        world.routers[0]->plane.onRouterUnreachable(gone);
+        world.routers[1]->plane.onRouterUnreachable(gone);
+        world.routers[1]->plane.onRouterUnreachable(base::Endpoint{"10.0.0.8", 7});
         CPPUNIT_ASSERT(runUntil(
             [&seesRouters] {
                 return seesRouters(2);
--- a/carawaylatch/gateway/testing/fakes.h
+++ b/carawaylatch/gateway/testing/fakes.h
@@ -38,7 +38,7 @@
         upstream.pool = base::PoolName(words[0]);
         upstream.endpoint = base::Endpoint{"127.0.0.1", 1};
         upstream.phase = words[1] == "ready" ? proxy::UpstreamPhase::Ready : proxy::UpstreamPhase::Draining;
-        upstream.bornMs = number(words[2]);
+        upstream.startTimeMs = number(words[2]);
         upstream.models[base::ModelId("m")] = base::WeightsVersion{number(words[3])};
         return upstream;
     }
--- a/carawaylatch/gateway/testing/fleetstatetest.cpp
+++ b/carawaylatch/gateway/testing/fleetstatetest.cpp
@@ -108,7 +108,7 @@
         change(ObjectKind::Upstreams, object("e", "p ready 20 3"));
         change(ObjectKind::Upstreams, object("e", "p draining 10 1", 2));
         CPPUNIT_ASSERT(m_state->view()->upstreams.front().phase == proxy::UpstreamPhase::Ready);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, m_state->view()->upstreams.front().bornMs);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, m_state->view()->upstreams.front().startTimeMs);
     }
 
     // After the store was out of reach, a missing entry may have lapsed: it stays in
@@ -193,9 +193,9 @@
         CPPUNIT_ASSERT(!m_state->takeChanged());
         m_state->onCacheStore(store, false);
         CPPUNIT_ASSERT(m_state->takeChanged());
-        CPPUNIT_ASSERT(m_state->view()->deadCacheStores.contains(store));
+        CPPUNIT_ASSERT(m_state->view()->unavailableCacheStores.contains(store));
         m_state->onCacheStore(store, true);
-        CPPUNIT_ASSERT(m_state->view()->deadCacheStores.empty());
+        CPPUNIT_ASSERT(m_state->view()->unavailableCacheStores.empty());
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(FleetStateTest);
--- a/carawaylatch/proxy/attemptrules.cpp
+++ b/carawaylatch/proxy/attemptrules.cpp
@@ -7,25 +7,25 @@
 namespace
 {
 
-bool mayTryAgain(const Route &route, AttemptEnd end, const AttemptHistory &history)
+bool isRetryAllowed(const Route &route, AttemptEnd end, const AttemptHistory &history)
 {
     // An attempt that is not known as unexecuted may have run.
-    const bool mayHaveRun = history.sent > history.unexecuted;
+    const bool mayHaveRun = history.sent > history.notExecuted;
     if (!history.hasTimeLeft || (mayHaveRun && !route.isRepeatable())) {
         return false;
     }
     if (end == AttemptEnd::NotSent) {
-        return history.unsent < MaxUnsentAttempts;
+        return history.connectFailures < MaxConnectFailures;
     }
     // Upstreams that did not run the request don't count against the route's attempts.
-    const bool hasAttempt = history.sent - history.unexecuted < route.maxAttempts;
-    return hasAttempt && history.unexecuted <= MaxUnexecutedAttempts && history.hasBudget;
+    const bool hasAttempt = history.sent - history.notExecuted < route.maxAttempts;
+    return hasAttempt && history.notExecuted <= MaxNotExecutedAttempts && history.hasBudget;
 }
 
 // True if no attempt ran or will run.
-bool isSurelyUnrun(const AttemptHistory &history)
+bool isKnownNotExecuted(const AttemptHistory &history)
 {
-    return history.sent == history.unexecuted;
+    return history.sent == history.notExecuted;
 }
 
 } // namespace
@@ -33,18 +33,18 @@
 NextStep nextStep(const Route &route, AttemptEnd end, const AttemptHistory &history)
 {
     if (end == AttemptEnd::Answered) {
-        return NextStep::PassOn;
+        return NextStep::Forward;
     }
-    if (history.isAnswering) {
-        return mayTryAgain(route, end, history) && route.kind == CallKind::Stream && route.isResumable ? NextStep::TryAgain : NextStep::BreakOff;
+    if (history.hasResponseStarted) {
+        return isRetryAllowed(route, end, history) && route.kind == CallKind::Stream && route.isResumable ? NextStep::Retry : NextStep::Abort;
     }
-    if (mayTryAgain(route, end, history)) {
-        return NextStep::TryAgain;
+    if (isRetryAllowed(route, end, history)) {
+        return NextStep::Retry;
     }
     if (end == AttemptEnd::ServerError) {
-        return NextStep::PassOn;
+        return NextStep::Forward;
     }
-    return isSurelyUnrun(history) ? NextStep::SayNotRun : NextStep::SayUnknown;
+    return isKnownNotExecuted(history) ? NextStep::RefuseNotExecuted : NextStep::FailOutcomeUnknown;
 }
 
 std::string_view attemptEndName(AttemptEnd end)
@@ -67,21 +67,21 @@
 std::string_view nextStepName(NextStep step)
 {
     switch (step) {
-    case NextStep::TryAgain:
+    case NextStep::Retry:
         return "try_again";
-    case NextStep::PassOn:
+    case NextStep::Forward:
         return "pass_on";
-    case NextStep::SayNotRun:
+    case NextStep::RefuseNotExecuted:
         return "say_not_run";
-    case NextStep::SayUnknown:
+    case NextStep::FailOutcomeUnknown:
         return "say_unknown";
-    case NextStep::BreakOff:
+    case NextStep::Abort:
         return "break_off";
     }
     return "";
 }
 
-bool promisesNotRun(unsigned status)
+bool impliesNotExecuted(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
--- a/carawaylatch/proxy/attemptrules.h
+++ b/carawaylatch/proxy/attemptrules.h
@@ -25,26 +25,26 @@
 struct AttemptHistory
 {
     std::uint32_t sent = 0; // attempts of which a byte left, the ended one included
-    std::uint32_t unexecuted = 0; // of these, those that said "not executed"
-    std::uint32_t unsent = 0; // connections that could not be made
-    bool isAnswering = false; // the caller already holds a part of the answer
+    std::uint32_t notExecuted = 0; // of these, those that said "not executed"
+    std::uint32_t connectFailures = 0; // connections that could not be made
+    bool hasResponseStarted = false; // the caller already holds a part of the answer
     bool hasTimeLeft = true;
     bool hasBudget = true; // the pool's budget allows another send
 };
 
 enum class NextStep {
-    TryAgain, // at another upstream
-    PassOn, // the upstream's own answer, unchanged
-    SayNotRun, // refuse with the time at which to come back
-    SayUnknown, // a failure that promises nothing
-    BreakOff, // cut the answer under way, so that it can't look complete
+    Retry, // at another upstream
+    Forward, // the upstream's own answer, unchanged
+    RefuseNotExecuted, // refuse with the time at which to come back
+    FailOutcomeUnknown, // a failure that promises nothing
+    Abort, // cut the answer under way, so that it can't look complete
 };
 
 // Connections that one request may fail to make before it is refused.
-constexpr std::uint32_t MaxUnsentAttempts = 4;
+constexpr std::uint32_t MaxConnectFailures = 4;
 
 // Upstreams that may turn one request away before it is refused.
-constexpr std::uint32_t MaxUnexecutedAttempts = 3;
+constexpr std::uint32_t MaxNotExecutedAttempts = 3;
 
 [[nodiscard]] NextStep nextStep(const Route &route, AttemptEnd end, const AttemptHistory &history);
 
@@ -53,6 +53,6 @@
 [[nodiscard]] std::string_view nextStepName(NextStep step);
 
 // True if the status promises callers that the request did not run.
-[[nodiscard]] bool promisesNotRun(unsigned status);
+[[nodiscard]] bool impliesNotExecuted(unsigned status);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/callerconnection.cpp
+++ b/carawaylatch/proxy/callerconnection.cpp
@@ -18,7 +18,7 @@
 {
 
 // A caller that acknowledges nothing for so long is gone; streams reach it every few milliseconds.
-constexpr base::Duration CallerSilence = base::seconds{5};
+constexpr base::Duration CallerAckTimeout = base::seconds{5};
 
 } // namespace
 
@@ -26,7 +26,7 @@
     : m_plane(plane)
     , m_socket(std::move(socket))
 {
-    setSocketOptions(m_socket, CallerSilence);
+    setSocketOptions(m_socket, CallerAckTimeout);
 }
 
 void CallerConnection::start()
@@ -47,14 +47,14 @@
 
 void CallerConnection::read()
 {
-    if (m_isReading || m_isClosed || m_input.size() > MaxAheadBytes) {
+    if (m_isReading || m_isClosed || m_input.size() > MaxPipelinedBytes) {
         return;
     }
     m_isReading = true;
     m_socket.async_read_some(boost::asio::buffer(m_chunk), [self = shared_from_this()](const boost::system::error_code &ec, std::size_t n) {
         self->m_isReading = false;
         if (ec) {
-            self->onCallerGone();
+            self->onDisconnect();
         } else {
             self->onRead(n);
         }
@@ -73,7 +73,7 @@
 
 void CallerConnection::consumeInput()
 {
-    if (!m_exchange && !m_isInReply && !m_input.empty() && !m_isClosed) {
+    if (!m_exchange && !m_isReplying && !m_input.empty() && !m_isClosed) {
         consumeRequest();
     }
 }
@@ -82,10 +82,10 @@
 {
     if (!m_parser) {
         m_parser.emplace(m_plane.parserLimits());
-        m_requestBegan = m_plane.now();
+        m_requestStartedAt = m_plane.now();
         armTimer();
     }
-    const bool hadHead = m_parser->isHeadDone();
+    const bool hadHead = m_parser->isHeadComplete();
     const auto used = m_parser->feed(m_input);
     if (!used) {
         rejectInput(used.error());
@@ -96,7 +96,7 @@
         startExchange();
         return;
     }
-    if (!hadHead && m_parser->isHeadDone()) {
+    if (!hadHead && m_parser->isHeadComplete()) {
         const std::string *expectation = findField(m_parser->head().fields, "expect");
         if (expectation != nullptr && equalsIgnoringCase(*expectation, "100-continue")) {
             write("HTTP/1.1 100 Continue\r\n\r\n");
@@ -108,8 +108,8 @@
 void CallerConnection::rejectInput(const base::Error &error)
 {
     const bool isTooLong = error.kind == base::ErrorKind::LimitExceeded;
-    const unsigned status = !isTooLong ? 400 : (m_parser->isHeadDone() ? 413 : 431);
-    m_plane.noteRejected({}, {}, error.message, status);
+    const unsigned status = !isTooLong ? 400 : (m_parser->isHeadComplete() ? 413 : 431);
+    m_plane.logRejected({}, {}, error.message, status);
     m_parser.reset();
     m_input.clear();
     m_closesAfterReply = true;
@@ -124,10 +124,10 @@
     HttpRequestHead head = std::move(m_parser->head());
     std::string body = std::move(m_parser->body());
     m_parser.reset();
-    if (m_plane.answerOwnPath(*this, head)) {
+    if (m_plane.handleLocalPath(*this, head)) {
         return;
     }
-    m_exchange = std::make_shared<Exchange>(m_plane, shared_from_this(), std::move(head), std::move(body), m_requestBegan);
+    m_exchange = std::make_shared<Exchange>(m_plane, shared_from_this(), std::move(head), std::move(body), m_requestStartedAt);
     const auto exchange = m_exchange;
     exchange->start();
 }
@@ -160,7 +160,7 @@
     finishRequest();
 }
 
-void CallerConnection::beginBody(const Reply &head)
+void CallerConnection::beginReply(const Reply &head)
 {
     if (m_isClosed) {
         return;
@@ -170,16 +170,16 @@
     if (m_isChunked) {
         appendField(out, "Transfer-Encoding", "chunked");
     }
-    m_isInReply = true;
+    m_isReplying = true;
     m_queued.append(out).append("\r\n"); // leaves with the first piece
     if (head.body.empty()) {
         flush();
     } else {
-        sendPiece(head.body);
+        sendBodyBytes(head.body);
     }
 }
 
-void CallerConnection::sendPiece(std::string_view bytes)
+void CallerConnection::sendBodyBytes(std::string_view bytes)
 {
     if (m_isClosed || bytes.empty()) {
         return;
@@ -195,7 +195,7 @@
     flush();
 }
 
-void CallerConnection::endBody()
+void CallerConnection::endReply()
 {
     if (m_isClosed) {
         return;
@@ -204,7 +204,7 @@
         m_queued.append("0\r\n\r\n");
         flush();
     }
-    m_isInReply = false;
+    m_isReplying = false;
     finishRequest();
 }
 
@@ -245,7 +245,7 @@
         self->m_isWriting = false;
         self->m_writing.clear();
         if (ec) {
-            self->onCallerGone();
+            self->onDisconnect();
             return;
         }
         self->flush();
@@ -254,7 +254,7 @@
         }
         if (self->m_exchange) {
             self->m_exchange->onCallerDrained();
-        } else if (self->m_closesAfterReply && !self->m_isInReply) {
+        } else if (self->m_closesAfterReply && !self->m_isReplying) {
             self->close();
         }
     });
@@ -265,7 +265,7 @@
     const CallerLimits limits = m_plane.callerLimits();
     base::Duration wait = limits.idleTimeout;
     if (m_parser) {
-        wait = m_parser->isHeadDone() ? limits.idleTimeout : limits.headTimeout;
+        wait = m_parser->isHeadComplete() ? limits.idleTimeout : limits.headTimeout;
     }
     m_timer = m_plane.timers().after(m_plane.now(), wait, [weak = weak_from_this()](base::TimePoint) {
         if (const auto self = weak.lock()) {
@@ -276,20 +276,20 @@
 
 void CallerConnection::onTimeout()
 {
-    if (m_isClosed || m_exchange || m_isInReply) {
+    if (m_isClosed || m_exchange || m_isReplying) {
         return;
     }
     if (m_parser) {
         m_parser.reset();
         m_closesAfterReply = true;
-        m_plane.noteRejected({}, {}, "the request did not arrive in time", 408);
+        m_plane.logRejected({}, {}, "the request did not arrive in time", 408);
         reply(Reply{408, {}, {}, "the request did not arrive in time; send it again\n"});
         return;
     }
     close();
 }
 
-void CallerConnection::onCallerGone()
+void CallerConnection::onDisconnect()
 {
     const auto exchange = std::exchange(m_exchange, nullptr);
     close();
@@ -312,7 +312,7 @@
 
 void CallerConnection::cancel()
 {
-    onCallerGone();
+    onDisconnect();
 }
 
 void CallerConnection::closeWhenIdle()
@@ -332,7 +332,7 @@
     m_timer.cancel();
     boost::system::error_code ignored;
     m_socket.close(ignored);
-    m_plane.forget(shared_from_this());
+    m_plane.removeCaller(shared_from_this());
 }
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/callerconnection.h
+++ b/carawaylatch/proxy/callerconnection.h
@@ -42,9 +42,9 @@
     // Writes a whole answer and goes on with the next request.
     void reply(const Reply &reply);
     // Writes the head of an answer whose body follows in pieces.
-    void beginBody(const Reply &head);
-    void sendPiece(std::string_view bytes);
-    void endBody();
+    void beginReply(const Reply &head);
+    void sendBodyBytes(std::string_view bytes);
+    void endReply();
     // Closes so that an answer under way can't look complete.
     void abort();
     // Closes at once and cancels the request under way.
@@ -67,12 +67,12 @@
     void flush();
     void armTimer();
     void onTimeout();
-    void onCallerGone();
+    void onDisconnect();
     void close();
     [[nodiscard]] std::string headText(const Reply &reply) const;
 
     // A caller may send this much of following requests ahead.
-    static constexpr std::size_t MaxAheadBytes = 65'536;
+    static constexpr std::size_t MaxPipelinedBytes = 65'536;
 
     TrafficPlane &m_plane;
     Tcp::socket m_socket;
@@ -83,13 +83,13 @@
     std::string m_writing; // handed to the socket
     std::string m_queued; // follows m_writing
     base::TimerService::Subscription m_timer;
-    base::TimePoint m_requestBegan; // first byte of the present request
+    base::TimePoint m_requestStartedAt; // first byte of the present request
     bool m_isReading = false;
     bool m_isWriting = false;
     bool m_isClosed = false;
     bool m_closesAfterReply = false; // asked for by the caller or by a stop
     bool m_isChunked = false; // the body under way
-    bool m_isInReply = false; // a head was written whose body is not complete
+    bool m_isReplying = false; // a head was written whose body is not complete
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/dialect.h
+++ b/carawaylatch/proxy/dialect.h
@@ -1,6 +1,6 @@
 // How callers and upstreams spell what the router decides on.
 //
-// The traffic plane works on CallerRequest, AttemptPlan and UpstreamAnswer. A
+// The traffic plane works on CallerRequest, AttemptPlan and UpstreamResponse. A
 // Dialect translates them from and to HTTP fields; nothing else in the plane
 // knows the name of such a field.
 #pragma once
@@ -31,11 +31,11 @@
     std::string id; // empty if the caller sent none
     std::string host;
     std::string key; // empty if the caller sent none
-    std::optional<base::Duration> patience; // how long the caller waits
+    std::optional<base::Duration> callerTimeout; // how long the caller waits
     std::optional<std::uint64_t> lastEventId; // a stream that goes on after this event
     base::ModelId model; // empty for plain services
     std::uint32_t promptTokens = 0;
-    std::uint32_t maxAnswerTokens = 0;
+    std::uint32_t maxOutputTokens = 0;
     std::vector<PromptPart> parts; // the last one belongs to this request alone
 };
 
@@ -62,7 +62,7 @@
 };
 
 // An upstream's response head as decisions see it.
-struct UpstreamAnswer
+struct UpstreamResponse
 {
     std::string requestId; // empty if not echoed
     bool isSigned = false; // the upstream vouches for status and body
@@ -78,10 +78,10 @@
 public:
     virtual ~Dialect() = default;
 
-    [[nodiscard]] virtual CallerRequest readRequest(const HttpRequestHead &head) const = 0;
+    [[nodiscard]] virtual CallerRequest parseRequest(const HttpRequestHead &head) const = 0;
     // Returns the head to send, ready for the wire, without Content-Length.
-    [[nodiscard]] virtual std::string writeAttempt(const HttpRequestHead &head, const AttemptPlan &plan) const = 0;
-    [[nodiscard]] virtual UpstreamAnswer readAnswer(const HttpResponseHead &head) const = 0;
+    [[nodiscard]] virtual std::string formatAttemptHead(const HttpRequestHead &head, const AttemptPlan &plan) const = 0;
+    [[nodiscard]] virtual UpstreamResponse parseResponse(const HttpResponseHead &head) const = 0;
     // Name of the field with a request's id, for answers of the router itself.
     [[nodiscard]] virtual std::string_view requestIdField() const = 0;
     // Path on which readiness is asked for.
--- a/carawaylatch/proxy/exchange.cpp
+++ b/carawaylatch/proxy/exchange.cpp
@@ -17,19 +17,19 @@
 constexpr base::Duration OtherRouterRetryAfter = base::milliseconds{50}; // another router has room now
 // Share of the target latency that a request may wait for room. Beyond it the answer
 // would be late in any case, and another router or a moment later serves the caller better.
-constexpr double QueuePatienceShare = 0.6;
+constexpr double MaxQueueWaitShare = 0.6;
 // A caller's own deadline passes before the router answers for it.
 constexpr base::Duration DeadlineGrace = base::milliseconds{60};
 
 } // namespace
 
-Exchange::Exchange(TrafficPlane &plane, std::shared_ptr<CallerConnection> caller, HttpRequestHead head, std::string body, base::TimePoint begun)
+Exchange::Exchange(TrafficPlane &plane, std::shared_ptr<CallerConnection> caller, HttpRequestHead head, std::string body, base::TimePoint startedAt)
     : m_plane(plane)
     , m_caller(std::move(caller))
     , m_head(std::move(head))
     , m_body(std::make_shared<const std::string>(std::move(body)))
-    , m_begun(begun)
-    , m_request(plane.dialect().readRequest(m_head))
+    , m_startedAt(startedAt)
+    , m_request(plane.dialect().parseRequest(m_head))
     , m_scanner(m_request.lastEventId)
 {
 }
@@ -41,54 +41,54 @@
 
 void Exchange::start()
 {
-    m_plane.began(m_body->size());
+    m_plane.onExchangeStarted(m_body->size());
     m_view = m_plane.view();
-    if (!check()) {
+    if (!admit()) {
         return;
     }
     m_plane.budget(m_pool).noteRequest(m_plane.now());
-    const base::Duration kept = std::min(m_route->timeout, m_request.patience.value_or(m_route->timeout) + DeadlineGrace);
-    m_deadlineTimer = m_plane.timers().after(m_begun, kept, [weak = weak_from_this()](base::TimePoint) {
+    const base::Duration kept = std::min(m_route->timeout, m_request.callerTimeout.value_or(m_route->timeout) + DeadlineGrace);
+    m_deadlineTimer = m_plane.timers().after(m_startedAt, kept, [weak = weak_from_this()](base::TimePoint) {
         if (const auto self = weak.lock()) {
             self->onTimeout();
         }
     });
-    placeOrWait();
+    placeOrQueue();
 }
 
 // Route, key and id. Answers and returns false where the request can't go on.
-bool Exchange::check()
+bool Exchange::admit()
 {
     if (m_plane.isLeaving()) {
         refuse("stopping", OtherRouterRetryAfter);
         return false;
     }
-    if (m_plane.isMemoryFull()) {
-        refuse("no_memory", ReturnSchedule::LeastPause);
+    if (m_plane.isBodyBufferFull()) {
+        refuse("no_memory", RetrySchedule::MinDelay);
         return false;
     }
     if (!m_view->table) {
-        refuse("no_table", ReturnSchedule::LeastPause);
+        refuse("no_table", RetrySchedule::MinDelay);
         return false;
     }
     m_route = m_view->table->match(m_request.host, m_head.target);
     if (m_route == nullptr) {
-        answerOwn(404, "no_route", {});
+        replyLocally(404, "no_route", {});
         return false;
     }
     if (!isAuthorised()) {
         return false;
     }
     if (m_request.id.empty()) {
-        answerOwn(400, "no_request_id", {});
+        replyLocally(400, "no_request_id", {});
         return false;
     }
-    choosePool();
-    m_promptKey = sharedPromptKey(m_request.parts);
-    if (m_promptKey != 0 && m_customer != nullptr && m_customer->isIsolated) {
-        m_promptKey = base::combineHashes(m_promptKey, base::hash64(m_customer->id.value()));
+    selectPool();
+    m_prefixKey = sharedPrefixKey(m_request.parts);
+    if (m_prefixKey != 0 && m_customer != nullptr && m_customer->isIsolated) {
+        m_prefixKey = base::combineHashes(m_prefixKey, base::hash64(m_customer->id.value()));
     }
-    m_sharedTokens = sharedPromptTokens(m_request.parts);
+    m_sharedTokens = sharedPrefixTokens(m_request.parts);
     constexpr std::uint32_t RoutePriorities = 3; // ranks of routes within one rank of customers
     constexpr std::uint32_t LeastUrgent = 9;
     const std::uint32_t routeRank = std::min(m_route->priority, RoutePriorities - 1);
@@ -104,18 +104,18 @@
     }
     const base::Duration maxAge = m_plane.settings().maxTableAge;
     if (maxAge > base::Duration{} && m_plane.tableAge() > maxAge) {
-        refuse("table_not_confirmed", ReturnSchedule::LeastPause);
+        refuse("table_not_confirmed", RetrySchedule::MinDelay);
         return false;
     }
     m_customer = m_view->table->customerOf(m_request.key);
     if (m_customer == nullptr) {
-        answerOwn(401, "unknown_key", {});
+        replyLocally(401, "unknown_key", {});
         return false;
     }
     return true;
 }
 
-void Exchange::choosePool()
+void Exchange::selectPool()
 {
     std::uint64_t total = 0;
     for (const PoolShare &share : m_route->pools) {
@@ -133,71 +133,71 @@
 
 base::Duration Exchange::timeLeft(base::TimePoint now) const
 {
-    const base::Duration kept = std::min(m_route->timeout, m_request.patience.value_or(m_route->timeout));
-    return m_begun + kept - now;
+    const base::Duration kept = std::min(m_route->timeout, m_request.callerTimeout.value_or(m_route->timeout));
+    return m_startedAt + kept - now;
 }
 
-PlacementResult Exchange::findPlace() const
+PlacementResult Exchange::selectUpstream() const
 {
     const auto view = m_plane.view();
     PlacementQuery query;
     query.now = m_plane.now();
     query.pool = m_pool;
     query.model = m_request.model;
-    query.promptKey = m_promptKey;
+    query.prefixKey = m_prefixKey;
     query.sharedTokens = m_sharedTokens;
-    query.memoryTokens = m_request.promptTokens + m_request.maxAnswerTokens;
+    query.memoryTokens = m_request.promptTokens + m_request.maxOutputTokens;
     query.domain = m_plane.settings().domain;
-    query.excluded = m_tried;
-    return place(query, *view, m_plane.book(), m_plane.settings().placement);
+    query.excluded = m_triedUpstreams;
+    return place(query, *view, m_plane.tracker(), m_plane.settings().placement);
 }
 
 bool Exchange::tryToPlace()
 {
-    const PlacementResult placement = findPlace();
+    const PlacementResult placement = selectUpstream();
     if (placement.verdict != PlacementVerdict::Chosen) {
         return false;
     }
     leaveQueue();
-    begin(placement);
+    startAttempt(placement);
     return true;
 }
 
-void Exchange::placeOrWait()
+void Exchange::placeOrQueue()
 {
     if (m_plane.queue(m_pool).isEmpty() || m_history.sent > 0) {
         if (tryToPlace()) {
             return;
         }
     }
-    waitForRoom();
+    joinQueue();
 }
 
-void Exchange::waitForRoom()
+void Exchange::joinQueue()
 {
     const base::TimePoint now = m_plane.now();
     const base::Duration left = timeLeft(now);
-    const base::Duration patience = std::min<base::Duration>(base::fromSeconds(base::toSeconds(m_route->targetLatency) * QueuePatienceShare), left / 2);
-    const base::Duration waited = now - m_begun;
+    const base::Duration maxQueueWait = std::min<base::Duration>(base::fromSeconds(base::toSeconds(m_route->targetLatency) * MaxQueueWaitShare), left / 2);
+    const base::Duration waited = now - m_startedAt;
     WaitQueue &queue = m_plane.queue(m_pool);
     const auto expected = queue.expectedWait(m_urgency, now);
-    if (!m_isStreaming && (waited >= patience || (expected && *expected > patience - waited && queue.size() > 0))) {
-        refuse("no_room", queue.pauseOfRefused(m_urgency, now));
+    if (!m_isStreaming && (waited >= maxQueueWait || (expected && *expected > maxQueueWait - waited && queue.size() > 0))) {
+        refuse("no_room", queue.retryDelay(m_urgency, now));
         return;
     }
     m_queueKey = queue.add(m_urgency, shared_from_this());
-    m_queueTimer = m_plane.timers().after(now, m_isStreaming ? left : patience - waited, [weak = weak_from_this()](base::TimePoint at) {
+    m_queueTimer = m_plane.timers().after(now, m_isStreaming ? left : maxQueueWait - waited, [weak = weak_from_this()](base::TimePoint at) {
         const auto self = weak.lock();
         if (!self || !self->m_queueKey) {
             return;
         }
         self->leaveQueue();
         if (self->m_isStreaming) {
-            self->breakOff("no_room");
-        } else if (self->m_history.sent == self->m_history.unexecuted) {
-            self->refuse("no_room", self->m_plane.queue(self->m_pool).pauseOfRefused(self->m_urgency, at));
+            self->abortReply("no_room");
+        } else if (self->m_history.sent == self->m_history.notExecuted) {
+            self->refuse("no_room", self->m_plane.queue(self->m_pool).retryDelay(self->m_urgency, at));
         } else {
-            self->answerOwn(502, "no_other_upstream", {});
+            self->replyLocally(502, "no_other_upstream", {});
         }
     });
 }
@@ -221,11 +221,11 @@
         releaseAttempt(m_isStreaming ? AttemptEnd::Answered : AttemptEnd::Broken);
     }
     if (m_isStreaming) {
-        breakOff("timeout");
-    } else if (m_history.sent == m_history.unexecuted && !(m_attempt && m_attempt->isSent)) {
-        refuse("timeout", ReturnSchedule::LeastPause);
+        abortReply("timeout");
+    } else if (m_history.sent == m_history.notExecuted && !(m_attempt && m_attempt->isSent)) {
+        refuse("timeout", RetrySchedule::MinDelay);
     } else {
-        answerOwn(504, "timeout", {});
+        replyLocally(504, "timeout", {});
     }
 }
 
@@ -246,10 +246,10 @@
 {
     // Callers that were refused together come back spread over half the pause.
     const base::Duration spread = base::fromSeconds(base::toSeconds(retryAfter) * 0.5 * m_plane.random().unit());
-    answerOwn(503, reason, retryAfter + spread);
+    replyLocally(503, reason, retryAfter + spread);
 }
 
-void Exchange::answerOwn(unsigned status, std::string_view reason, base::Duration retryAfter)
+void Exchange::replyLocally(unsigned status, std::string_view reason, base::Duration retryAfter)
 {
     Reply reply{status, {}, {}, std::string(reason) + '\n'};
     if (!m_request.id.empty()) {
@@ -263,7 +263,7 @@
     caller->reply(reply);
 }
 
-void Exchange::breakOff(std::string_view reason)
+void Exchange::abortReply(std::string_view reason)
 {
     const auto caller = m_caller;
     finish(0, "broken_off", reason);
@@ -287,8 +287,8 @@
         const auto kind = static_cast<std::size_t>(m_route->kind);
         const base::TimePoint end = m_plane.now();
         ++counts.served;
-        ++counts.firstByte[kind].counts[telemetry::latencyBucket(m_firstAt.value_or(end) - m_begun)];
-        ++counts.total[kind].counts[telemetry::latencyBucket(end - m_begun)];
+        ++counts.firstByte[kind].counts[telemetry::latencyBucket(m_firstByteAt.value_or(end) - m_startedAt)];
+        ++counts.total[kind].counts[telemetry::latencyBucket(end - m_startedAt)];
     }
     counts.refused += outcome == "refused" ? 1 : 0;
     counts.rejected += outcome == "rejected" ? 1 : 0;
@@ -298,21 +298,21 @@
                                                        {"route", m_route != nullptr ? m_route->name.value() : std::string("-")},
                                                        {"pool", m_pool.value()},
                                                        {"upstream", m_lastUpstream.value()},
-                                                       {"attempts", std::to_string(m_tried.size())},
+                                                       {"attempts", std::to_string(m_triedUpstreams.size())},
                                                        {"sent", std::to_string(m_history.sent)},
-                                                       {"unexecuted", std::to_string(m_history.unexecuted)},
+                                                       {"unexecuted", std::to_string(m_history.notExecuted)},
                                                        {"status", std::to_string(status)},
                                                        {"outcome", std::string(outcome)},
                                                        {"reason", std::string(reason)},
-                                                       {"queued_ms", base::formatMilliseconds(m_sentAt.value_or(now) - m_begun)},
-                                                       {"first_ms", m_firstAt ? base::formatMilliseconds(*m_firstAt - m_begun) : std::string("-")},
-                                                       {"pause_ms", base::formatMilliseconds(m_longestPause)},
-                                                       {"total_ms", base::formatMilliseconds(now - m_begun)},
+                                                       {"queued_ms", base::formatMilliseconds(m_sentAt.value_or(now) - m_startedAt)},
+                                                       {"first_ms", m_firstByteAt ? base::formatMilliseconds(*m_firstByteAt - m_startedAt) : std::string("-")},
+                                                       {"pause_ms", base::formatMilliseconds(m_longestGap)},
+                                                       {"total_ms", base::formatMilliseconds(now - m_startedAt)},
                                                        {"table", std::to_string(m_view->table ? m_view->table->version : 0)},
                                                        {"view", std::to_string(m_plane.view()->sequence)},
                                                        {"age_ms", base::formatMilliseconds(m_plane.tableAge())}});
     m_caller.reset();
-    m_plane.ended(m_body->size());
+    m_plane.onExchangeEnded(m_body->size());
 }
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/exchange.h
+++ b/carawaylatch/proxy/exchange.h
@@ -30,20 +30,20 @@
 {
     std::shared_ptr<UpstreamConnection> connection;
     UpstreamRecord *record = nullptr;
-    AttemptWeight weight;
-    base::TimePoint begunAt;
+    AttemptLoad load;
+    base::TimePoint startedAt;
     bool isSent = false;
     bool hasStarted = false;
-    bool holdsParts = false; // of the prompt, as placed
+    bool hasCachedPrefix = false; // of the prompt, as placed
     HttpResponseHead head;
-    UpstreamAnswer answer;
+    UpstreamResponse response;
     std::string body; // of an answer that is passed on whole
 };
 
-class Exchange : public std::enable_shared_from_this<Exchange>, public AnswerListener
+class Exchange : public std::enable_shared_from_this<Exchange>, public ResponseListener
 {
 public:
-    Exchange(TrafficPlane &plane, std::shared_ptr<CallerConnection> caller, HttpRequestHead head, std::string body, base::TimePoint begun);
+    Exchange(TrafficPlane &plane, std::shared_ptr<CallerConnection> caller, HttpRequestHead head, std::string body, base::TimePoint startedAt);
 
     void start();
     // The caller has left.
@@ -54,26 +54,26 @@
     bool tryToPlace();
     [[nodiscard]] const base::PoolName &pool() const;
 
-    void onAnswerHead(const HttpResponseHead &head, const UpstreamAnswer &answer) override;
-    void onAnswerBytes(std::string bytes) override;
-    void onAnswerEnd() override;
-    void onBroken(std::string_view problem) override;
+    void onResponseHead(const HttpResponseHead &head, const UpstreamResponse &response) override;
+    void onResponseBody(std::string bytes) override;
+    void onResponseEnd() override;
+    void onResponseError(std::string_view problem) override;
 
 private:
-    [[nodiscard]] bool check();
-    [[nodiscard]] PlacementResult findPlace() const;
-    void choosePool();
+    [[nodiscard]] bool admit();
+    [[nodiscard]] PlacementResult selectUpstream() const;
+    void selectPool();
     [[nodiscard]] bool isAuthorised();
-    void placeOrWait();
-    void waitForRoom();
-    void begin(const PlacementResult &placement);
-    void connected(std::string_view problem);
+    void placeOrQueue();
+    void joinQueue();
+    void startAttempt(const PlacementResult &placement);
+    void onConnected(std::string_view problem);
     void send();
     [[nodiscard]] AttemptPlan planAttempt() const;
     void endAttempt(AttemptEnd end, std::string_view problem);
     void releaseAttempt(AttemptEnd end);
-    [[nodiscard]] AttemptEnd classifyAnswer() const;
-    void passOn();
+    [[nodiscard]] AttemptEnd classifyResponse() const;
+    void forwardResponse();
     void beginStream();
     void forwardStream(std::string_view bytes);
     void onTimeout();
@@ -83,32 +83,32 @@
     void watchStart();
     [[nodiscard]] std::string_view stallReason(base::TimePoint now) const;
     void refuse(std::string_view reason, base::Duration retryAfter);
-    void answerOwn(unsigned status, std::string_view reason, base::Duration retryAfter);
-    void breakOff(std::string_view reason);
+    void replyLocally(unsigned status, std::string_view reason, base::Duration retryAfter);
+    void abortReply(std::string_view reason);
     void finish(unsigned status, std::string_view outcome, std::string_view reason);
     void leaveQueue();
     [[nodiscard]] base::Duration timeLeft(base::TimePoint now) const;
 
     // An answer that does not stream is held back up to this size, so that one which
     // breaks can be tried again or becomes an error; a longer one is passed on as it comes.
-    static constexpr std::size_t MaxHeldBytes = 262'144;
+    static constexpr std::size_t MaxBufferedResponseBytes = 262'144;
     // Bytes that a slow caller may leave in this process before the upstream is no longer read.
-    static constexpr std::size_t MaxQueuedBytes = 262'144;
+    static constexpr std::size_t MaxCallerQueueBytes = 262'144;
 
     TrafficPlane &m_plane;
     std::shared_ptr<CallerConnection> m_caller; // until the end
     HttpRequestHead m_head;
     std::shared_ptr<const std::string> m_body;
-    const base::TimePoint m_begun;
+    const base::TimePoint m_startedAt;
     CallerRequest m_request;
     std::shared_ptr<const FleetView> m_view; // the one that route and key were checked against
     const Route *m_route = nullptr; // lives as long as m_view
     const Customer *m_customer = nullptr; // likewise; nothing on public routes
     base::PoolName m_pool;
-    std::uint64_t m_promptKey = 0;
+    std::uint64_t m_prefixKey = 0;
     std::uint32_t m_sharedTokens = 0;
     std::uint32_t m_urgency = 0;
-    std::vector<base::UpstreamId> m_tried;
+    std::vector<base::UpstreamId> m_triedUpstreams;
     AttemptHistory m_history;
     std::optional<Attempt> m_attempt; // under way
     std::optional<WaitQueue::Key> m_queueKey; // while waiting
@@ -118,12 +118,12 @@
     base::TimerService::Subscription m_progressTimer; // while an attempt of a repeatable request is under way
     EventScanner m_scanner;
     std::optional<base::TimePoint> m_sentAt; // of the first attempt that was sent
-    std::optional<base::TimePoint> m_firstAt; // first byte of the answer
-    base::TimePoint m_lastPieceAt; // of a stream
-    base::Duration m_longestPause{}; // between two pieces of a stream
+    std::optional<base::TimePoint> m_firstByteAt; // first byte of the answer
+    base::TimePoint m_lastByteAt; // of a stream
+    base::Duration m_longestGap{}; // between two pieces of a stream
     base::UpstreamId m_lastUpstream;
     bool m_isStreaming = false; // the answer's head went to the caller
-    bool m_isPassingOn = false; // m_isStreaming, and not a resumable stream
+    bool m_isPassThrough = false; // m_isStreaming, and not a resumable stream
     bool m_isEnded = false;
 };
 
--- a/carawaylatch/proxy/exchangeattempt.cpp
+++ b/carawaylatch/proxy/exchangeattempt.cpp
@@ -14,41 +14,41 @@
 {
 
 constexpr base::Duration ProgressInterval = base::milliseconds{100}; // between looks at an attempt's progress
-constexpr int LateAnswerFactor = 2; // of the target latency; a second server then still answers in time to be of use
-constexpr base::Duration LongestStreamPause = base::milliseconds{1200}; // twice a load of weights
+constexpr int LateResponseFactor = 2; // of the target latency; a second server then still answers in time to be of use
+constexpr base::Duration MaxStreamGap = base::milliseconds{1200}; // twice a load of weights
 
 } // namespace
 
-void Exchange::begin(const PlacementResult &placement)
+void Exchange::startAttempt(const PlacementResult &placement)
 {
     Attempt &attempt = m_attempt.emplace();
     attempt.record = placement.record;
-    attempt.holdsParts = placement.holdsParts;
-    attempt.begunAt = m_plane.now();
-    attempt.weight.memoryTokens = m_request.promptTokens + m_request.maxAnswerTokens;
-    attempt.weight.unreadTokens = placement.holdsParts ? m_request.promptTokens - std::min(m_sharedTokens, m_request.promptTokens) : m_request.promptTokens;
+    attempt.hasCachedPrefix = placement.hasCachedPrefix;
+    attempt.startedAt = m_plane.now();
+    attempt.load.memoryTokens = m_request.promptTokens + m_request.maxOutputTokens;
+    attempt.load.prefillTokens = placement.hasCachedPrefix ? m_request.promptTokens - std::min(m_sharedTokens, m_request.promptTokens) : m_request.promptTokens;
     m_lastUpstream = placement.record->upstream.id;
-    m_tried.push_back(m_lastUpstream);
-    m_plane.book().began(*attempt.record, attempt.weight, attempt.begunAt);
+    m_triedUpstreams.push_back(m_lastUpstream);
+    m_plane.tracker().onAttemptStarted(*attempt.record, attempt.load, attempt.startedAt);
     if (m_route->isRepeatable()) {
         watchProgress();
     }
     const Upstream &upstream = attempt.record->upstream;
-    attempt.connection = m_plane.takeKept(upstream, m_route->isRepeatable());
+    attempt.connection = m_plane.takeIdleConnection(upstream, m_route->isRepeatable());
     if (attempt.connection) {
         send();
         return;
     }
-    attempt.connection = std::make_shared<UpstreamConnection>(m_plane, upstream.id, upstream.bornMs);
+    attempt.connection = std::make_shared<UpstreamConnection>(m_plane, upstream.id, upstream.startTimeMs);
     ++m_plane.counts().connections;
     attempt.connection->connect(upstream.endpoint, m_plane.settings().connectTimeout, [weak = weak_from_this()](std::string_view problem) {
         if (const auto self = weak.lock()) {
-            self->connected(problem);
+            self->onConnected(problem);
         }
     });
 }
 
-void Exchange::connected(std::string_view problem)
+void Exchange::onConnected(std::string_view problem)
 {
     if (!m_attempt || m_isEnded) {
         return;
@@ -75,7 +75,7 @@
     }
     plan.weights = m_attempt->record->weights;
     const std::string owner = m_customer != nullptr && m_customer->isIsolated ? m_customer->id.value() : std::string();
-    const PromptStatePlan state = planPromptState(m_promptKey, m_sharedTokens, *m_attempt->record, *m_plane.view(), m_plane.book(), m_plane.now());
+    const KvTransferPlan state = planKvTransfer(m_prefixKey, m_sharedTokens, *m_attempt->record, *m_plane.view(), m_plane.tracker(), m_plane.now());
     plan.fetchFrom = state.fetchFrom;
     plan.saveTo = state.saveTo;
     plan.cacheNamespace = m_request.model.value() + '.' + std::to_string(plan.weights.value) + '.' + owner;
@@ -86,7 +86,7 @@
 {
     Attempt &attempt = *m_attempt;
     const AttemptPlan plan = planAttempt();
-    std::string head = m_plane.dialect().writeAttempt(m_head, plan);
+    std::string head = m_plane.dialect().formatAttemptHead(m_head, plan);
     const bool hasBody = !m_body->empty() || findField(m_head.fields, "content-length") != nullptr || findField(m_head.fields, "transfer-encoding") != nullptr;
     if (hasBody) {
         appendField(head, "Content-Length", std::to_string(m_body->size()));
@@ -98,15 +98,15 @@
     if (!m_sentAt) {
         m_sentAt = m_plane.now();
     }
-    if (m_promptKey != 0) {
-        m_plane.book().placed(promptStateKey(m_promptKey, attempt.record->weights), *attempt.record, m_plane.now());
+    if (m_prefixKey != 0) {
+        m_plane.tracker().onPromptSent(kvCacheKey(m_prefixKey, attempt.record->weights), *attempt.record, m_plane.now());
     }
     m_scanner.restart();
     watchStart();
     attempt.connection->send(std::move(head), m_body, m_request.id, m_head.method == "HEAD", weak_from_this());
 }
 
-void Exchange::onAnswerHead(const HttpResponseHead &head, const UpstreamAnswer &answer)
+void Exchange::onResponseHead(const HttpResponseHead &head, const UpstreamResponse &response)
 {
     if (!m_attempt) {
         return;
@@ -114,39 +114,39 @@
     Attempt &attempt = *m_attempt;
     const base::TimePoint now = m_plane.now();
     attempt.head = head;
-    attempt.answer = answer;
-    m_plane.book().heard(*attempt.record, now);
-    if (answer.load) {
-        m_plane.book().sampled(*attempt.record, *answer.load, now);
+    attempt.response = response;
+    m_plane.tracker().onBytesReceived(*attempt.record, now);
+    if (response.load) {
+        m_plane.tracker().onLoadSample(*attempt.record, *response.load, now);
     }
-    if (answer.weights && *answer.weights != attempt.record->weights) {
-        attempt.record->weights = *answer.weights;
-        m_plane.observer().onWeightsSeen(attempt.record->upstream.id, *answer.weights);
+    if (response.weights && *response.weights != attempt.record->weights) {
+        attempt.record->weights = *response.weights;
+        m_plane.observer().onWeightsSeen(attempt.record->upstream.id, *response.weights);
     }
-    if (m_route->kind == CallKind::Stream && classifyAnswer() == AttemptEnd::Answered && head.status < 300) {
+    if (m_route->kind == CallKind::Stream && classifyResponse() == AttemptEnd::Answered && head.status < 300) {
         beginStream();
     }
 }
 
-void Exchange::onAnswerBytes(std::string bytes)
+void Exchange::onResponseBody(std::string bytes)
 {
     if (!m_attempt) {
         return;
     }
     ++m_plane.counts().reads;
     Attempt &attempt = *m_attempt;
-    m_plane.book().heard(*attempt.record, m_plane.now());
+    m_plane.tracker().onBytesReceived(*attempt.record, m_plane.now());
     if (!attempt.hasStarted) {
         attempt.hasStarted = true;
-        m_plane.book().started(*attempt.record, attempt.weight);
+        m_plane.tracker().onFirstOutput(*attempt.record, attempt.load);
     }
     if (m_isStreaming) {
         forwardStream(bytes);
         return;
     }
     attempt.body.append(bytes);
-    if (attempt.body.size() > MaxHeldBytes && classifyAnswer() == AttemptEnd::Answered) {
-        m_isPassingOn = true;
+    if (attempt.body.size() > MaxBufferedResponseBytes && classifyResponse() == AttemptEnd::Answered) {
+        m_isPassThrough = true;
         beginStream();
         forwardStream(std::exchange(attempt.body, {}));
     }
@@ -156,36 +156,36 @@
 {
     Attempt &attempt = *m_attempt;
     if (!m_route->isResumable) {
-        m_isPassingOn = true;
+        m_isPassThrough = true;
     }
     if (m_isStreaming) {
         return; // goes on after a break; the caller keeps the first head
     }
     m_isStreaming = true;
-    m_history.isAnswering = true;
-    m_caller->beginBody(Reply{attempt.head.status, attempt.head.reason, forwardableFields(attempt.head.fields), {}});
+    m_history.hasResponseStarted = true;
+    m_caller->beginReply(Reply{attempt.head.status, attempt.head.reason, forwardableFields(attempt.head.fields), {}});
 }
 
 void Exchange::forwardStream(std::string_view bytes)
 {
     const base::TimePoint now = m_plane.now();
-    if (!m_firstAt) {
-        m_firstAt = now;
+    if (!m_firstByteAt) {
+        m_firstByteAt = now;
     } else {
-        m_longestPause = std::max(m_longestPause, now - m_lastPieceAt);
+        m_longestGap = std::max(m_longestGap, now - m_lastByteAt);
     }
-    m_lastPieceAt = now;
-    if (m_isPassingOn) {
-        m_caller->sendPiece(bytes);
+    m_lastByteAt = now;
+    if (m_isPassThrough) {
+        m_caller->sendBodyBytes(bytes);
     } else {
         const std::string events = m_scanner.feed(bytes);
         if (m_scanner.hasGap()) {
-            breakOff("event_missing");
+            abortReply("event_missing");
             return;
         }
-        m_caller->sendPiece(events);
+        m_caller->sendBodyBytes(events);
     }
-    if (m_caller->queuedBytes() > MaxQueuedBytes) {
+    if (m_caller->queuedBytes() > MaxCallerQueueBytes) {
         m_attempt->connection->pauseReading();
     }
 }
@@ -197,37 +197,37 @@
     }
 }
 
-AttemptEnd Exchange::classifyAnswer() const
+AttemptEnd Exchange::classifyResponse() const
 {
     const Attempt &attempt = *m_attempt;
-    if (attempt.answer.isNotExecuted) {
+    if (attempt.response.isNotExecuted) {
         return AttemptEnd::NotExecuted;
     }
     const unsigned status = attempt.head.status;
-    if (status >= 500 || promisesNotRun(status)) {
+    if (status >= 500 || impliesNotExecuted(status)) {
         return AttemptEnd::ServerError;
     }
     const bool isSuccess = status >= 200 && status < 300;
-    if (isSuccess && (!attempt.answer.isSigned || attempt.answer.isEncoded)) {
+    if (isSuccess && (!attempt.response.isSigned || attempt.response.isEncoded)) {
         return AttemptEnd::Broken; // not the upstream's own answer
     }
     return AttemptEnd::Answered;
 }
 
-void Exchange::onAnswerEnd()
+void Exchange::onResponseEnd()
 {
     if (!m_attempt) {
         return;
     }
-    const AttemptEnd end = classifyAnswer();
-    if (m_isStreaming && end == AttemptEnd::Answered && !m_isPassingOn && !m_scanner.isAtBoundary()) {
+    const AttemptEnd end = classifyResponse();
+    if (m_isStreaming && end == AttemptEnd::Answered && !m_isPassThrough && !m_scanner.isAtBoundary()) {
         endAttempt(AttemptEnd::Broken, "the stream ended inside an event");
         return;
     }
     endAttempt(end, {});
 }
 
-void Exchange::onBroken(std::string_view problem)
+void Exchange::onResponseError(std::string_view problem)
 {
     if (m_attempt) {
         endAttempt(AttemptEnd::Broken, problem);
@@ -238,11 +238,11 @@
 {
     const auto view = m_plane.view();
     const auto target = view->targets.find(m_request.model);
-    const auto replacedAt = target != view->targets.end() ? target->second.replacedAt(m_attempt->record->weights) : std::nullopt;
-    if (!replacedAt) {
+    const auto supersededAt = target != view->targets.end() ? target->second.supersededAt(m_attempt->record->weights) : std::nullopt;
+    if (!supersededAt) {
         return;
     }
-    m_startTimer = m_plane.timers().after(*replacedAt, m_plane.settings().placement.oldWeightsStart, [weak = weak_from_this()](base::TimePoint) {
+    m_startTimer = m_plane.timers().after(*supersededAt, m_plane.settings().placement.oldWeightsStart, [weak = weak_from_this()](base::TimePoint) {
         const auto self = weak.lock();
         if (self && self->m_attempt && !self->m_attempt->hasStarted) {
             self->endAttempt(AttemptEnd::Broken, "not begun before its weights were too old");
@@ -259,7 +259,7 @@
         }
         const std::string_view reason = self->stallReason(now);
         // Silence alone ends nothing: the attempt is given up only for a better one.
-        if (!reason.empty() && self->m_plane.budget(self->m_pool).mayTake(now) && self->findPlace().verdict == PlacementVerdict::Chosen) {
+        if (!reason.empty() && self->m_plane.budget(self->m_pool).mayTake(now) && self->selectUpstream().verdict == PlacementVerdict::Chosen) {
             self->endAttempt(AttemptEnd::Broken, reason);
         }
     });
@@ -269,17 +269,17 @@
 std::string_view Exchange::stallReason(base::TimePoint now) const
 {
     const Attempt &attempt = *m_attempt;
-    if (m_history.sent - m_history.unexecuted >= m_route->maxAttempts) {
+    if (m_history.sent - m_history.notExecuted >= m_route->maxAttempts) {
         return {};
     }
-    if (attempt.record->isSilent(now, m_plane.settings().placement.millisecondsPerToken)) {
+    if (attempt.record->isSilent(now, m_plane.settings().placement.prefillMillisecondsPerToken)) {
         return "the upstream is silent";
     }
-    const bool isLateAnswer = m_route->kind == CallKind::Idempotent && now - attempt.begunAt > m_route->targetLatency * LateAnswerFactor;
-    if (isLateAnswer) {
+    const bool isLateResponse = m_route->kind == CallKind::Idempotent && now - attempt.startedAt > m_route->targetLatency * LateResponseFactor;
+    if (isLateResponse) {
         return "no answer in twice the target latency";
     }
-    if (m_firstAt && now - std::max(m_lastPieceAt, attempt.begunAt) > LongestStreamPause) {
+    if (m_firstByteAt && now - std::max(m_lastByteAt, attempt.startedAt) > MaxStreamGap) {
         return "the stream has stopped";
     }
     return {};
@@ -291,20 +291,20 @@
     m_startTimer.cancel();
     Attempt &attempt = *m_attempt;
     const base::TimePoint now = m_plane.now();
-    m_plane.book().ended(*attempt.record, attempt.weight, attempt.hasStarted, end, now);
-    m_plane.queue(m_pool).ends().note(now);
-    m_plane.scheduleQueues();
+    m_plane.tracker().onAttemptEnded(*attempt.record, attempt.load, attempt.hasStarted, end, now);
+    m_plane.queue(m_pool).completionRate().record(now);
+    m_plane.schedulePlacement();
 }
 
 void Exchange::endAttempt(AttemptEnd end, std::string_view problem)
 {
     const base::TimePoint now = m_plane.now();
     releaseAttempt(end);
-    m_history.unsent += end == AttemptEnd::NotSent ? 1 : 0;
-    m_history.unexecuted += end == AttemptEnd::NotExecuted ? 1 : 0;
+    m_history.connectFailures += end == AttemptEnd::NotSent ? 1 : 0;
+    m_history.notExecuted += end == AttemptEnd::NotExecuted ? 1 : 0;
     m_history.hasTimeLeft = timeLeft(now) > base::Duration{};
     NextStep step = nextStep(*m_route, end, m_history);
-    if (step == NextStep::TryAgain && end != AttemptEnd::NotSent && !m_plane.budget(m_pool).tryTake(now)) {
+    if (step == NextStep::Retry && end != AttemptEnd::NotSent && !m_plane.budget(m_pool).tryTake(now)) {
         m_history.hasBudget = false;
         step = nextStep(*m_route, end, m_history);
     }
@@ -315,47 +315,47 @@
                              {"end", std::string(attemptEndName(end))},
                              {"next", std::string(nextStepName(step))},
                              {"problem", problem.empty() ? "status " + std::to_string(m_attempt->head.status) : std::string(problem)},
-                             {"elapsed_ms", base::formatMilliseconds(now - m_attempt->begunAt)},
+                             {"elapsed_ms", base::formatMilliseconds(now - m_attempt->startedAt)},
                              {"load", std::to_string(m_attempt->record->inflight)}});
     }
     switch (step) {
-    case NextStep::TryAgain:
+    case NextStep::Retry:
         m_attempt->connection->close();
         m_attempt.reset();
         m_plane.counts().resumed += m_isStreaming ? 1 : 0;
-        placeOrWait();
+        placeOrQueue();
         break;
-    case NextStep::PassOn:
-        passOn();
+    case NextStep::Forward:
+        forwardResponse();
         break;
-    case NextStep::SayNotRun:
-        refuse(end == AttemptEnd::NotSent ? "not_reached" : "not_executed", ReturnSchedule::LeastPause);
+    case NextStep::RefuseNotExecuted:
+        refuse(end == AttemptEnd::NotSent ? "not_reached" : "not_executed", RetrySchedule::MinDelay);
         break;
-    case NextStep::SayUnknown:
-        answerOwn(502, "answer_lost", {});
+    case NextStep::FailOutcomeUnknown:
+        replyLocally(502, "answer_lost", {});
         break;
-    case NextStep::BreakOff:
-        breakOff("answer_lost");
+    case NextStep::Abort:
+        abortReply("answer_lost");
         break;
     }
 }
 
-void Exchange::passOn()
+void Exchange::forwardResponse()
 {
     Attempt &attempt = *m_attempt;
     if (m_isStreaming) {
-        m_caller->endBody();
+        m_caller->endReply();
         finish(attempt.head.status, "served", {});
         return;
     }
     // A status that promises "not run" is passed on only where it is true or harmless.
-    if (promisesNotRun(attempt.head.status) && !m_route->isRepeatable()) {
-        answerOwn(502, "upstream_refused_without_promise", {});
+    if (impliesNotExecuted(attempt.head.status) && !m_route->isRepeatable()) {
+        replyLocally(502, "upstream_refused_without_promise", {});
         return;
     }
     const unsigned status = attempt.head.status;
-    if (!m_firstAt) {
-        m_firstAt = m_plane.now();
+    if (!m_firstByteAt) {
+        m_firstByteAt = m_plane.now();
     }
     const auto caller = m_caller;
     const Reply reply{status, attempt.head.reason, forwardableFields(attempt.head.fields), std::move(attempt.body)};
--- a/carawaylatch/proxy/fleet.cpp
+++ b/carawaylatch/proxy/fleet.cpp
@@ -32,32 +32,32 @@
     return best;
 }
 
-void WeightsTarget::name(base::WeightsVersion newest, base::TimePoint seenAt)
+void WeightsTarget::announce(base::WeightsVersion newest, base::TimePoint seenAt)
 {
     version = newest;
-    namings.push_back({newest, seenAt});
-    if (namings.size() > MaxNamings) {
-        namings.erase(namings.begin());
+    announcements.push_back({newest, seenAt});
+    if (announcements.size() > MaxAnnouncements) {
+        announcements.erase(announcements.begin());
     }
 }
 
 base::WeightsVersion WeightsTarget::oldestAllowed(base::TimePoint now, base::Duration limit) const
 {
     base::WeightsVersion oldest;
-    for (const Naming &naming : namings) {
-        if (now - naming.seenAt >= limit) {
-            oldest = std::max(oldest, naming.version);
+    for (const Announcement &announcement : announcements) {
+        if (now - announcement.seenAt >= limit) {
+            oldest = std::max(oldest, announcement.version);
         }
     }
     return oldest;
 }
 
-std::optional<base::TimePoint> WeightsTarget::replacedAt(base::WeightsVersion weights) const
+std::optional<base::TimePoint> WeightsTarget::supersededAt(base::WeightsVersion weights) const
 {
-    const auto it = std::find_if(namings.begin(), namings.end(), [weights](const Naming &naming) {
-        return naming.version > weights;
+    const auto it = std::find_if(announcements.begin(), announcements.end(), [weights](const Announcement &announcement) {
+        return announcement.version > weights;
     });
-    return it == namings.end() ? std::nullopt : std::optional(it->seenAt);
+    return it == announcements.end() ? std::nullopt : std::optional(it->seenAt);
 }
 
 const Customer *RouteTable::customerOf(const std::string &key) const
--- a/carawaylatch/proxy/fleet.h
+++ b/carawaylatch/proxy/fleet.h
@@ -59,7 +59,7 @@
 };
 
 // What a pool of model engines has in common.
-struct EngineShape
+struct EngineCapacity
 {
     std::uint64_t cacheTokens = 0; // memory of one engine for running and kept prompts; zero: not told
     std::uint32_t slots = 0; // requests that one engine runs at once; zero: not told
@@ -69,7 +69,7 @@
 {
     base::PoolName name;
     std::uint32_t maxConnections = 0; // of one upstream, from all routers; zero: not told
-    std::optional<EngineShape> engine; // nothing for plain services
+    std::optional<EngineCapacity> engine; // nothing for plain services
 };
 
 // A store of kept prompt state that engines read from and write to.
@@ -127,29 +127,29 @@
     base::FailureDomain domain;
     std::uint32_t slots = 0;
     UpstreamPhase phase = UpstreamPhase::Ready;
-    std::uint64_t bornMs = 0; // Unix time of its start; another value is another life
+    std::uint64_t startTimeMs = 0; // Unix time of its start; another value is another life
     std::map<base::ModelId, base::WeightsVersion> models;
 };
 
 // The weights that a model is to have.
 struct WeightsTarget
 {
-    struct Naming
+    struct Announcement
     {
         base::WeightsVersion version;
         base::TimePoint seenAt; // when this router learned of it
     };
-    static constexpr std::size_t MaxNamings = 16; // more are not named within any bound of time
+    static constexpr std::size_t MaxAnnouncements = 16; // more are not named within any bound of time
 
     base::WeightsVersion version; // the newest
-    std::vector<Naming> namings; // oldest first, the last one is the newest version's
+    std::vector<Announcement> announcements; // oldest first, the last one is the newest version's
 
-    void name(base::WeightsVersion newest, base::TimePoint seenAt);
+    void announce(base::WeightsVersion newest, base::TimePoint seenAt);
     // The oldest version that may still be used when each version must be in use
     // everywhere within `limit` of its naming; zero: any.
     [[nodiscard]] base::WeightsVersion oldestAllowed(base::TimePoint now, base::Duration limit) const;
     // When the first version above these weights was named; nothing if they are the newest.
-    [[nodiscard]] std::optional<base::TimePoint> replacedAt(base::WeightsVersion weights) const;
+    [[nodiscard]] std::optional<base::TimePoint> supersededAt(base::WeightsVersion weights) const;
 };
 
 struct FleetView
@@ -158,7 +158,7 @@
     std::vector<Upstream> upstreams; // ordered by id
     std::map<base::ModelId, WeightsTarget> targets;
     std::set<base::UpstreamId> reloading; // changing weights, or about to: gets no new request
-    std::set<base::Endpoint> deadCacheStores; // did not answer of late
+    std::set<base::Endpoint> unavailableCacheStores; // did not answer of late
     std::uint32_t routers = 1; // that share budgets; at least one
     std::vector<base::Endpoint> routerEndpoints; // where routers take load reports; of all that ever started
     std::uint64_t sequence = 0; // of this snapshot in this process
--- a/carawaylatch/proxy/httpmessage.cpp
+++ b/carawaylatch/proxy/httpmessage.cpp
@@ -13,7 +13,7 @@
 {
 
 // Fields of one connection, and those of framing, which each hop sets itself.
-constexpr std::array<std::string_view, 10> ConnectionFields{
+constexpr std::array<std::string_view, 10> HopByHopFields{
     "connection", "keep-alive",        "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
     "trailer",    "transfer-encoding", "upgrade",          "content-length"};
 
@@ -69,10 +69,10 @@
     HttpFields out;
     out.reserve(fields.size());
     for (const HttpField &field : fields) {
-        const bool isConnectionField = std::any_of(ConnectionFields.begin(), ConnectionFields.end(), [&field](std::string_view name) {
+        const bool isHopByHop = std::any_of(HopByHopFields.begin(), HopByHopFields.end(), [&field](std::string_view name) {
             return equalsIgnoringCase(field.name, name);
         });
-        if (!isConnectionField && !isNamedByConnection(fields, field.name)) {
+        if (!isHopByHop && !isNamedByConnection(fields, field.name)) {
             out.push_back(field);
         }
     }
--- a/carawaylatch/proxy/httpparser.cpp
+++ b/carawaylatch/proxy/httpparser.cpp
@@ -153,7 +153,7 @@
     return feedParser(*m_impl, bytes);
 }
 
-bool HttpRequestParser::isHeadDone() const
+bool HttpRequestParser::isHeadComplete() const
 {
     return m_impl->is_header_done();
 }
@@ -218,7 +218,7 @@
     return feedParser(*m_impl, bytes);
 }
 
-base::Result<void> HttpResponseParser::feedEnd()
+base::Result<void> HttpResponseParser::feedEof()
 {
     if (m_impl->is_done()) {
         return base::ok();
@@ -234,7 +234,7 @@
     return base::ok();
 }
 
-bool HttpResponseParser::isHeadDone() const
+bool HttpResponseParser::isHeadComplete() const
 {
     return m_impl->is_header_done();
 }
--- a/carawaylatch/proxy/httpparser.h
+++ b/carawaylatch/proxy/httpparser.h
@@ -37,7 +37,7 @@
 
     // Errors: InvalidArgument (not a request), LimitExceeded (head or body too long).
     [[nodiscard]] base::Result<std::size_t> feed(std::string_view bytes);
-    [[nodiscard]] bool isHeadDone() const;
+    [[nodiscard]] bool isHeadComplete() const;
     [[nodiscard]] bool isComplete() const;
     // True if the caller may send another request on the connection.
     [[nodiscard]] bool keepsAlive() const;
@@ -61,8 +61,8 @@
 
     [[nodiscard]] base::Result<std::size_t> feed(std::string_view bytes);
     // The peer ended the connection in order. Returns Truncated if the message was not complete.
-    [[nodiscard]] base::Result<void> feedEnd();
-    [[nodiscard]] bool isHeadDone() const;
+    [[nodiscard]] base::Result<void> feedEof();
+    [[nodiscard]] bool isHeadComplete() const;
     [[nodiscard]] bool isComplete() const;
     // True if the upstream keeps the connection open after this answer.
     [[nodiscard]] bool keepsAlive() const;
--- a/carawaylatch/proxy/kvtransfer.cpp
+++ b/carawaylatch/proxy/kvtransfer.cpp
@@ -9,16 +9,16 @@
 namespace
 {
 
-constexpr std::uint32_t MinSharedTokensMoved = 512; // shorter parts are read faster than they are fetched
+constexpr std::uint32_t MinTransferTokens = 512; // shorter parts are read faster than they are fetched
 
 } // namespace
 
-std::uint64_t promptStateKey(std::uint64_t promptKey, base::WeightsVersion weights)
+std::uint64_t kvCacheKey(std::uint64_t prefixKey, base::WeightsVersion weights)
 {
-    return base::combineHashes(promptKey, weights.value);
+    return base::combineHashes(prefixKey, weights.value);
 }
 
-std::uint64_t sharedPromptKey(std::span<const PromptPart> parts)
+std::uint64_t sharedPrefixKey(std::span<const PromptPart> parts)
 {
     if (parts.size() < 2) {
         return 0;
@@ -30,7 +30,7 @@
     return key;
 }
 
-std::uint32_t sharedPromptTokens(std::span<const PromptPart> parts)
+std::uint32_t sharedPrefixTokens(std::span<const PromptPart> parts)
 {
     std::uint32_t tokens = 0;
     for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
@@ -39,13 +39,13 @@
     return tokens;
 }
 
-const CacheStore *cacheStoreOf(std::uint64_t promptKey, const FleetView &view)
+const CacheStore *selectCacheStore(std::uint64_t prefixKey, const FleetView &view)
 {
     const CacheStore *chosen = nullptr;
     std::uint64_t best = 0;
     for (const CacheStore &store : view.table->cacheStores) {
-        const std::uint64_t weight = base::rendezvousWeight(promptKey, store.endpoint.address);
-        if (!view.deadCacheStores.contains(store.endpoint) && (chosen == nullptr || weight > best)) {
+        const std::uint64_t weight = base::rendezvousWeight(prefixKey, store.endpoint.address);
+        if (!view.unavailableCacheStores.contains(store.endpoint) && (chosen == nullptr || weight > best)) {
             chosen = &store;
             best = weight;
         }
@@ -53,21 +53,21 @@
     return chosen;
 }
 
-PromptStatePlan planPromptState(std::uint64_t promptKey, std::uint32_t sharedTokens, const UpstreamRecord &taker, const FleetView &view,
-                                const UpstreamBook &book, base::TimePoint now)
+KvTransferPlan planKvTransfer(std::uint64_t prefixKey, std::uint32_t sharedTokens, const UpstreamRecord &destination, const FleetView &view,
+                              const UpstreamTracker &tracker, base::TimePoint now)
 {
-    PromptStatePlan plan;
-    if (sharedTokens < MinSharedTokensMoved || taker.weights.value == 0) {
+    KvTransferPlan plan;
+    if (sharedTokens < MinTransferTokens || destination.weights.value == 0) {
         return plan;
     }
-    const std::uint64_t state = promptStateKey(promptKey, taker.weights);
-    const CacheStore *store = cacheStoreOf(promptKey, view);
-    if (const UpstreamRecord *holder = book.holderOf(state, taker, now)) {
+    const std::uint64_t state = kvCacheKey(prefixKey, destination.weights);
+    const CacheStore *store = selectCacheStore(prefixKey, view);
+    if (const UpstreamRecord *holder = tracker.findKvSource(state, destination, now)) {
         plan.fetchFrom = holder->upstream.endpoint;
     } else if (store != nullptr) {
         plan.fetchFrom = store->endpoint;
     }
-    if (store != nullptr && !book.placements().isKnown(state)) {
+    if (store != nullptr && !tracker.placements().contains(state)) {
         plan.saveTo = store->endpoint;
     }
     return plan;
--- a/carawaylatch/proxy/kvtransfer.h
+++ b/carawaylatch/proxy/kvtransfer.h
@@ -21,18 +21,18 @@
 {
 
 // Key of a prompt's state as one version of weights makes it.
-[[nodiscard]] std::uint64_t promptStateKey(std::uint64_t promptKey, base::WeightsVersion weights);
+[[nodiscard]] std::uint64_t kvCacheKey(std::uint64_t prefixKey, base::WeightsVersion weights);
 // Hash of a prompt's shared parts (all but the last), zero if there are none.
-[[nodiscard]] std::uint64_t sharedPromptKey(std::span<const PromptPart> parts);
+[[nodiscard]] std::uint64_t sharedPrefixKey(std::span<const PromptPart> parts);
 // Tokens of a prompt's shared parts.
-[[nodiscard]] std::uint32_t sharedPromptTokens(std::span<const PromptPart> parts);
+[[nodiscard]] std::uint32_t sharedPrefixTokens(std::span<const PromptPart> parts);
 
 // Returns the cache store that keeps a prompt's shared parts: the first in rendezvous
 // order of those that answer, so that routers agree and each store keeps and carries
 // its part. Nothing if none answers.
-[[nodiscard]] const CacheStore *cacheStoreOf(std::uint64_t promptKey, const FleetView &view);
+[[nodiscard]] const CacheStore *selectCacheStore(std::uint64_t prefixKey, const FleetView &view);
 
-struct PromptStatePlan
+struct KvTransferPlan
 {
     std::optional<base::Endpoint> fetchFrom; // costs nothing where the engine keeps the parts itself
     std::optional<base::Endpoint> saveTo;
@@ -40,7 +40,7 @@
 
 // Where the engine `taker` fetches the shared parts of a prompt and saves them, before
 // it is sent the prompt. Nothing for parts that are read faster than they are fetched.
-[[nodiscard]] PromptStatePlan planPromptState(std::uint64_t promptKey, std::uint32_t sharedTokens, const UpstreamRecord &taker, const FleetView &view,
-                                              const UpstreamBook &book, base::TimePoint now);
+[[nodiscard]] KvTransferPlan planKvTransfer(std::uint64_t prefixKey, std::uint32_t sharedTokens, const UpstreamRecord &destination, const FleetView &view,
+                                            const UpstreamTracker &tracker, base::TimePoint now);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/loadreport.cpp
+++ b/carawaylatch/proxy/loadreport.cpp
@@ -12,10 +12,10 @@
 {
 
 constexpr std::uint8_t Version = 1;
-constexpr std::uint8_t WholeFlag = 1;
-constexpr std::size_t HeadBytes = 22;
-constexpr std::size_t WorkBytes = 18;
-constexpr std::size_t PlacementBytes = 16;
+constexpr std::uint8_t FullFlag = 1;
+constexpr std::size_t HeaderBytes = 22;
+constexpr std::size_t LoadRowBytes = 18;
+constexpr std::size_t PlacementRowBytes = 16;
 
 template <typename T>
 void append(std::string &out, T value)
@@ -37,7 +37,7 @@
     return static_cast<T>(value);
 }
 
-base::Error noReport(const std::string &problem)
+base::Error malformedReport(const std::string &problem)
 {
     return base::fail(base::ErrorKind::InvalidArgument, "not a load report: " + problem + "; check the version of the router that sent it");
 }
@@ -46,25 +46,25 @@
 
 std::string encodeLoadReport(const LoadReport &report)
 {
-    const std::size_t works = std::min(report.work.size(), MaxReportRows);
+    const std::size_t loads = std::min(report.loads.size(), MaxReportRows);
     const std::size_t placements = std::min(report.placements.size(), MaxReportRows);
     std::string out;
-    out.reserve(HeadBytes + works * WorkBytes + placements * PlacementBytes);
+    out.reserve(HeaderBytes + loads * LoadRowBytes + placements * PlacementRowBytes);
     append<std::uint8_t>(out, Version);
-    append<std::uint8_t>(out, report.isWhole ? WholeFlag : 0);
-    append<std::uint16_t>(out, static_cast<std::uint16_t>(works));
+    append<std::uint8_t>(out, report.isFullReport ? FullFlag : 0);
+    append<std::uint16_t>(out, static_cast<std::uint16_t>(loads));
     append<std::uint16_t>(out, static_cast<std::uint16_t>(placements));
     append(out, report.sender);
-    append(out, report.life);
-    for (std::size_t i = 0; i < works; ++i) {
-        const UpstreamWork &it = report.work[i];
+    append(out, report.incarnation);
+    for (std::size_t i = 0; i < loads; ++i) {
+        const PeerUpstreamLoad &it = report.loads[i];
         append(out, it.upstream);
         append<std::uint16_t>(out, static_cast<std::uint16_t>(std::min<std::uint32_t>(it.requests, std::numeric_limits<std::uint16_t>::max())));
-        append(out, it.unreadTokens);
+        append(out, it.prefillTokens);
         append(out, it.memoryTokens);
     }
     for (std::size_t i = 0; i < placements; ++i) {
-        append(out, report.placements[i].promptState);
+        append(out, report.placements[i].cacheKey);
         append(out, report.placements[i].upstream);
     }
     return out;
@@ -72,37 +72,37 @@
 
 base::Result<LoadReport> decodeLoadReport(std::string_view bytes)
 {
-    if (bytes.size() < HeadBytes) {
-        return noReport("shorter than its head");
+    if (bytes.size() < HeaderBytes) {
+        return malformedReport("shorter than its head");
     }
     if (take<std::uint8_t>(bytes) != Version) {
-        return noReport("another version");
+        return malformedReport("another version");
     }
     LoadReport report;
-    report.isWhole = (take<std::uint8_t>(bytes) & WholeFlag) != 0;
-    const std::size_t works = take<std::uint16_t>(bytes);
+    report.isFullReport = (take<std::uint8_t>(bytes) & FullFlag) != 0;
+    const std::size_t loads = take<std::uint16_t>(bytes);
     const std::size_t placements = take<std::uint16_t>(bytes);
     report.sender = take<std::uint64_t>(bytes);
-    report.life = take<std::uint64_t>(bytes);
-    if (works > MaxReportRows || placements > MaxReportRows) {
-        return noReport("more rows than a report holds");
+    report.incarnation = take<std::uint64_t>(bytes);
+    if (loads > MaxReportRows || placements > MaxReportRows) {
+        return malformedReport("more rows than a report holds");
     }
-    if (bytes.size() != works * WorkBytes + placements * PlacementBytes) {
-        return noReport("its length differs from its counts");
+    if (bytes.size() != loads * LoadRowBytes + placements * PlacementRowBytes) {
+        return malformedReport("its length differs from its counts");
     }
-    report.work.reserve(works);
-    for (std::size_t i = 0; i < works; ++i) {
-        UpstreamWork it;
+    report.loads.reserve(loads);
+    for (std::size_t i = 0; i < loads; ++i) {
+        PeerUpstreamLoad it;
         it.upstream = take<std::uint64_t>(bytes);
         it.requests = take<std::uint16_t>(bytes);
-        it.unreadTokens = take<std::uint32_t>(bytes);
+        it.prefillTokens = take<std::uint32_t>(bytes);
         it.memoryTokens = take<std::uint32_t>(bytes);
-        report.work.push_back(it);
+        report.loads.push_back(it);
     }
     report.placements.reserve(placements);
     for (std::size_t i = 0; i < placements; ++i) {
-        PromptPlacement it;
-        it.promptState = take<std::uint64_t>(bytes);
+        PrefixPlacement it;
+        it.cacheKey = take<std::uint64_t>(bytes);
         it.upstream = take<std::uint64_t>(bytes);
         report.placements.push_back(it);
     }
--- a/carawaylatch/proxy/loadreport.h
+++ b/carawaylatch/proxy/loadreport.h
@@ -27,30 +27,30 @@
 {
 
 // One router's work at one upstream. Counts beyond their field's range are cut to it.
-struct UpstreamWork
+struct PeerUpstreamLoad
 {
     std::uint64_t upstream = 0; // hash of its id
     std::uint32_t requests = 0; // sent and not ended
-    std::uint32_t unreadTokens = 0; // prompt tokens of those without a first event
+    std::uint32_t prefillTokens = 0; // prompt tokens of those without a first event
     std::uint32_t memoryTokens = 0; // that these requests may take
 };
 
 // A prompt's shared parts were sent to an upstream to be read.
-struct PromptPlacement
+struct PrefixPlacement
 {
-    std::uint64_t promptState = 0; // see promptStateKey()
+    std::uint64_t cacheKey = 0; // see kvCacheKey()
     std::uint64_t upstream = 0; // hash of its id
 
-    auto operator<=>(const PromptPlacement &) const = default;
+    auto operator<=>(const PrefixPlacement &) const = default;
 };
 
 struct LoadReport
 {
     std::uint64_t sender = 0; // hash of the router's id
-    std::uint64_t life = 0; // of the sending process
-    bool isWhole = false; // upstreams that it does not name have no work of the sender
-    std::vector<UpstreamWork> work;
-    std::vector<PromptPlacement> placements;
+    std::uint64_t incarnation = 0; // of the sending process
+    bool isFullReport = false; // upstreams that it does not name have no work of the sender
+    std::vector<PeerUpstreamLoad> loads;
+    std::vector<PrefixPlacement> placements;
 };
 
 // Rows of each kind in one report; more are left to the next one.
--- a/carawaylatch/proxy/peerexchange.cpp
+++ b/carawaylatch/proxy/peerexchange.cpp
@@ -21,15 +21,15 @@
 namespace
 {
 
-constexpr base::Duration SignOfLifeInterval = base::milliseconds{400}; // a third of PeerWork::PeerLife
+constexpr base::Duration HeartbeatInterval = base::milliseconds{400}; // a third of PeerLoad::PeerTimeout
 constexpr base::Duration ConnectTimeout = base::milliseconds{700}; // several round trips; a lost opening packet takes a second
-constexpr base::Duration AnswerTimeout = base::seconds{1}; // a peer that is busy answers later than this only when it is of no use
-constexpr base::Duration FirstRetryPause = base::milliseconds{500}; // after a lost connection; doubles up to MaxRetryPause
-constexpr base::Duration MaxRetryPause = base::seconds{8}; // a router that was removed stays listed
+constexpr base::Duration ResponseTimeout = base::seconds{1}; // a peer that is busy answers later than this only when it is of no use
+constexpr base::Duration InitialRetryDelay = base::milliseconds{500}; // after a lost connection; doubles up to MaxRetryDelay
+constexpr base::Duration MaxRetryDelay = base::seconds{8}; // a router that was removed stays listed
 constexpr std::size_t MaxUnanswered = 16; // reports to one peer; beyond it they are left out and a whole one follows
 constexpr std::size_t MaxInbound = 2 * MaxReportPeers; // neighbours may see another ring for a while
-constexpr int Taken = 204;
-constexpr int Refused = 400;
+constexpr int StatusAccepted = 204;
+constexpr int StatusRejected = 400;
 
 } // namespace
 
@@ -62,7 +62,7 @@
         , m_socket(std::move(socket))
         , m_session(peer::Http2Session::Role::Server, MaxReportBytes)
     {
-        setSocketOptions(m_socket, AnswerTimeout * 2);
+        setSocketOptions(m_socket, ResponseTimeout * 2);
     }
 
     void read()
@@ -73,7 +73,7 @@
                 return;
             }
             for (const auto &request : self->m_session.takeRequests()) {
-                self->m_session.respond(request.stream, request.isTooLarge ? Refused : Taken);
+                self->m_session.respond(request.stream, request.isTooLarge ? StatusRejected : StatusAccepted);
                 self->m_exchange->onInbound(request.body);
             }
             self->write();
@@ -134,19 +134,19 @@
             connect();
         } else if (m_state == State::Connecting && now - m_waitingSince > ConnectTimeout) {
             drop("no connection in time");
-        } else if (m_state == State::Open && m_unanswered > 0 && now - m_waitingSince > AnswerTimeout) {
+        } else if (m_state == State::Open && m_unanswered > 0 && now - m_waitingSince > ResponseTimeout) {
             drop("no answer in time");
         }
-        if (m_lostSince && now - *m_lostSince >= GoneTime) {
+        if (m_lostSince && now - *m_lostSince >= UnreachableTimeout) {
             m_lostSince = now;
-            m_exchange->m_source.onPeerGone(m_endpoint);
+            m_exchange->m_source.onPeerUnreachable(m_endpoint);
         }
     }
 
     // True if changes alone say nothing to the peer: it has no whole report of this connection, or missed some.
-    [[nodiscard]] bool needsWhole() const
+    [[nodiscard]] bool needsFullReport() const
     {
-        return m_state == State::Open && m_needsWhole;
+        return m_state == State::Open && m_needsFullReport;
     }
 
     // Sends a report, or leaves it out where the peer takes too little.
@@ -156,13 +156,13 @@
             return;
         }
         if (m_unanswered >= MaxUnanswered) {
-            m_needsWhole = true;
+            m_needsFullReport = true;
             return;
         }
         if (report.empty() || m_session->submit(report) <= 0) {
             return;
         }
-        m_needsWhole = false;
+        m_needsFullReport = false;
         if (m_unanswered++ == 0) {
             m_waitingSince = m_exchange->m_clock.now();
         }
@@ -192,33 +192,34 @@
         }
         m_state = State::Connecting;
         m_waitingSince = m_exchange->m_clock.now();
-        m_socket.async_connect(Tcp::endpoint(address, m_endpoint.port), [self = shared_from_this(), life = m_life](const boost::system::error_code &error) {
-            if (self->m_life != life || self->m_exchange == nullptr) {
-                return;
-            }
-            if (error) {
-                self->drop(error.message());
-                return;
-            }
-            self->open();
-        });
+        m_socket.async_connect(Tcp::endpoint(address, m_endpoint.port),
+                               [self = shared_from_this(), generation = m_generation](const boost::system::error_code &error) {
+                                   if (self->m_generation != generation || self->m_exchange == nullptr) {
+                                       return;
+                                   }
+                                   if (error) {
+                                       self->drop(error.message());
+                                       return;
+                                   }
+                                   self->open();
+                               });
     }
 
     void open()
     {
         m_state = State::Open;
         m_session.emplace(peer::Http2Session::Role::Client, MaxReportBytes);
-        setSocketOptions(m_socket, AnswerTimeout * 2);
-        m_needsWhole = true;
+        setSocketOptions(m_socket, ResponseTimeout * 2);
+        m_needsFullReport = true;
         read();
     }
 
     // A connection alone says little: the system of a suspended peer still accepts.
-    void answered(std::size_t answers)
+    void onResponses(std::size_t answers)
     {
         m_unanswered -= std::min(answers, m_unanswered);
         m_waitingSince = m_exchange->m_clock.now();
-        m_retryPause = FirstRetryPause;
+        m_retryDelay = InitialRetryDelay;
         if (std::exchange(m_lostSince, std::nullopt)) {
             m_exchange->m_log.write(base::LogEvent::PeerRegained, {{"peer", config::formatEndpoint(m_endpoint)}});
         }
@@ -226,20 +227,21 @@
 
     void read()
     {
-        m_socket.async_read_some(boost::asio::buffer(m_chunk), [self = shared_from_this(), life = m_life](const boost::system::error_code &ec, std::size_t n) {
-            if (self->m_life != life || self->m_exchange == nullptr) {
-                return;
-            }
-            if (ec || !self->m_session->receive({self->m_chunk.data(), n})) {
-                self->drop(ec ? ec.message() : "no answer of this protocol");
-                return;
-            }
-            if (const std::size_t answers = self->m_session->takeAnswers().size(); answers > 0) {
-                self->answered(answers);
-            }
-            self->write();
-            self->read();
-        });
+        m_socket.async_read_some(boost::asio::buffer(m_chunk),
+                                 [self = shared_from_this(), generation = m_generation](const boost::system::error_code &ec, std::size_t n) {
+                                     if (self->m_generation != generation || self->m_exchange == nullptr) {
+                                         return;
+                                     }
+                                     if (ec || !self->m_session->receive({self->m_chunk.data(), n})) {
+                                         self->drop(ec ? ec.message() : "no answer of this protocol");
+                                         return;
+                                     }
+                                     if (const std::size_t answers = self->m_session->takeAnswers().size(); answers > 0) {
+                                         self->onResponses(answers);
+                                     }
+                                     self->write();
+                                     self->read();
+                                 });
     }
 
     void write()
@@ -252,9 +254,9 @@
             return;
         }
         boost::asio::async_write(m_socket, boost::asio::buffer(m_output),
-                                 [self = shared_from_this(), life = m_life](const boost::system::error_code &ec, std::size_t) {
+                                 [self = shared_from_this(), generation = m_generation](const boost::system::error_code &ec, std::size_t) {
                                      self->m_output.clear();
-                                     if (!ec && self->m_life == life && self->m_exchange != nullptr) {
+                                     if (!ec && self->m_generation == generation && self->m_exchange != nullptr) {
                                          self->write();
                                      }
                                  });
@@ -263,8 +265,8 @@
     void drop(const std::string &problem)
     {
         reset();
-        m_retryAt = m_exchange->m_clock.now() + m_retryPause;
-        m_retryPause = std::min<base::Duration>(m_retryPause * 2, MaxRetryPause);
+        m_retryAt = m_exchange->m_clock.now() + m_retryDelay;
+        m_retryDelay = std::min<base::Duration>(m_retryDelay * 2, MaxRetryDelay);
         if (!m_lostSince) {
             m_lostSince = m_exchange->m_clock.now();
             m_exchange->m_log.write(base::LogEvent::PeerLost, {{"peer", config::formatEndpoint(m_endpoint)}, {"problem", problem}});
@@ -273,7 +275,7 @@
 
     void reset()
     {
-        ++m_life;
+        ++m_generation;
         boost::system::error_code ignored;
         m_socket.close(ignored);
         m_state = State::Idle;
@@ -287,12 +289,12 @@
     std::array<char, 1024> m_chunk{};
     std::string m_output; // of the write under way, which may be of a former connection
     State m_state = State::Idle;
-    std::uint64_t m_life = 0; // of the connection; handlers of former ones do nothing
+    std::uint64_t m_generation = 0; // of the connection; handlers of former ones do nothing
     base::TimePoint m_waitingSince; // for the connection, or for an answer: since the last one or the first report without one
     base::TimePoint m_retryAt;
-    base::Duration m_retryPause = FirstRetryPause;
+    base::Duration m_retryDelay = InitialRetryDelay;
     std::size_t m_unanswered = 0; // reports; at most MaxUnanswered
-    bool m_needsWhole = true;
+    bool m_needsFullReport = true;
     std::optional<base::TimePoint> m_lostSince; // the first failure since the last answer
 };
 
@@ -304,7 +306,7 @@
     , m_source(source)
     , m_log(log)
     , m_sender(base::hash64(id))
-    , m_life(base::newIncarnation().value)
+    , m_incarnation(base::newIncarnation().value)
     , m_acceptor(loop)
     , m_next(loop)
 {
@@ -377,27 +379,27 @@
     if (!m_isAccepting && m_acceptor.is_open()) {
         accept();
     }
-    const bool isDue = !changes.work.empty() || !changes.placements.empty() || now - m_reportedAt >= SignOfLifeInterval;
+    const bool isDue = !changes.loads.empty() || !changes.placements.empty() || now - m_reportedAt >= HeartbeatInterval;
     const std::string changesText = isDue ? encode(changes) : std::string();
     if (isDue) {
         m_reportedAt = now;
     }
-    std::string wholeText; // made for the first peer that needs it; most ticks have none
+    std::string fullText; // made for the first peer that needs it; most ticks have none
     for (const auto &[endpoint, outbound] : m_outbound) {
         outbound->tick();
-        if (outbound->needsWhole() && wholeText.empty()) {
-            LoadReport whole = m_source.wholeReport();
-            whole.placements = changes.placements;
-            wholeText = encode(std::move(whole));
+        if (outbound->needsFullReport() && fullText.empty()) {
+            LoadReport full = m_source.fullReport();
+            full.placements = changes.placements;
+            fullText = encode(std::move(full));
         }
-        outbound->send(outbound->needsWhole() ? wholeText : changesText);
+        outbound->send(outbound->needsFullReport() ? fullText : changesText);
     }
 }
 
 std::string PeerExchange::encode(LoadReport report) const
 {
     report.sender = m_sender;
-    report.life = m_life;
+    report.incarnation = m_incarnation;
     return encodeLoadReport(report);
 }
 
@@ -406,7 +408,7 @@
     const auto report = decodeLoadReport(body);
     if (report) {
         m_source.onReport(report.value());
-    } else if (!std::exchange(m_hasBadReport, true)) {
+    } else if (!std::exchange(m_hasLoggedBadReport, true)) {
         m_log.write(base::LogEvent::PeerReportRefused, {{"problem", report.error().message}});
     }
 }
--- a/carawaylatch/proxy/peerexchange.h
+++ b/carawaylatch/proxy/peerexchange.h
@@ -2,7 +2,7 @@
 //
 // The load it answers: see loadreport.h. Each router keeps one HTTP/2 connection to
 // each of its peers and posts a report each ReportInterval when something changed,
-// or a sign of life each SignOfLifeInterval. A peer that answers nothing is dropped
+// or a sign of life each HeartbeatInterval. A peer that answers nothing is dropped
 // and tried again later, ever less often; it holds nothing else up, and placement
 // goes on with what this router sees itself. Peers are the nearest in a ring of all
 // routers, so their number, and with it the cost, is bounded whatever the fleet.
@@ -42,10 +42,10 @@
     virtual ~LoadReportSource() = default;
     // What changed since the last call.
     [[nodiscard]] virtual LoadReport takeChanges() = 0;
-    [[nodiscard]] virtual LoadReport wholeReport() const = 0;
+    [[nodiscard]] virtual LoadReport fullReport() const = 0;
     virtual void onReport(const LoadReport &report) = 0;
-    // A router has answered nothing for GoneTime; told again after as long.
-    virtual void onPeerGone(const base::Endpoint &peer) = 0;
+    // A router has answered nothing for UnreachableTimeout; told again after as long.
+    virtual void onPeerUnreachable(const base::Endpoint &peer) = 0;
 };
 
 class PeerExchange
@@ -68,7 +68,7 @@
     void closeAll();
 
     // Far beyond restarts and cuts between failure domains.
-    static constexpr base::Duration GoneTime = base::minutes{10};
+    static constexpr base::Duration UnreachableTimeout = base::minutes{10};
     static constexpr base::Duration ReportInterval = base::milliseconds{50}; // a third of the reading of a long prompt
 
 private:
@@ -85,14 +85,14 @@
     LoadReportSource &m_source;
     telemetry::DecisionLog &m_log;
     const std::uint64_t m_sender;
-    const std::uint64_t m_life;
+    const std::uint64_t m_incarnation;
     Tcp::acceptor m_acceptor;
     Tcp::socket m_next;
     bool m_isAccepting = false;
     std::set<std::shared_ptr<Inbound>> m_inbound;
     std::map<base::Endpoint, std::shared_ptr<Outbound>> m_outbound;
     base::TimePoint m_reportedAt; // last report or sign of life
-    bool m_hasBadReport = false; // logged once
+    bool m_hasLoggedBadReport = false; // logged once
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/peerload.cpp
+++ b/carawaylatch/proxy/peerload.cpp
@@ -6,32 +6,32 @@
 namespace carawaylatch::proxy
 {
 
-bool PeerWork::apply(const LoadReport &report, base::TimePoint now)
+bool PeerLoad::apply(const LoadReport &report, base::TimePoint now)
 {
     auto it = m_peers.find(report.sender);
-    if (it == m_peers.end() || it->second.life != report.life) {
-        if (!report.isWhole || (it == m_peers.end() && m_peers.size() >= MaxPeers)) {
+    if (it == m_peers.end() || it->second.incarnation != report.incarnation) {
+        if (!report.isFullReport || (it == m_peers.end() && m_peers.size() >= MaxPeers)) {
             return false;
         }
         it = m_peers.try_emplace(report.sender).first;
     }
     Peer &peer = it->second;
-    if (report.isWhole) {
+    if (report.isFullReport) {
         forget(peer);
     }
-    peer.life = report.life;
+    peer.incarnation = report.incarnation;
     peer.heardAt = now;
-    for (const UpstreamWork &work : report.work) {
-        set(peer, work);
+    for (const PeerUpstreamLoad &load : report.loads) {
+        set(peer, load);
     }
     return true;
 }
 
-std::size_t PeerWork::expire(base::TimePoint now)
+std::size_t PeerLoad::expire(base::TimePoint now)
 {
     std::size_t forgotten = 0;
     for (auto it = m_peers.begin(); it != m_peers.end();) {
-        if (now - it->second.heardAt <= PeerLife) {
+        if (now - it->second.heardAt <= PeerTimeout) {
             ++it;
             continue;
         }
@@ -42,45 +42,45 @@
     return forgotten;
 }
 
-UpstreamWork PeerWork::at(std::uint64_t upstream) const
+PeerUpstreamLoad PeerLoad::at(std::uint64_t upstream) const
 {
     const auto it = m_sums.find(upstream);
-    return it == m_sums.end() ? UpstreamWork{} : it->second;
+    return it == m_sums.end() ? PeerUpstreamLoad{} : it->second;
 }
 
-std::size_t PeerWork::peers() const
+std::size_t PeerLoad::peers() const
 {
     return m_peers.size();
 }
 
-void PeerWork::set(Peer &peer, const UpstreamWork &work)
+void PeerLoad::set(Peer &peer, const PeerUpstreamLoad &load)
 {
-    UpstreamWork &former = peer.work[work.upstream];
-    UpstreamWork &sum = m_sums[work.upstream];
+    PeerUpstreamLoad &former = peer.loads[load.upstream];
+    PeerUpstreamLoad &sum = m_sums[load.upstream];
     // Unsigned differences wrap back: the sum holds the former figure.
-    sum.requests += work.requests - former.requests;
-    sum.unreadTokens += work.unreadTokens - former.unreadTokens;
-    sum.memoryTokens += work.memoryTokens - former.memoryTokens;
-    former = work;
-    const auto isNothing = [](const UpstreamWork &it) {
-        return it.requests == 0 && it.unreadTokens == 0 && it.memoryTokens == 0;
+    sum.requests += load.requests - former.requests;
+    sum.prefillTokens += load.prefillTokens - former.prefillTokens;
+    sum.memoryTokens += load.memoryTokens - former.memoryTokens;
+    former = load;
+    const auto isNothing = [](const PeerUpstreamLoad &it) {
+        return it.requests == 0 && it.prefillTokens == 0 && it.memoryTokens == 0;
     };
     if (isNothing(sum)) {
-        m_sums.erase(work.upstream);
+        m_sums.erase(load.upstream);
     }
     if (isNothing(former)) {
-        peer.work.erase(work.upstream);
+        peer.loads.erase(load.upstream);
     }
 }
 
-void PeerWork::forget(Peer &peer)
+void PeerLoad::forget(Peer &peer)
 {
     std::vector<std::uint64_t> upstreams;
-    for (const auto &[upstream, work] : peer.work) {
+    for (const auto &[upstream, load] : peer.loads) {
         upstreams.push_back(upstream);
     }
     for (const std::uint64_t upstream : upstreams) {
-        set(peer, UpstreamWork{upstream});
+        set(peer, PeerUpstreamLoad{upstream});
     }
 }
 
--- a/carawaylatch/proxy/placement.cpp
+++ b/carawaylatch/proxy/placement.cpp
@@ -17,7 +17,7 @@
 constexpr double UsableMemoryShare = 0.9;
 
 // What is the same for all candidates of one query.
-struct Scene
+struct PlacementContext
 {
     const PlacementQuery &query;
     const FleetView &view;
@@ -25,116 +25,117 @@
     const Pool *pool = nullptr;
     const WeightsTarget *target = nullptr; // nothing if no version is named
     base::WeightsVersion oldestWeights; // that may still be used
-    const UpstreamRecord *home = nullptr; // first in rendezvous order
+    const UpstreamRecord *owner = nullptr; // first in rendezvous order
 };
 
-bool hasOldWeights(const Scene &scene, const UpstreamRecord &record)
+bool hasOldWeights(const PlacementContext &context, const UpstreamRecord &record)
 {
-    return scene.target != nullptr && record.weights < scene.target->version;
+    return context.target != nullptr && record.weights < context.target->version;
 }
 
-bool isUsable(const Scene &scene, const UpstreamRecord &record)
+bool isUsable(const PlacementContext &context, const UpstreamRecord &record)
 {
-    const auto &excluded = scene.query.excluded;
-    const bool isChanging = hasOldWeights(scene, record) && scene.view.reloading.contains(record.upstream.id);
+    const auto &excluded = context.query.excluded;
+    const bool isChanging = hasOldWeights(context, record) && context.view.reloading.contains(record.upstream.id);
     return record.upstream.phase == UpstreamPhase::Ready && !isChanging && std::find(excluded.begin(), excluded.end(), record.upstream.id) == excluded.end();
 }
 
-bool areWeightsAllowed(const Scene &scene, const UpstreamRecord &record)
+bool areWeightsAllowed(const PlacementContext &context, const UpstreamRecord &record)
 {
-    return scene.target == nullptr || record.weights >= scene.oldestWeights;
+    return context.target == nullptr || record.weights >= context.oldestWeights;
 }
 
-bool hasRoom(const Scene &scene, const UpstreamRecord &record, const TotalWork &work)
+bool hasRoom(const PlacementContext &context, const UpstreamRecord &record, const TotalLoad &load)
 {
     const double slots = record.upstream.slots > 0 ? record.upstream.slots : std::numeric_limits<double>::max();
-    if (!scene.pool->engine) {
-        return work.requests < slots * scene.tuning.serviceQueueFactor;
+    if (!context.pool->engine) {
+        return load.requests < slots * context.tuning.serviceQueueFactor;
     }
-    if (work.requests >= slots || record.isBackedUp(scene.query.now)) {
+    if (load.requests >= slots || record.isBackedUp(context.query.now)) {
         return false;
     }
-    const auto memory = static_cast<double>(scene.pool->engine->cacheTokens);
+    const auto memory = static_cast<double>(context.pool->engine->cacheTokens);
     // A request that is larger than the share runs alone.
-    return memory == 0 || work.memoryTokens == 0 || work.memoryTokens + scene.query.memoryTokens <= memory * UsableMemoryShare;
+    return memory == 0 || load.memoryTokens == 0 || load.memoryTokens + context.query.memoryTokens <= memory * UsableMemoryShare;
 }
 
-bool holdsSharedParts(const Scene &scene, const UpstreamRecord &record, const UpstreamBook &book)
+bool isPrefixCached(const PlacementContext &context, const UpstreamRecord &record, const UpstreamTracker &tracker)
 {
-    return scene.query.promptKey == 0 || book.placements().isPlaced(promptStateKey(scene.query.promptKey, record.weights), record.key, scene.query.now);
+    return context.query.prefixKey == 0
+           || tracker.placements().isLikelyCached(kvCacheKey(context.query.prefixKey, record.weights), record.idHash, context.query.now);
 }
 
-double costOf(const Scene &scene, const UpstreamRecord &record, const TotalWork &work, bool holdsParts)
+double costOf(const PlacementContext &context, const UpstreamRecord &record, const TotalLoad &load, bool hasCachedPrefix)
 {
-    const PlacementTuning &tuning = scene.tuning;
+    const PlacementTuning &tuning = context.tuning;
     double cost = record.failureShare * record.failureShare * tuning.failureMilliseconds;
-    if (record.upstream.domain != scene.query.domain) {
+    if (record.upstream.domain != context.query.domain) {
         cost += tuning.otherDomainMilliseconds;
     }
-    if (!scene.pool->engine) {
+    if (!context.pool->engine) {
         const double slots = std::max<std::uint32_t>(record.upstream.slots, 1);
-        return cost + tuning.fullServiceMilliseconds * work.requests / slots;
+        return cost + tuning.fullServiceMilliseconds * load.requests / slots;
     }
-    cost += work.unreadTokens * tuning.millisecondsPerToken;
-    cost += work.requests * tuning.runningRequestMilliseconds;
-    if (!holdsParts) {
-        const double homeShare = scene.home == &record ? tuning.homeShare : 1.0;
-        cost += scene.query.sharedTokens * (tuning.millisecondsPerToken + tuning.rereadMillisecondsPerToken) * homeShare;
+    cost += load.prefillTokens * tuning.prefillMillisecondsPerToken;
+    cost += load.requests * tuning.runningRequestMilliseconds;
+    if (!hasCachedPrefix) {
+        const double ownerShare = context.owner == &record ? tuning.ownerShare : 1.0;
+        cost += context.query.sharedTokens * (tuning.prefillMillisecondsPerToken + tuning.recomputeMillisecondsPerToken) * ownerShare;
     }
-    if (hasOldWeights(scene, record)) {
+    if (hasOldWeights(context, record)) {
         cost += tuning.oldWeightsMilliseconds;
     }
     return cost;
 }
 
-const UpstreamRecord *homeOf(const PlacementQuery &query, const std::vector<UpstreamRecord *> &members)
+const UpstreamRecord *rendezvousOwner(const PlacementQuery &query, const std::vector<UpstreamRecord *> &members)
 {
-    const UpstreamRecord *home = nullptr;
+    const UpstreamRecord *owner = nullptr;
     std::uint64_t best = 0;
     for (const UpstreamRecord *record : members) {
-        const std::uint64_t weight = base::rendezvousWeight(query.promptKey, record->upstream.id.value());
-        if (home == nullptr || weight > best) {
-            home = record;
+        const std::uint64_t weight = base::rendezvousWeight(query.prefixKey, record->upstream.id.value());
+        if (owner == nullptr || weight > best) {
+            owner = record;
             best = weight;
         }
     }
-    return home;
+    return owner;
 }
 
 } // namespace
 
-PlacementResult place(const PlacementQuery &query, const FleetView &view, UpstreamBook &book, const PlacementTuning &tuning)
+PlacementResult place(const PlacementQuery &query, const FleetView &view, UpstreamTracker &tracker, const PlacementTuning &tuning)
 {
-    Scene scene{query, view, tuning, nullptr, nullptr, {}, nullptr};
-    scene.pool = view.table->pool(query.pool);
-    if (scene.pool == nullptr) {
+    PlacementContext context{query, view, tuning, nullptr, nullptr, {}, nullptr};
+    context.pool = view.table->pool(query.pool);
+    if (context.pool == nullptr) {
         return {};
     }
     if (const auto it = view.targets.find(query.model); it != view.targets.end()) {
-        scene.target = &it->second;
-        scene.oldestWeights = scene.target->oldestAllowed(query.now, tuning.oldWeightsLimit);
+        context.target = &it->second;
+        context.oldestWeights = context.target->oldestAllowed(query.now, tuning.oldWeightsLimit);
     }
-    const auto &members = book.members(query.pool);
-    if (query.promptKey != 0) {
-        scene.home = homeOf(query, members);
+    const auto &members = tracker.members(query.pool);
+    if (query.prefixKey != 0) {
+        context.owner = rendezvousOwner(query, members);
     }
     PlacementResult result;
     bool isAvoided = false; // the best so far is one to be avoided
     for (UpstreamRecord *record : members) {
-        if (!isUsable(scene, *record) || !areWeightsAllowed(scene, *record)) {
+        if (!isUsable(context, *record) || !areWeightsAllowed(context, *record)) {
             continue;
         }
-        const TotalWork work = book.workAt(*record, view.routers, query.now);
-        if (!hasRoom(scene, *record, work)) {
+        const TotalLoad load = tracker.totalLoad(*record, view.routers, query.now);
+        if (!hasRoom(context, *record, load)) {
             result.verdict = result.record == nullptr ? PlacementVerdict::Full : result.verdict;
             continue;
         }
-        const bool isToAvoid = query.now < record->avoidUntil || record->isSilent(query.now, tuning.millisecondsPerToken);
-        const bool holdsParts = holdsSharedParts(scene, *record, book);
-        const double cost = costOf(scene, *record, work, holdsParts);
+        const bool isToAvoid = query.now < record->backoffUntil || record->isSilent(query.now, tuning.prefillMillisecondsPerToken);
+        const bool hasCachedPrefix = isPrefixCached(context, *record, tracker);
+        const double cost = costOf(context, *record, load, hasCachedPrefix);
         const bool isBetter = result.record == nullptr || (isAvoided && !isToAvoid) || (isAvoided == isToAvoid && cost < result.cost);
         if (isBetter) {
-            result = PlacementResult{PlacementVerdict::Chosen, record, holdsParts, cost};
+            result = PlacementResult{PlacementVerdict::Chosen, record, hasCachedPrefix, cost};
             isAvoided = isToAvoid;
         }
     }
--- a/carawaylatch/proxy/placement.h
+++ b/carawaylatch/proxy/placement.h
@@ -23,11 +23,11 @@
 
 struct PlacementTuning
 {
-    double millisecondsPerToken = 0.022; // reading a prompt; a first estimate for engines of this size
+    double prefillMillisecondsPerToken = 0.022; // reading a prompt; a first estimate for engines of this size
     double fullServiceMilliseconds = 120; // a plain service whose slots are all taken: two calls of the longer kind
     double runningRequestMilliseconds = 1; // each request at an engine makes its steps longer
-    double rereadMillisecondsPerToken = 0.06; // what reading shared parts twice costs operators beside the time
-    double homeShare = 0.3; // of the cost of reading shared parts at their home when they were not placed there yet
+    double recomputeMillisecondsPerToken = 0.06; // what reading shared parts twice costs operators beside the time
+    double ownerShare = 0.3; // of the cost of reading shared parts at their home when they were not placed there yet
     double otherDomainMilliseconds = 12; // transfers between failure domains cost operators more than callers
     double oldWeightsMilliseconds = 60; // answers of old weights are worth less
     double failureMilliseconds = 1500; // expected loss of a failed attempt
@@ -41,7 +41,7 @@
     base::TimePoint now;
     base::PoolName pool;
     base::ModelId model; // empty for plain services
-    std::uint64_t promptKey = 0; // hash of the shared parts; zero without any
+    std::uint64_t prefixKey = 0; // hash of the shared parts; zero without any
     std::uint32_t sharedTokens = 0;
     std::uint32_t memoryTokens = 0; // prompt and longest answer
     base::FailureDomain domain; // of this router
@@ -58,10 +58,10 @@
 {
     PlacementVerdict verdict = PlacementVerdict::NoUpstream;
     UpstreamRecord *record = nullptr; // with Chosen
-    bool holdsParts = false; // the shared parts are expected in its memory
+    bool hasCachedPrefix = false; // the shared parts are expected in its memory
     double cost = 0; // milliseconds
 };
 
-[[nodiscard]] PlacementResult place(const PlacementQuery &query, const FleetView &view, UpstreamBook &book, const PlacementTuning &tuning);
+[[nodiscard]] PlacementResult place(const PlacementQuery &query, const FleetView &view, UpstreamTracker &tracker, const PlacementTuning &tuning);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/prefixplacements.cpp
+++ b/carawaylatch/proxy/prefixplacements.cpp
@@ -6,12 +6,12 @@
 namespace carawaylatch::proxy
 {
 
-void PromptPlacements::placed(std::uint64_t promptState, std::uint64_t upstream, base::TimePoint now)
+void PrefixPlacements::onPromptSent(std::uint64_t cacheKey, std::uint64_t upstream, base::TimePoint now)
 {
-    if (m_states.size() >= MaxStates && !m_states.contains(promptState)) {
-        m_states.clear();
+    if (m_placements.size() >= MaxKeys && !m_placements.contains(cacheKey)) {
+        m_placements.clear();
     }
-    auto &placements = m_states[promptState];
+    auto &placements = m_placements[cacheKey];
     auto it = std::find_if(placements.begin(), placements.end(), [upstream](const Placement &placement) {
         return placement.upstream == upstream;
     });
@@ -23,28 +23,28 @@
     std::rotate(placements.begin(), it, it + 1);
 }
 
-bool PromptPlacements::isPlaced(std::uint64_t promptState, std::uint64_t upstream, base::TimePoint now) const
+bool PrefixPlacements::isLikelyCached(std::uint64_t cacheKey, std::uint64_t upstream, base::TimePoint now) const
 {
-    const auto it = m_states.find(promptState);
-    return it != m_states.end() && std::any_of(it->second.begin(), it->second.end(), [upstream, now](const Placement &placement) {
-               return placement.upstream == upstream && now - placement.lastAt < KeptTime;
+    const auto it = m_placements.find(cacheKey);
+    return it != m_placements.end() && std::any_of(it->second.begin(), it->second.end(), [upstream, now](const Placement &placement) {
+               return placement.upstream == upstream && now - placement.lastAt < RetentionTime;
            });
 }
 
-bool PromptPlacements::isKnown(std::uint64_t promptState) const
+bool PrefixPlacements::contains(std::uint64_t cacheKey) const
 {
-    return m_states.contains(promptState);
+    return m_placements.contains(cacheKey);
 }
 
-std::optional<std::uint64_t> PromptPlacements::holder(std::uint64_t promptState, base::TimePoint now,
+std::optional<std::uint64_t> PrefixPlacements::holder(std::uint64_t cacheKey, base::TimePoint now,
                                                       const std::function<bool(std::uint64_t upstream)> &isUsable) const
 {
-    const auto it = m_states.find(promptState);
-    if (it == m_states.end()) {
+    const auto it = m_placements.find(cacheKey);
+    if (it == m_placements.end()) {
         return std::nullopt;
     }
     for (const Placement &placement : it->second) {
-        const bool isHeld = placement.upstream != 0 && now - placement.firstAt >= ReadingTime && now - placement.lastAt < KeptTime;
+        const bool isHeld = placement.upstream != 0 && now - placement.firstAt >= PrefillTime && now - placement.lastAt < RetentionTime;
         if (isHeld && isUsable(placement.upstream)) {
             return placement.upstream;
         }
--- a/carawaylatch/proxy/prefixplacements.h
+++ b/carawaylatch/proxy/prefixplacements.h
@@ -2,7 +2,7 @@
 //
 // The load it answers: prompts that share long parts, on engines that read them
 // slowly and pass them on quickly. A state machine of the traffic thread without
-// I/O; bounded by MaxStates, beyond which all are forgotten.
+// I/O; bounded by MaxKeys, beyond which all are forgotten.
 #pragma once
 
 #include <array>
@@ -17,25 +17,25 @@
 namespace carawaylatch::proxy
 {
 
-class PromptPlacements
+class PrefixPlacements
 {
 public:
-    static constexpr std::size_t MaxStates = 16'384; // about two megabytes
-    static constexpr std::size_t PlacementsKept = 4; // upstreams remembered for each state
+    static constexpr std::size_t MaxKeys = 16'384; // about two megabytes
+    static constexpr std::size_t MaxUpstreamsPerKey = 4; // upstreams remembered for each state
     // A prompt that was sent this long ago has been read: twice the reading of a long one.
-    static constexpr base::Duration ReadingTime = base::milliseconds{350};
+    static constexpr base::Duration PrefillTime = base::milliseconds{350};
     // Engines under load evict what was not used for longer.
-    static constexpr base::Duration KeptTime = base::seconds{2};
+    static constexpr base::Duration RetentionTime = base::seconds{2};
 
-    // A prompt of this state (see promptStateKey()) was sent to the upstream of this key.
-    void placed(std::uint64_t promptState, std::uint64_t upstream, base::TimePoint now);
+    // A prompt of this state (see kvCacheKey()) was sent to the upstream of this key.
+    void onPromptSent(std::uint64_t cacheKey, std::uint64_t upstream, base::TimePoint now);
     // True if the upstream was sent the prompt of late: it holds the parts, or reads them now.
-    [[nodiscard]] bool isPlaced(std::uint64_t promptState, std::uint64_t upstream, base::TimePoint now) const;
+    [[nodiscard]] bool isLikelyCached(std::uint64_t cacheKey, std::uint64_t upstream, base::TimePoint now) const;
     // True if any upstream was sent the prompt.
-    [[nodiscard]] bool isKnown(std::uint64_t promptState) const;
+    [[nodiscard]] bool contains(std::uint64_t cacheKey) const;
     // The upstream among those that pass `isUsable` which was sent the prompt last and
     // is likely to hold it now.
-    [[nodiscard]] std::optional<std::uint64_t> holder(std::uint64_t promptState, base::TimePoint now,
+    [[nodiscard]] std::optional<std::uint64_t> holder(std::uint64_t cacheKey, base::TimePoint now,
                                                       const std::function<bool(std::uint64_t upstream)> &isUsable) const;
 
 private:
@@ -46,7 +46,7 @@
         base::TimePoint lastAt;
     };
 
-    std::unordered_map<std::uint64_t, std::array<Placement, PlacementsKept>> m_states; // latest first
+    std::unordered_map<std::uint64_t, std::array<Placement, MaxUpstreamsPerKey>> m_placements; // latest first
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/socket.cpp
+++ b/carawaylatch/proxy/socket.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-using IntegerOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
+using UserTimeoutOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
 using IdleOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
 using IntervalOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
 using CountOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
@@ -23,14 +23,14 @@
 
 } // namespace
 
-void setSocketOptions(Tcp::socket &socket, base::Duration silence)
+void setSocketOptions(Tcp::socket &socket, base::Duration ackTimeout)
 {
     // A socket without one of the options still works; the request's own timer bounds it.
     boost::system::error_code ignored;
-    const int milliseconds = static_cast<int>(base::toMilliseconds(silence));
+    const int milliseconds = static_cast<int>(base::toMilliseconds(ackTimeout));
     const int seconds = std::max(1, milliseconds / 2000);
     socket.set_option(Tcp::no_delay(true), ignored);
-    socket.set_option(IntegerOption(milliseconds), ignored);
+    socket.set_option(UserTimeoutOption(milliseconds), ignored);
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     socket.set_option(IdleOption(seconds), ignored);
     socket.set_option(IntervalOption(seconds), ignored);
--- a/carawaylatch/proxy/testing/decisionstest.cpp
+++ b/carawaylatch/proxy/testing/decisionstest.cpp
@@ -38,12 +38,12 @@
 class AttemptRulesTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(AttemptRulesTest);
-    CPPUNIT_TEST(testPromisesOverAllHistories);
+    CPPUNIT_TEST(testInvariantsOverAllHistories);
     CPPUNIT_TEST(testNamedCases);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testPromisesOverAllHistories()
+    void testInvariantsOverAllHistories()
     {
         const std::vector<Route> routes{routeOf(CallKind::AtMostOnce, false, 3), routeOf(CallKind::Stream, false, 3), routeOf(CallKind::Stream, true, 2),
                                         routeOf(CallKind::Idempotent, false, 2)};
@@ -54,14 +54,15 @@
                 for (std::uint32_t bits = 0; bits < 4 * 4 * 8; ++bits) {
                     AttemptHistory history;
                     history.sent = bits % 4;
-                    history.unexecuted = (bits / 4) % 4;
-                    history.isAnswering = (bits & 16U) != 0;
+                    history.notExecuted = (bits / 4) % 4;
+                    history.hasResponseStarted = (bits & 16U) != 0;
                     history.hasTimeLeft = (bits & 32U) != 0;
                     history.hasBudget = (bits & 64U) != 0;
-                    const bool isPossible = history.unexecuted <= history.sent && (end != AttemptEnd::NotExecuted || history.unexecuted > 0)
-                                            && (end == AttemptEnd::NotSent || history.sent > 0) && !(history.isAnswering && history.sent == history.unexecuted);
+                    const bool isPossible = history.notExecuted <= history.sent && (end != AttemptEnd::NotExecuted || history.notExecuted > 0)
+                                            && (end == AttemptEnd::NotSent || history.sent > 0)
+                                            && !(history.hasResponseStarted && history.sent == history.notExecuted);
                     if (isPossible) {
-                        checkPromises(route, end, history);
+                        checkInvariants(route, end, history);
                         ++cases;
                     }
                 }
@@ -70,41 +71,41 @@
         CPPUNIT_ASSERT(cases > 500);
     }
 
-    void checkPromises(const Route &route, AttemptEnd end, const AttemptHistory &history)
+    void checkInvariants(const Route &route, AttemptEnd end, const AttemptHistory &history)
     {
         const NextStep step = nextStep(route, end, history);
-        const bool mayHaveRun = history.sent > history.unexecuted;
-        if (step == NextStep::TryAgain) {
+        const bool mayHaveRun = history.sent > history.notExecuted;
+        if (step == NextStep::Retry) {
             CPPUNIT_ASSERT_MESSAGE("a call that must not repeat is never sent again after it may have run", route.isRepeatable() || !mayHaveRun);
             CPPUNIT_ASSERT(history.hasTimeLeft);
             CPPUNIT_ASSERT(end == AttemptEnd::NotSent || history.hasBudget);
-            CPPUNIT_ASSERT(end == AttemptEnd::NotSent || history.sent - history.unexecuted < route.maxAttempts);
+            CPPUNIT_ASSERT(end == AttemptEnd::NotSent || history.sent - history.notExecuted < route.maxAttempts);
         }
-        if (step == NextStep::SayNotRun) {
+        if (step == NextStep::RefuseNotExecuted) {
             CPPUNIT_ASSERT_MESSAGE("'not run' is true", !mayHaveRun);
         }
-        if (history.isAnswering) {
+        if (history.hasResponseStarted) {
             CPPUNIT_ASSERT_MESSAGE("an answer under way is never replaced by another one",
-                                   step == NextStep::PassOn || step == NextStep::BreakOff || step == NextStep::TryAgain);
-            CPPUNIT_ASSERT(step != NextStep::PassOn || end == AttemptEnd::Answered);
+                                   step == NextStep::Forward || step == NextStep::Abort || step == NextStep::Retry);
+            CPPUNIT_ASSERT(step != NextStep::Forward || end == AttemptEnd::Answered);
         }
     }
 
     void testNamedCases()
     {
         const Route once = routeOf(CallKind::AtMostOnce, false, 1);
-        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::Broken, {.sent = 1}) == NextStep::SayUnknown);
-        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::NotExecuted, {.sent = 1, .unexecuted = 1}) == NextStep::TryAgain);
-        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::NotSent, {.unsent = 1}) == NextStep::TryAgain);
-        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::NotSent, {.unsent = MaxUnsentAttempts}) == NextStep::SayNotRun);
+        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::Broken, {.sent = 1}) == NextStep::FailOutcomeUnknown);
+        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::NotExecuted, {.sent = 1, .notExecuted = 1}) == NextStep::Retry);
+        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::NotSent, {.connectFailures = 1}) == NextStep::Retry);
+        CPPUNIT_ASSERT(nextStep(once, AttemptEnd::NotSent, {.connectFailures = MaxConnectFailures}) == NextStep::RefuseNotExecuted);
         const Route safe = routeOf(CallKind::Idempotent, false, 2);
-        CPPUNIT_ASSERT(nextStep(safe, AttemptEnd::ServerError, {.sent = 1}) == NextStep::TryAgain);
-        CPPUNIT_ASSERT(nextStep(safe, AttemptEnd::ServerError, {.sent = 2}) == NextStep::PassOn);
+        CPPUNIT_ASSERT(nextStep(safe, AttemptEnd::ServerError, {.sent = 1}) == NextStep::Retry);
+        CPPUNIT_ASSERT(nextStep(safe, AttemptEnd::ServerError, {.sent = 2}) == NextStep::Forward);
         const Route resumable = routeOf(CallKind::Stream, true, 2);
-        CPPUNIT_ASSERT(nextStep(resumable, AttemptEnd::Broken, {.sent = 1, .isAnswering = true}) == NextStep::TryAgain);
-        CPPUNIT_ASSERT(nextStep(resumable, AttemptEnd::Broken, {.sent = 2, .isAnswering = true}) == NextStep::BreakOff);
+        CPPUNIT_ASSERT(nextStep(resumable, AttemptEnd::Broken, {.sent = 1, .hasResponseStarted = true}) == NextStep::Retry);
+        CPPUNIT_ASSERT(nextStep(resumable, AttemptEnd::Broken, {.sent = 2, .hasResponseStarted = true}) == NextStep::Abort);
         const Route stream = routeOf(CallKind::Stream, false, 2);
-        CPPUNIT_ASSERT(nextStep(stream, AttemptEnd::Broken, {.sent = 1, .isAnswering = true}) == NextStep::BreakOff);
+        CPPUNIT_ASSERT(nextStep(stream, AttemptEnd::Broken, {.sent = 1, .hasResponseStarted = true}) == NextStep::Abort);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(AttemptRulesTest);
@@ -112,9 +113,9 @@
 class EventScannerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EventScannerTest);
-    CPPUNIT_TEST(testEveryCut);
-    CPPUNIT_TEST(testEveryBreakAndResume);
-    CPPUNIT_TEST(testGapIsFound);
+    CPPUNIT_TEST(testSplitAtEveryByte);
+    CPPUNIT_TEST(testResumeAfterBreakAtEveryByte);
+    CPPUNIT_TEST(testGapIsDetected);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string events(int from, int to)
@@ -127,7 +128,7 @@
     }
 
 public:
-    void testEveryCut()
+    void testSplitAtEveryByte()
     {
         const std::string text = events(1, 4);
         for (std::size_t cut = 0; cut <= text.size(); ++cut) {
@@ -141,7 +142,7 @@
     }
 
     // A break at any byte, then a second upstream that starts at or before the next event.
-    void testEveryBreakAndResume()
+    void testResumeAfterBreakAtEveryByte()
     {
         const std::string text = events(1, 5);
         for (std::size_t cut = 0; cut < text.size(); ++cut) {
@@ -157,7 +158,7 @@
         }
     }
 
-    void testGapIsFound()
+    void testGapIsDetected()
     {
         EventScanner scanner;
         CPPUNIT_ASSERT_EQUAL(events(1, 2), scanner.feed(events(1, 2)));
@@ -171,12 +172,12 @@
 class RouteTableTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RouteTableTest);
-    CPPUNIT_TEST(testLongestPrefixOfTheHost);
-    CPPUNIT_TEST(testOldestAllowedFollowsEachNaming);
+    CPPUNIT_TEST(testLongestPathPrefixWins);
+    CPPUNIT_TEST(testOldestAllowedFollowsEachAnnouncement);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testLongestPrefixOfTheHost()
+    void testLongestPathPrefixWins()
     {
         RouteTable table;
         const std::vector<std::pair<std::string, std::string>> rows{{"a", "/"}, {"a", "/x/"}, {"a", "/x/y/"}, {"b", "/x/"}};
@@ -194,12 +195,12 @@
     }
 
     // With the newest naming alone, versions in quick succession let the oldest weights run on.
-    void testOldestAllowedFollowsEachNaming()
+    void testOldestAllowedFollowsEachAnnouncement()
     {
         const base::Duration limit = base::seconds{6};
         WeightsTarget target;
-        target.name(base::WeightsVersion{2}, Start);
-        target.name(base::WeightsVersion{3}, Start + base::seconds{4});
+        target.announce(base::WeightsVersion{2}, Start);
+        target.announce(base::WeightsVersion{3}, Start + base::seconds{4});
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, target.oldestAllowed(Start + base::seconds{5}, limit).value);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, target.oldestAllowed(Start + base::seconds{6}, limit).value);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, target.oldestAllowed(Start + base::seconds{10}, limit).value);
@@ -212,19 +213,19 @@
 {
     CPPUNIT_TEST_SUITE(PlacementTest);
     CPPUNIT_TEST(testSamePromptGoesToTheSameEngine);
-    CPPUNIT_TEST(testLeavingAndChangingEnginesGetNothing);
-    CPPUNIT_TEST(testOldWeightsEndInTime);
+    CPPUNIT_TEST(testDrainingAndReloadingEnginesAreSkipped);
+    CPPUNIT_TEST(testOldWeightsAreRefusedAfterLimit);
     CPPUNIT_TEST(testNewWeightsArePreferred);
-    CPPUNIT_TEST(testHotPromptSpreads);
-    CPPUNIT_TEST(testServicesFillUp);
+    CPPUNIT_TEST(testPopularPrefixIsSpread);
+    CPPUNIT_TEST(testServiceQueueIsBounded);
     CPPUNIT_TEST(testEngineMemoryIsCounted);
-    CPPUNIT_TEST(testFailedUpstreamIsAvoidedThenTriedAgain);
+    CPPUNIT_TEST(testFailedUpstreamBacksOff);
     CPPUNIT_TEST(testSilentUpstreamIsAvoided);
     CPPUNIT_TEST(testPromptsAreSpreadOverCacheStores);
     CPPUNIT_TEST_SUITE_END();
 
     FleetView m_view;
-    UpstreamBook m_book;
+    UpstreamTracker m_tracker;
     PlacementTuning m_tuning;
 
     void addUpstream(const std::string &id, const std::string &pool, const std::string &domain, std::uint32_t slots, std::uint64_t weights)
@@ -247,7 +248,7 @@
         out.now = now;
         out.pool = base::PoolName("engines");
         out.model = base::ModelId("m");
-        out.promptKey = prompt;
+        out.prefixKey = prompt;
         out.sharedTokens = 6000;
         out.memoryTokens = 9100;
         out.domain = base::FailureDomain("a");
@@ -265,14 +266,14 @@
 
     PlacementResult placeNow(const PlacementQuery &query)
     {
-        return place(query, m_view, m_book, m_tuning);
+        return place(query, m_view, m_tracker, m_tuning);
     }
 
 public:
     void setUp() override
     {
         auto table = std::make_shared<RouteTable>();
-        table->pools.push_back(Pool{base::PoolName("engines"), 100, EngineShape{100'000, 16}});
+        table->pools.push_back(Pool{base::PoolName("engines"), 100, EngineCapacity{100'000, 16}});
         table->pools.push_back(Pool{base::PoolName("services"), 100, std::nullopt});
         m_view = FleetView{};
         m_view.table = table;
@@ -281,8 +282,8 @@
         addUpstream("e3", "engines", "c", 16, 1);
         addUpstream("s1", "services", "a", 2, 0);
         addUpstream("s2", "services", "b", 2, 0);
-        m_book = UpstreamBook{};
-        m_book.adopt(m_view, Start);
+        m_tracker = UpstreamTracker{};
+        m_tracker.adopt(m_view, Start);
     }
 
     void testSamePromptGoesToTheSameEngine()
@@ -292,55 +293,55 @@
         }
     }
 
-    void testLeavingAndChangingEnginesGetNothing()
+    void testDrainingAndReloadingEnginesAreSkipped()
     {
         m_view.upstreams[0].phase = UpstreamPhase::Draining;
-        m_view.targets[base::ModelId("m")].name(base::WeightsVersion{2}, Start);
+        m_view.targets[base::ModelId("m")].announce(base::WeightsVersion{2}, Start);
         m_view.reloading.insert(base::UpstreamId("e2"));
-        m_book.adopt(m_view, Start);
+        m_tracker.adopt(m_view, Start);
         for (std::uint64_t prompt = 1; prompt < 50; ++prompt) {
             CPPUNIT_ASSERT_EQUAL(std::string("e3"), placeNow(query(prompt)).record->upstream.id.value());
         }
         // An engine that has the named weights is back, whatever the list of changing ones says.
         m_view.upstreams[1].models[base::ModelId("m")] = base::WeightsVersion{2};
-        m_book.adopt(m_view, Start);
+        m_tracker.adopt(m_view, Start);
         CPPUNIT_ASSERT_EQUAL(std::string("e2"), placeNow(query(1)).record->upstream.id.value());
     }
 
-    void testOldWeightsEndInTime()
+    void testOldWeightsAreRefusedAfterLimit()
     {
-        m_view.targets[base::ModelId("m")].name(base::WeightsVersion{2}, Start);
+        m_view.targets[base::ModelId("m")].announce(base::WeightsVersion{2}, Start);
         CPPUNIT_ASSERT(placeNow(query(1, Start + m_tuning.oldWeightsLimit - base::milliseconds{1})).verdict == PlacementVerdict::Chosen);
         CPPUNIT_ASSERT(placeNow(query(1, Start + m_tuning.oldWeightsLimit)).verdict == PlacementVerdict::NoUpstream);
     }
 
     void testNewWeightsArePreferred()
     {
-        m_view.targets[base::ModelId("m")].name(base::WeightsVersion{2}, Start);
+        m_view.targets[base::ModelId("m")].announce(base::WeightsVersion{2}, Start);
         m_view.upstreams[2].models[base::ModelId("m")] = base::WeightsVersion{2};
-        m_book.adopt(m_view, Start);
+        m_tracker.adopt(m_view, Start);
         PlacementQuery plain = query(0);
         plain.sharedTokens = 0;
         CPPUNIT_ASSERT_EQUAL(std::string("e3"), placeNow(plain).record->upstream.id.value());
     }
 
-    void testHotPromptSpreads()
+    void testPopularPrefixIsSpread()
     {
         std::set<std::string> used;
         for (int i = 0; i < 12; ++i) {
             const auto placement = placeNow(query(7));
             CPPUNIT_ASSERT(placement.verdict == PlacementVerdict::Chosen);
             used.insert(placement.record->upstream.id.value());
-            m_book.began(*placement.record, AttemptWeight{9100, 9000}, Start);
+            m_tracker.onAttemptStarted(*placement.record, AttemptLoad{9100, 9000}, Start);
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, used.size());
     }
 
-    void testServicesFillUp()
+    void testServiceQueueIsBounded()
     {
         int placed = 0;
         while (placeNow(serviceQuery()).verdict == PlacementVerdict::Chosen) {
-            m_book.began(*placeNow(serviceQuery()).record, {}, Start);
+            m_tracker.onAttemptStarted(*placeNow(serviceQuery()).record, {}, Start);
             ++placed;
         }
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(2 * 2 * m_tuning.serviceQueueFactor), placed);
@@ -351,21 +352,21 @@
     {
         int placed = 0;
         for (; placeNow(query(0)).verdict == PlacementVerdict::Chosen; ++placed) {
-            m_book.began(*placeNow(query(0)).record, AttemptWeight{9100, 0}, Start);
+            m_tracker.onAttemptStarted(*placeNow(query(0)).record, AttemptLoad{9100, 0}, Start);
         }
         CPPUNIT_ASSERT_MESSAGE("nine prompts of 9,100 tokens fit into 90% of 100,000", placed == 3 * 9);
     }
 
-    void testFailedUpstreamIsAvoidedThenTriedAgain()
+    void testFailedUpstreamBacksOff()
     {
-        UpstreamRecord *record = m_book.find(base::UpstreamId("s1"));
-        m_book.began(*record, {}, Start);
-        m_book.ended(*record, {}, false, AttemptEnd::NotSent, Start);
+        UpstreamRecord *record = m_tracker.find(base::UpstreamId("s1"));
+        m_tracker.onAttemptStarted(*record, {}, Start);
+        m_tracker.onAttemptEnded(*record, {}, false, AttemptEnd::NotSent, Start);
         CPPUNIT_ASSERT_EQUAL(std::string("s2"), placeNow(serviceQuery()).record->upstream.id.value());
         PlacementQuery later = serviceQuery();
-        later.now = record->avoidUntil;
+        later.now = record->backoffUntil;
         for (int i = 0; i < 3; ++i) {
-            m_book.began(*m_book.find(base::UpstreamId("s2")), {}, Start);
+            m_tracker.onAttemptStarted(*m_tracker.find(base::UpstreamId("s2")), {}, Start);
         }
         CPPUNIT_ASSERT_EQUAL(std::string("s1"), placeNow(later).record->upstream.id.value());
     }
@@ -373,17 +374,17 @@
     // Silence counts only while requests are under way, and reading a prompt is none.
     void testSilentUpstreamIsAvoided()
     {
-        UpstreamRecord *record = m_book.find(base::UpstreamId("e1"));
+        UpstreamRecord *record = m_tracker.find(base::UpstreamId("e1"));
         const base::TimePoint later = Start + base::milliseconds{900};
-        CPPUNIT_ASSERT(!record->isSilent(later, m_tuning.millisecondsPerToken));
-        m_book.began(*record, {}, Start);
-        CPPUNIT_ASSERT(record->isSilent(later, m_tuning.millisecondsPerToken));
-        m_book.heard(*record, Start + base::milliseconds{200});
-        CPPUNIT_ASSERT(!record->isSilent(later, m_tuning.millisecondsPerToken));
-        m_book.began(*record, AttemptWeight{40'000, 40'000}, Start);
-        CPPUNIT_ASSERT(!record->isSilent(Start + base::seconds{3}, m_tuning.millisecondsPerToken));
-        m_book.started(*record, AttemptWeight{40'000, 40'000});
-        CPPUNIT_ASSERT(record->isSilent(Start + base::seconds{3}, m_tuning.millisecondsPerToken));
+        CPPUNIT_ASSERT(!record->isSilent(later, m_tuning.prefillMillisecondsPerToken));
+        m_tracker.onAttemptStarted(*record, {}, Start);
+        CPPUNIT_ASSERT(record->isSilent(later, m_tuning.prefillMillisecondsPerToken));
+        m_tracker.onBytesReceived(*record, Start + base::milliseconds{200});
+        CPPUNIT_ASSERT(!record->isSilent(later, m_tuning.prefillMillisecondsPerToken));
+        m_tracker.onAttemptStarted(*record, AttemptLoad{40'000, 40'000}, Start);
+        CPPUNIT_ASSERT(!record->isSilent(Start + base::seconds{3}, m_tuning.prefillMillisecondsPerToken));
+        m_tracker.onFirstOutput(*record, AttemptLoad{40'000, 40'000});
+        CPPUNIT_ASSERT(record->isSilent(Start + base::seconds{3}, m_tuning.prefillMillisecondsPerToken));
         for (std::uint64_t prompt = 1; prompt < 20; ++prompt) {
             CPPUNIT_ASSERT(placeNow(query(prompt, Start + base::seconds{3})).record != record);
         }
@@ -392,7 +393,7 @@
     // Many prompts on three stores: each keeps a part, and the loss of one moves its part alone.
     void testPromptsAreSpreadOverCacheStores()
     {
-        CPPUNIT_ASSERT(cacheStoreOf(1, m_view) == nullptr);
+        CPPUNIT_ASSERT(selectCacheStore(1, m_view) == nullptr);
         auto table = std::make_shared<RouteTable>(*m_view.table);
         for (const char *address : {"10.0.0.1", "10.0.0.2", "10.0.0.3"}) {
             table->cacheStores.push_back({base::Endpoint{address, 80}, base::FailureDomain("a")});
@@ -402,28 +403,28 @@
         std::map<std::string, int> kept;
         std::map<std::uint64_t, std::string> before;
         for (std::uint64_t prompt = 1; prompt <= Prompts; ++prompt) {
-            before[prompt] = cacheStoreOf(prompt, m_view)->endpoint.address;
+            before[prompt] = selectCacheStore(prompt, m_view)->endpoint.address;
             ++kept[before[prompt]];
         }
         for (const auto &[address, n] : kept) {
             CPPUNIT_ASSERT_MESSAGE(address + " keeps " + std::to_string(n), n > 200 && n < 400);
         }
-        m_view.deadCacheStores.insert(base::Endpoint{"10.0.0.2", 80});
+        m_view.unavailableCacheStores.insert(base::Endpoint{"10.0.0.2", 80});
         for (std::uint64_t prompt = 1; prompt <= Prompts; ++prompt) {
-            const std::string now = cacheStoreOf(prompt, m_view)->endpoint.address;
+            const std::string now = selectCacheStore(prompt, m_view)->endpoint.address;
             CPPUNIT_ASSERT(now != "10.0.0.2" && (now == before[prompt] || before[prompt] == "10.0.0.2"));
         }
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PlacementTest);
 
-class PromptPlacementsTest : public CppUnit::TestFixture
+class PrefixPlacementsTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(PromptPlacementsTest);
-    CPPUNIT_TEST(testHolderHasReadAndKeepsIt);
-    CPPUNIT_TEST(testLatestHolderThatIsUsable);
-    CPPUNIT_TEST(testStatesAreBounded);
-    CPPUNIT_TEST(testPlanOfFetchAndSave);
+    CPPUNIT_TEST_SUITE(PrefixPlacementsTest);
+    CPPUNIT_TEST(testHolderFromPrefillToEviction);
+    CPPUNIT_TEST(testLatestUsableHolder);
+    CPPUNIT_TEST(testKeysAreBounded);
+    CPPUNIT_TEST(testTransferPlan);
     CPPUNIT_TEST_SUITE_END();
 
     static bool any(std::uint64_t /*upstream*/)
@@ -432,45 +433,45 @@
     }
 
 public:
-    void testHolderHasReadAndKeepsIt()
+    void testHolderFromPrefillToEviction()
     {
-        PromptPlacements placements;
-        placements.placed(1, 7, Start);
-        const base::TimePoint read = Start + PromptPlacements::ReadingTime;
+        PrefixPlacements placements;
+        placements.onPromptSent(1, 7, Start);
+        const base::TimePoint read = Start + PrefixPlacements::PrefillTime;
         CPPUNIT_ASSERT_MESSAGE("still reading", !placements.holder(1, read - base::milliseconds{1}, any));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, *placements.holder(1, read, any));
-        CPPUNIT_ASSERT_MESSAGE("evicted", !placements.holder(1, Start + PromptPlacements::KeptTime, any));
-        CPPUNIT_ASSERT(placements.isPlaced(1, 7, Start) && !placements.isPlaced(1, 7, Start + PromptPlacements::KeptTime));
-        placements.placed(1, 7, Start + base::seconds{1});
-        CPPUNIT_ASSERT_MESSAGE("used again", placements.holder(1, Start + PromptPlacements::KeptTime, any).has_value());
+        CPPUNIT_ASSERT_MESSAGE("evicted", !placements.holder(1, Start + PrefixPlacements::RetentionTime, any));
+        CPPUNIT_ASSERT(placements.isLikelyCached(1, 7, Start) && !placements.isLikelyCached(1, 7, Start + PrefixPlacements::RetentionTime));
+        placements.onPromptSent(1, 7, Start + base::seconds{1});
+        CPPUNIT_ASSERT_MESSAGE("used again", placements.holder(1, Start + PrefixPlacements::RetentionTime, any).has_value());
         CPPUNIT_ASSERT(!placements.holder(2, read, any));
     }
 
-    void testLatestHolderThatIsUsable()
+    void testLatestUsableHolder()
     {
-        PromptPlacements placements;
-        for (std::uint64_t upstream = 1; upstream <= PromptPlacements::PlacementsKept + 1; ++upstream) {
-            placements.placed(1, upstream, Start + base::milliseconds{static_cast<int>(upstream)});
+        PrefixPlacements placements;
+        for (std::uint64_t upstream = 1; upstream <= PrefixPlacements::MaxUpstreamsPerKey + 1; ++upstream) {
+            placements.onPromptSent(1, upstream, Start + base::milliseconds{static_cast<int>(upstream)});
         }
         const base::TimePoint later = Start + base::seconds{1};
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{PromptPlacements::PlacementsKept + 1}, *placements.holder(1, later, any));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{PrefixPlacements::MaxUpstreamsPerKey + 1}, *placements.holder(1, later, any));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, *placements.holder(1, later, [](std::uint64_t upstream) {
             return upstream == 3;
         }));
-        CPPUNIT_ASSERT_MESSAGE("the first gave way", !placements.isPlaced(1, 1, later) && placements.isPlaced(1, 2, later));
+        CPPUNIT_ASSERT_MESSAGE("the first gave way", !placements.isLikelyCached(1, 1, later) && placements.isLikelyCached(1, 2, later));
     }
 
-    void testStatesAreBounded()
+    void testKeysAreBounded()
     {
-        PromptPlacements placements;
-        for (std::uint64_t state = 1; state <= PromptPlacements::MaxStates + 1; ++state) {
-            placements.placed(state, 7, Start);
+        PrefixPlacements placements;
+        for (std::uint64_t state = 1; state <= PrefixPlacements::MaxKeys + 1; ++state) {
+            placements.onPromptSent(state, 7, Start);
         }
-        CPPUNIT_ASSERT(!placements.isKnown(1) && placements.isKnown(PromptPlacements::MaxStates + 1));
+        CPPUNIT_ASSERT(!placements.contains(1) && placements.contains(PrefixPlacements::MaxKeys + 1));
     }
 
     // Two engines and a store: read first, saved once, then passed on between the engines.
-    void testPlanOfFetchAndSave()
+    void testTransferPlan()
     {
         auto table = std::make_shared<RouteTable>();
         const base::Endpoint store{"10.0.0.9", 80};
@@ -485,37 +486,37 @@
             upstream.models[base::ModelId("m")] = base::WeightsVersion{4};
             view.upstreams.push_back(upstream);
         }
-        UpstreamBook book;
-        book.adopt(view, Start);
-        UpstreamRecord &first = *book.find(base::UpstreamId("e1"));
-        UpstreamRecord &second = *book.find(base::UpstreamId("e2"));
-        const auto planFor = [&](const UpstreamRecord &taker, base::TimePoint now) {
-            return planPromptState(5, 6000, taker, view, book, now);
+        UpstreamTracker tracker;
+        tracker.adopt(view, Start);
+        UpstreamRecord &first = *tracker.find(base::UpstreamId("e1"));
+        UpstreamRecord &second = *tracker.find(base::UpstreamId("e2"));
+        const auto planFor = [&](const UpstreamRecord &destination, base::TimePoint now) {
+            return planKvTransfer(5, 6000, destination, view, tracker, now);
         };
         CPPUNIT_ASSERT(planFor(first, Start).fetchFrom == store && planFor(first, Start).saveTo == store);
-        book.placed(promptStateKey(5, base::WeightsVersion{4}), first, Start);
+        tracker.onPromptSent(kvCacheKey(5, base::WeightsVersion{4}), first, Start);
         CPPUNIT_ASSERT_MESSAGE("not read yet", planFor(second, Start).fetchFrom == store && !planFor(second, Start).saveTo);
         const base::TimePoint later = Start + base::seconds{1};
         CPPUNIT_ASSERT(planFor(second, later).fetchFrom == first.upstream.endpoint);
         CPPUNIT_ASSERT_MESSAGE("never from itself", planFor(first, later).fetchFrom == store);
-        first.avoidUntil = later + base::seconds{1};
+        first.backoffUntil = later + base::seconds{1};
         CPPUNIT_ASSERT_MESSAGE("not from one that fails", planFor(second, later).fetchFrom == store);
-        first.avoidUntil = later;
+        first.backoffUntil = later;
         second.weights = base::WeightsVersion{5};
         CPPUNIT_ASSERT_MESSAGE("never what other weights made", planFor(second, later).fetchFrom == store && planFor(second, later).saveTo == store);
         second.weights = {};
         CPPUNIT_ASSERT_MESSAGE("nothing while the weights are unknown", !planFor(second, later).fetchFrom);
-        CPPUNIT_ASSERT_MESSAGE("short parts are read", !planPromptState(5, 100, first, view, book, later).fetchFrom);
+        CPPUNIT_ASSERT_MESSAGE("short parts are read", !planKvTransfer(5, 100, first, view, tracker, later).fetchFrom);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(PromptPlacementsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PrefixPlacementsTest);
 
 class WaitQueueTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(WaitQueueTest);
     CPPUNIT_TEST(testUrgentFirstThenOldest);
     CPPUNIT_TEST(testExpectedWait);
-    CPPUNIT_TEST(testRefusedCallersComeBackOneByOne);
+    CPPUNIT_TEST(testRefusedCallersRetryOneAtATime);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -539,7 +540,7 @@
         base::TimePoint now = Start;
         for (int i = 0; i < 50; ++i) {
             now += base::milliseconds{100};
-            queue.ends().note(now);
+            queue.completionRate().record(now);
         }
         for (int i = 0; i < 9; ++i) {
             queue.add(1, nullptr);
@@ -551,24 +552,24 @@
 
     // Sixty callers refused within 60 ms by a pool that ends 20 requests a second: each
     // returns an end later than the one before, none is sent away for longer than two seconds.
-    void testRefusedCallersComeBackOneByOne()
+    void testRefusedCallersRetryOneAtATime()
     {
-        ReturnSchedule returns;
+        RetrySchedule returns;
         base::TimePoint before = Start;
         for (int i = 0; i < 60; ++i) {
             const base::TimePoint now = Start + base::milliseconds{i};
             const base::Duration pause = returns.next(now, base::milliseconds{100}, 20);
-            CPPUNIT_ASSERT(pause >= ReturnSchedule::LeastPause && pause <= ReturnSchedule::MostPause);
+            CPPUNIT_ASSERT(pause >= RetrySchedule::MinDelay && pause <= RetrySchedule::MaxDelay);
             const base::TimePoint at = now + pause;
-            if (i > 0 && pause < ReturnSchedule::MostPause) {
+            if (i > 0 && pause < RetrySchedule::MaxDelay) {
                 CPPUNIT_ASSERT(at - before >= base::milliseconds{49});
             }
             before = at;
         }
-        CPPUNIT_ASSERT_MESSAGE("the schedule is full", before >= Start + ReturnSchedule::MostPause);
+        CPPUNIT_ASSERT_MESSAGE("the schedule is full", before >= Start + RetrySchedule::MaxDelay);
         const base::TimePoint later = Start + base::seconds{10};
-        CPPUNIT_ASSERT_MESSAGE("later it is empty again", returns.next(later, std::nullopt, 20) == ReturnSchedule::LeastPause);
-        CPPUNIT_ASSERT_MESSAGE("nothing ends: nothing to wait for in turn", returns.next(later, std::nullopt, 0) == ReturnSchedule::LeastPause);
+        CPPUNIT_ASSERT_MESSAGE("later it is empty again", returns.next(later, std::nullopt, 20) == RetrySchedule::MinDelay);
+        CPPUNIT_ASSERT_MESSAGE("nothing ends: nothing to wait for in turn", returns.next(later, std::nullopt, 0) == RetrySchedule::MinDelay);
         CPPUNIT_ASSERT(returns.next(later, base::seconds{1}, 0) == base::seconds{1});
     }
 };
--- a/carawaylatch/proxy/testing/httpparsertest.cpp
+++ b/carawaylatch/proxy/testing/httpparsertest.cpp
@@ -14,10 +14,10 @@
 class HttpParserTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(HttpParserTest);
-    CPPUNIT_TEST(testEveryCutOfARequest);
-    CPPUNIT_TEST(testEveryCutOfAResponse);
+    CPPUNIT_TEST(testRequestSplitAtEveryByte);
+    CPPUNIT_TEST(testResponseSplitAtEveryByte);
     CPPUNIT_TEST(testResponseWithLength);
-    CPPUNIT_TEST(testBytesAfterTheEndStay);
+    CPPUNIT_TEST(testBytesAfterMessageAreNotConsumed);
     CPPUNIT_TEST(testAmbiguousFramingIsRefused);
     CPPUNIT_TEST(testLimits);
     CPPUNIT_TEST(testEndOfConnection);
@@ -25,7 +25,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testEveryCutOfARequest()
+    void testRequestSplitAtEveryByte()
     {
         const std::string text = "POST /a/b?c HTTP/1.1\r\nHost: h\r\nX-One: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
         for (std::size_t cut = 1; cut < text.size(); ++cut) {
@@ -43,7 +43,7 @@
         }
     }
 
-    void testEveryCutOfAResponse()
+    void testResponseSplitAtEveryByte()
     {
         const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nA: b\r\n\r\nbody";
         for (std::size_t cut = 1; cut < text.size(); ++cut) {
@@ -65,12 +65,12 @@
         HttpResponseParser parser;
         const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 700000\r\n\r\n";
         CPPUNIT_ASSERT(parser.feed(text).has_value());
-        CPPUNIT_ASSERT(parser.isHeadDone());
+        CPPUNIT_ASSERT(parser.isHeadComplete());
         CPPUNIT_ASSERT(parser.feed(std::string(700'000, 'x')).has_value());
         CPPUNIT_ASSERT(parser.isComplete());
     }
 
-    void testBytesAfterTheEndStay()
+    void testBytesAfterMessageAreNotConsumed()
     {
         HttpResponseParser parser;
         const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n";
@@ -115,13 +115,13 @@
     {
         HttpResponseParser open;
         CPPUNIT_ASSERT(open.feed("HTTP/1.1 200 OK\r\n\r\nabc").has_value());
-        CPPUNIT_ASSERT(open.feedEnd().has_value());
+        CPPUNIT_ASSERT(open.feedEof().has_value());
         HttpResponseParser cut;
         CPPUNIT_ASSERT(cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc").has_value());
-        CPPUNIT_ASSERT(cut.feedEnd().error().kind == base::ErrorKind::Truncated);
+        CPPUNIT_ASSERT(cut.feedEof().error().kind == base::ErrorKind::Truncated);
         HttpResponseParser chunk;
         CPPUNIT_ASSERT(chunk.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n").has_value());
-        CPPUNIT_ASSERT(!chunk.feedEnd().has_value());
+        CPPUNIT_ASSERT(!chunk.feedEof().has_value());
     }
 
     void testRandomBytesNeverCrash()
--- a/carawaylatch/proxy/testing/loadreporttest.cpp
+++ b/carawaylatch/proxy/testing/loadreporttest.cpp
@@ -21,13 +21,13 @@
 {
     LoadReport report;
     report.sender = 1 + random.below(4);
-    report.life = 1 + random.below(2);
-    report.isWhole = random.below(4) == 0;
+    report.incarnation = 1 + random.below(2);
+    report.isFullReport = random.below(4) == 0;
     for (std::uint64_t i = random.below(5); i > 0; --i) {
         const auto figure = [&random] {
             return static_cast<std::uint32_t>(random.below(3) == 0 ? 0 : random.below(50'000));
         };
-        report.work.push_back({random.below(6), figure(), figure(), figure()});
+        report.loads.push_back({random.below(6), figure(), figure(), figure()});
     }
     for (std::uint64_t i = random.below(3); i > 0; --i) {
         report.placements.push_back({random.next(), random.below(6)});
@@ -40,13 +40,13 @@
 class LoadReportTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LoadReportTest);
-    CPPUNIT_TEST(testEveryReportComesBack);
-    CPPUNIT_TEST(testEveryCutAndEveryChangedByte);
+    CPPUNIT_TEST(testRoundTrip);
+    CPPUNIT_TEST(testTruncatedAndCorruptedBytes);
     CPPUNIT_TEST(testRowsAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testEveryReportComesBack()
+    void testRoundTrip()
     {
         base::Random random(carawaylatch::testing::seed());
         for (int i = 0; i < 500; ++i) {
@@ -55,15 +55,15 @@
             const auto decoded = decodeLoadReport(bytes);
             CPPUNIT_ASSERT(decoded.has_value());
             CPPUNIT_ASSERT_EQUAL(bytes, encodeLoadReport(decoded.value()));
-            CPPUNIT_ASSERT_EQUAL(report.work.size(), decoded.value().work.size());
-            CPPUNIT_ASSERT_EQUAL(report.isWhole, decoded.value().isWhole);
+            CPPUNIT_ASSERT_EQUAL(report.loads.size(), decoded.value().loads.size());
+            CPPUNIT_ASSERT_EQUAL(report.isFullReport, decoded.value().isFullReport);
         }
     }
 
-    void testEveryCutAndEveryChangedByte()
+    void testTruncatedAndCorruptedBytes()
     {
         LoadReport report;
-        report.work = {{7, 1, 2, 3}, {8, 4, 5, 6}};
+        report.loads = {{7, 1, 2, 3}, {8, 4, 5, 6}};
         report.placements = {{9, 7}};
         const std::string bytes = encodeLoadReport(report);
         for (std::size_t n = 0; n < bytes.size(); ++n) {
@@ -84,95 +84,95 @@
     void testRowsAreBounded()
     {
         LoadReport report;
-        report.work.resize(MaxReportRows + 10);
+        report.loads.resize(MaxReportRows + 10);
         report.placements.resize(MaxReportRows + 10);
         const std::string bytes = encodeLoadReport(report);
         CPPUNIT_ASSERT_EQUAL(MaxReportBytes, bytes.size());
-        CPPUNIT_ASSERT_EQUAL(MaxReportRows, decodeLoadReport(bytes).value().work.size());
+        CPPUNIT_ASSERT_EQUAL(MaxReportRows, decodeLoadReport(bytes).value().loads.size());
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(LoadReportTest);
 
-class PeerWorkTest : public CppUnit::TestFixture
+class PeerLoadTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(PeerWorkTest);
-    CPPUNIT_TEST(testSumsAgainstAPlainModel);
-    CPPUNIT_TEST(testSilentPeersCountNoMore);
+    CPPUNIT_TEST_SUITE(PeerLoadTest);
+    CPPUNIT_TEST(testSumsMatchReferenceModel);
+    CPPUNIT_TEST(testSilentPeersExpire);
     CPPUNIT_TEST(testPeersAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // The sums equal those of a table of all rows that is added up anew each time.
-    void testSumsAgainstAPlainModel()
+    void testSumsMatchReferenceModel()
     {
         struct Row
         {
-            std::uint64_t life = 0;
+            std::uint64_t incarnation = 0;
             base::TimePoint heardAt;
-            std::map<std::uint64_t, UpstreamWork> work;
+            std::map<std::uint64_t, PeerUpstreamLoad> loads;
         };
         base::Random random(carawaylatch::testing::seed());
-        PeerWork work;
+        PeerLoad load;
         std::map<std::uint64_t, Row> model;
         base::TimePoint now = Start;
         for (int i = 0; i < 3000; ++i) {
             now += base::milliseconds{static_cast<int>(random.below(120))};
-            work.expire(now);
+            load.expire(now);
             std::erase_if(model, [now](const auto &it) {
-                return now - it.second.heardAt > PeerWork::PeerLife;
+                return now - it.second.heardAt > PeerLoad::PeerTimeout;
             });
             const LoadReport report = randomReport(random);
             const auto known = model.find(report.sender);
-            const bool isUsable = report.isWhole || (known != model.end() && known->second.life == report.life);
-            CPPUNIT_ASSERT_EQUAL(isUsable, work.apply(report, now));
+            const bool isUsable = report.isFullReport || (known != model.end() && known->second.incarnation == report.incarnation);
+            CPPUNIT_ASSERT_EQUAL(isUsable, load.apply(report, now));
             if (isUsable) {
                 Row &row = model[report.sender];
-                row.life = report.life;
+                row.incarnation = report.incarnation;
                 row.heardAt = now;
-                if (report.isWhole) {
-                    row.work.clear();
+                if (report.isFullReport) {
+                    row.loads.clear();
                 }
-                for (const UpstreamWork &it : report.work) {
-                    row.work[it.upstream] = it;
+                for (const PeerUpstreamLoad &it : report.loads) {
+                    row.loads[it.upstream] = it;
                 }
             }
-            CPPUNIT_ASSERT_EQUAL(model.size(), work.peers());
+            CPPUNIT_ASSERT_EQUAL(model.size(), load.peers());
             for (std::uint64_t upstream = 0; upstream < 6; ++upstream) {
-                UpstreamWork sum;
+                PeerUpstreamLoad sum;
                 for (const auto &[sender, row] : model) {
-                    if (const auto it = row.work.find(upstream); it != row.work.end()) {
+                    if (const auto it = row.loads.find(upstream); it != row.loads.end()) {
                         sum.requests += it->second.requests;
-                        sum.unreadTokens += it->second.unreadTokens;
+                        sum.prefillTokens += it->second.prefillTokens;
                         sum.memoryTokens += it->second.memoryTokens;
                     }
                 }
-                CPPUNIT_ASSERT_EQUAL(sum.requests, work.at(upstream).requests);
-                CPPUNIT_ASSERT_EQUAL(sum.unreadTokens, work.at(upstream).unreadTokens);
-                CPPUNIT_ASSERT_EQUAL(sum.memoryTokens, work.at(upstream).memoryTokens);
+                CPPUNIT_ASSERT_EQUAL(sum.requests, load.at(upstream).requests);
+                CPPUNIT_ASSERT_EQUAL(sum.prefillTokens, load.at(upstream).prefillTokens);
+                CPPUNIT_ASSERT_EQUAL(sum.memoryTokens, load.at(upstream).memoryTokens);
             }
         }
     }
 
-    void testSilentPeersCountNoMore()
+    void testSilentPeersExpire()
     {
-        PeerWork work;
-        CPPUNIT_ASSERT(work.apply({1, 1, true, {{5, 3, 100, 200}}, {}}, Start));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, work.expire(Start + PeerWork::PeerLife));
-        CPPUNIT_ASSERT_EQUAL(3U, work.at(5).requests);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, work.expire(Start + PeerWork::PeerLife + base::milliseconds{1}));
-        CPPUNIT_ASSERT_EQUAL(0U, work.at(5).requests);
-        CPPUNIT_ASSERT_MESSAGE("changes alone don't tell the whole", !work.apply({1, 1, false, {{5, 1, 0, 0}}, {}}, Start));
+        PeerLoad load;
+        CPPUNIT_ASSERT(load.apply({1, 1, true, {{5, 3, 100, 200}}, {}}, Start));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, load.expire(Start + PeerLoad::PeerTimeout));
+        CPPUNIT_ASSERT_EQUAL(3U, load.at(5).requests);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, load.expire(Start + PeerLoad::PeerTimeout + base::milliseconds{1}));
+        CPPUNIT_ASSERT_EQUAL(0U, load.at(5).requests);
+        CPPUNIT_ASSERT_MESSAGE("changes alone don't tell the whole", !load.apply({1, 1, false, {{5, 1, 0, 0}}, {}}, Start));
     }
 
     void testPeersAreBounded()
     {
-        PeerWork work;
-        for (std::uint64_t sender = 1; sender <= PeerWork::MaxPeers; ++sender) {
-            CPPUNIT_ASSERT(work.apply({sender, 1, true, {}, {}}, Start));
+        PeerLoad load;
+        for (std::uint64_t sender = 1; sender <= PeerLoad::MaxPeers; ++sender) {
+            CPPUNIT_ASSERT(load.apply({sender, 1, true, {}, {}}, Start));
         }
-        CPPUNIT_ASSERT(!work.apply({PeerWork::MaxPeers + 1, 1, true, {}, {}}, Start));
+        CPPUNIT_ASSERT(!load.apply({PeerLoad::MaxPeers + 1, 1, true, {}, {}}, Start));
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(PeerWorkTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PeerLoadTest);
 
 } // namespace carawaylatch::proxy::testing
--- a/carawaylatch/proxy/testing/peerexchangetest.cpp
+++ b/carawaylatch/proxy/testing/peerexchangetest.cpp
@@ -24,11 +24,11 @@
     CPPUNIT_TEST_SUITE(PeerExchangeTest);
     CPPUNIT_TEST(testRingIsMutualAndBounded);
     CPPUNIT_TEST(testReportsArrive);
-    CPPUNIT_TEST(testRestartedPeerGetsTheWhole);
-    CPPUNIT_TEST(testSilentPeerHoldsNothingUp);
-    CPPUNIT_TEST(testBytesThatAreNoReport);
-    CPPUNIT_TEST(testPeerThatIsGone);
-    CPPUNIT_TEST(testOffWithoutAddress);
+    CPPUNIT_TEST(testRestartedPeerGetsFullReport);
+    CPPUNIT_TEST(testUnresponsivePeerDoesNotBlockOthers);
+    CPPUNIT_TEST(testMalformedInput);
+    CPPUNIT_TEST(testUnreachablePeer);
+    CPPUNIT_TEST(testDisabledWithoutAddress);
     CPPUNIT_TEST_SUITE_END();
 
     class Source : public LoadReportSource
@@ -38,10 +38,10 @@
         {
             return std::exchange(next, {});
         }
-        LoadReport wholeReport() const override
+        LoadReport fullReport() const override
         {
-            LoadReport out = whole;
-            out.isWhole = true;
+            LoadReport out = full;
+            out.isFullReport = true;
             return out;
         }
         void onReport(const LoadReport &report) override
@@ -49,8 +49,8 @@
             received.push_back(report);
         }
         LoadReport next;
-        LoadReport whole;
-        void onPeerGone(const base::Endpoint &peer) override
+        LoadReport full;
+        void onPeerUnreachable(const base::Endpoint &peer) override
         {
             gone.push_back(peer);
         }
@@ -104,8 +104,8 @@
     bool hasHeard(std::size_t at, std::uint64_t upstream)
     {
         for (const LoadReport &report : m_sources[at]->received) {
-            for (const UpstreamWork &work : report.work) {
-                if (work.upstream == upstream) {
+            for (const PeerUpstreamLoad &load : report.loads) {
+                if (load.upstream == upstream) {
                     return true;
                 }
             }
@@ -163,28 +163,28 @@
         for (const base::Endpoint &router : m_routers) {
             addExchange(router);
         }
-        m_sources[0]->whole.work = {{41, 1, 2, 3}};
+        m_sources[0]->full.loads = {{41, 1, 2, 3}};
         connectAll();
         CPPUNIT_ASSERT_MESSAGE("the whole comes first", tickUntil([this] {
                                    return hasHeard(1, 41) && hasHeard(2, 41);
                                }));
-        CPPUNIT_ASSERT(m_sources[1]->received.front().isWhole);
-        m_sources[0]->next.work = {{42, 1, 2, 3}};
+        CPPUNIT_ASSERT(m_sources[1]->received.front().isFullReport);
+        m_sources[0]->next.loads = {{42, 1, 2, 3}};
         CPPUNIT_ASSERT(tickUntil([this] {
             return hasHeard(1, 42) && hasHeard(2, 42);
         }));
-        CPPUNIT_ASSERT(!m_sources[1]->received.back().isWhole);
+        CPPUNIT_ASSERT(!m_sources[1]->received.back().isFullReport);
         const std::size_t heard = m_sources[1]->received.size();
         CPPUNIT_ASSERT_MESSAGE("a sign of life where nothing changes", tickUntil([this, heard] {
                                    return m_sources[1]->received.size() > heard + 2;
                                }));
     }
 
-    void testRestartedPeerGetsTheWhole()
+    void testRestartedPeerGetsFullReport()
     {
         addExchange(m_routers[0]);
         addExchange(m_routers[1]);
-        m_sources[0]->whole.work = {{41, 1, 2, 3}};
+        m_sources[0]->full.loads = {{41, 1, 2, 3}};
         connectAll();
         CPPUNIT_ASSERT(tickUntil([this] {
             return hasHeard(1, 41);
@@ -206,7 +206,7 @@
     }
 
     // A peer that takes connections and answers nothing; the other one goes on.
-    void testSilentPeerHoldsNothingUp()
+    void testUnresponsivePeerDoesNotBlockOthers()
     {
         Tcp::acceptor silent(m_loop, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), m_routers[2].port));
         addExchange(m_routers[0]);
@@ -217,14 +217,14 @@
         }));
         const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds{1500};
         for (std::uint64_t upstream = 100; std::chrono::steady_clock::now() < end; ++upstream) {
-            m_sources[0]->next.work = {{upstream, 1, 2, 3}};
+            m_sources[0]->next.loads = {{upstream, 1, 2, 3}};
             CPPUNIT_ASSERT(tickUntil([this, upstream] {
                 return hasHeard(1, upstream);
             }));
         }
     }
 
-    void testBytesThatAreNoReport()
+    void testMalformedInput()
     {
         addExchange(m_routers[0]);
         connectAll();
@@ -242,7 +242,7 @@
         }
         addExchange(m_routers[1]);
         connectAll();
-        m_sources[1]->whole.work = {{7, 1, 1, 1}};
+        m_sources[1]->full.loads = {{7, 1, 1, 1}};
         CPPUNIT_ASSERT_MESSAGE("sound peers are heard afterwards", tickUntil(
                                                                        [this] {
                                                                            return hasHeard(0, 7);
@@ -252,7 +252,7 @@
 
     // Nobody listens at the second address, and the third takes connections but answers
     // nothing, as a suspended process does; time passes in steps of ten seconds.
-    void testPeerThatIsGone()
+    void testUnreachablePeer()
     {
         const Tcp::acceptor silent(m_loop, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), m_routers[2].port));
         base::ManualClock clock;
@@ -268,23 +268,23 @@
                 clock.advance(step);
             }
         };
-        pass(PeerExchange::GoneTime);
+        pass(PeerExchange::UnreachableTimeout);
         CPPUNIT_ASSERT(source.gone.empty());
         pass(step * 5); // the silent one counts from its first missing answer
         const std::set<base::Endpoint> gone(source.gone.begin(), source.gone.end());
         CPPUNIT_ASSERT(gone == std::set<base::Endpoint>(m_routers.begin() + 1, m_routers.end()));
         CPPUNIT_ASSERT_EQUAL_MESSAGE("each told once", std::size_t{2}, source.gone.size());
-        pass(PeerExchange::GoneTime + step);
+        pass(PeerExchange::UnreachableTimeout + step);
         CPPUNIT_ASSERT_EQUAL_MESSAGE("and again", std::size_t{4}, source.gone.size());
     }
 
-    void testOffWithoutAddress()
+    void testDisabledWithoutAddress()
     {
         addExchange(base::Endpoint{});
         m_exchanges[0]->setRouters(m_routers);
-        m_sources[0]->next.work = {{7, 1, 1, 1}};
+        m_sources[0]->next.loads = {{7, 1, 1, 1}};
         m_exchanges[0]->tick();
-        CPPUNIT_ASSERT_MESSAGE("changes are taken all the same", m_sources[0]->next.work.empty());
+        CPPUNIT_ASSERT_MESSAGE("changes are taken all the same", m_sources[0]->next.loads.empty());
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PeerExchangeTest);
--- a/carawaylatch/proxy/testing/sharedplacementtest.cpp
+++ b/carawaylatch/proxy/testing/sharedplacementtest.cpp
@@ -23,18 +23,18 @@
 class SharedPlacementTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SharedPlacementTest);
-    CPPUNIT_TEST(testQueueOfAnotherRouterIsAvoided);
-    CPPUNIT_TEST(testPromptThatAnotherRouterPlacedIsFound);
-    CPPUNIT_TEST(testMemoryOfOthersIsCounted);
-    CPPUNIT_TEST(testPlacesOfAServiceAreSharedOut);
+    CPPUNIT_TEST(testLoadAtAnotherRouterIsAvoided);
+    CPPUNIT_TEST(testPrefixPlacedByAnotherRouterIsUsed);
+    CPPUNIT_TEST(testMemoryUsedByOtherRoutersIsCounted);
+    CPPUNIT_TEST(testServiceSlotsAreSharedByRouters);
     CPPUNIT_TEST(testEstimateWithoutReports);
     CPPUNIT_TEST(testBurstSpreadsEvenly);
     CPPUNIT_TEST(testChangesAreReportedOnce);
-    CPPUNIT_TEST(testUpstreamThatIsGoneIsReportedBeforeItIsForgotten);
+    CPPUNIT_TEST(testRemovedUpstreamIsReportedBeforeItsRecordIsDropped);
     CPPUNIT_TEST_SUITE_END();
 
     FleetView m_view;
-    UpstreamBook m_books[2];
+    UpstreamTracker m_trackers[2];
     PlacementTuning m_tuning;
 
     PlacementQuery query(std::uint64_t prompt)
@@ -43,7 +43,7 @@
         out.now = Start;
         out.pool = base::PoolName("engines");
         out.model = base::ModelId("m");
-        out.promptKey = prompt;
+        out.prefixKey = prompt;
         out.sharedTokens = prompt != 0 ? 6000 : 0;
         out.memoryTokens = 9100;
         out.domain = base::FailureDomain("a");
@@ -51,22 +51,22 @@
     }
     UpstreamRecord *placeAt(int router, const PlacementQuery &query)
     {
-        return place(query, m_view, m_books[router], m_tuning).record;
+        return place(query, m_view, m_trackers[router], m_tuning).record;
     }
     // What router `from` did since the last call reaches the other one.
     void report(int from)
     {
-        LoadReport changes = m_books[from].takeChanges();
+        LoadReport changes = m_trackers[from].takeChanges();
         changes.sender = static_cast<std::uint64_t>(from) + 1;
-        changes.life = 1;
-        CPPUNIT_ASSERT(m_books[1 - from].heardOf(changes, Start));
+        changes.incarnation = 1;
+        CPPUNIT_ASSERT(m_trackers[1 - from].applyReport(changes, Start));
     }
 
 public:
     void setUp() override
     {
         auto table = std::make_shared<RouteTable>();
-        table->pools.push_back(Pool{base::PoolName("engines"), 100, EngineShape{50'000, 64}});
+        table->pools.push_back(Pool{base::PoolName("engines"), 100, EngineCapacity{50'000, 64}});
         table->pools.push_back(Pool{base::PoolName("services"), 100, std::nullopt});
         m_view = FleetView{};
         m_view.table = table;
@@ -84,45 +84,45 @@
             m_view.upstreams.push_back(upstream);
         }
         for (int router = 0; router < 2; ++router) {
-            m_books[router] = UpstreamBook{};
-            m_books[router].adopt(m_view, Start);
-            LoadReport whole;
-            whole.sender = static_cast<std::uint64_t>(1 - router) + 1;
-            whole.life = 1;
-            whole.isWhole = true;
-            CPPUNIT_ASSERT(m_books[router].heardOf(whole, Start));
+            m_trackers[router] = UpstreamTracker{};
+            m_trackers[router].adopt(m_view, Start);
+            LoadReport full;
+            full.sender = static_cast<std::uint64_t>(1 - router) + 1;
+            full.incarnation = 1;
+            full.isFullReport = true;
+            CPPUNIT_ASSERT(m_trackers[router].applyReport(full, Start));
         }
     }
 
-    void testQueueOfAnotherRouterIsAvoided()
+    void testLoadAtAnotherRouterIsAvoided()
     {
-        UpstreamRecord *home = placeAt(0, query(3));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("both routers know the same home", home->upstream.id, placeAt(1, query(3))->upstream.id);
-        m_books[0].began(*home, AttemptWeight{9100, 30'000}, Start);
+        UpstreamRecord *owner = placeAt(0, query(3));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("both routers know the same home", owner->upstream.id, placeAt(1, query(3))->upstream.id);
+        m_trackers[0].onAttemptStarted(*owner, AttemptLoad{9100, 30'000}, Start);
         report(0);
-        CPPUNIT_ASSERT(home->upstream.id != placeAt(1, query(3))->upstream.id);
+        CPPUNIT_ASSERT(owner->upstream.id != placeAt(1, query(3))->upstream.id);
     }
 
-    void testPromptThatAnotherRouterPlacedIsFound()
+    void testPrefixPlacedByAnotherRouterIsUsed()
     {
-        const base::UpstreamId home = placeAt(0, query(3))->upstream.id;
-        const base::UpstreamId other(home.value() == "e1" ? "e2" : "e1");
-        m_books[0].placed(promptStateKey(3, base::WeightsVersion{1}), *m_books[0].find(other), Start);
+        const base::UpstreamId owner = placeAt(0, query(3))->upstream.id;
+        const base::UpstreamId other(owner.value() == "e1" ? "e2" : "e1");
+        m_trackers[0].onPromptSent(kvCacheKey(3, base::WeightsVersion{1}), *m_trackers[0].find(other), Start);
         report(0);
         CPPUNIT_ASSERT_EQUAL(other, placeAt(1, query(3))->upstream.id);
     }
 
-    void testMemoryOfOthersIsCounted()
+    void testMemoryUsedByOtherRoutersIsCounted()
     {
         for (const char *id : {"e1", "e2", "e3", "e4"}) {
-            m_books[0].began(*m_books[0].find(base::UpstreamId(id)), AttemptWeight{36'000, 0}, Start);
+            m_trackers[0].onAttemptStarted(*m_trackers[0].find(base::UpstreamId(id)), AttemptLoad{36'000, 0}, Start);
         }
         CPPUNIT_ASSERT(placeAt(1, query(0)) != nullptr);
         report(0);
         CPPUNIT_ASSERT_MESSAGE("36,000 and 9,100 are more than 90% of 50,000", placeAt(1, query(0)) == nullptr);
     }
 
-    void testPlacesOfAServiceAreSharedOut()
+    void testServiceSlotsAreSharedByRouters()
     {
         PlacementQuery call;
         call.now = Start;
@@ -133,7 +133,7 @@
             if (record == nullptr) {
                 break;
             }
-            m_books[placed % 2].began(*record, {}, Start);
+            m_trackers[placed % 2].onAttemptStarted(*record, {}, Start);
             report(placed % 2);
         }
         CPPUNIT_ASSERT_EQUAL(4 * static_cast<int>(m_tuning.serviceQueueFactor), placed);
@@ -143,13 +143,13 @@
     void testEstimateWithoutReports()
     {
         m_view.routers = 4;
-        UpstreamRecord &record = *m_books[0].find(base::UpstreamId("e1"));
-        m_books[0].began(record, AttemptWeight{9000, 5000}, Start);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(4 * 5000, m_books[0].workAt(record, 4, Start).unreadTokens, 0.1);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(9000, m_books[0].workAt(record, 4, Start).memoryTokens, 0.1);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(5000, m_books[0].workAt(record, 2, Start).unreadTokens, 0.1);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_books[0].forgetSilentPeers(Start + base::seconds{2}));
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(2 * 5000, m_books[0].workAt(record, 2, Start).unreadTokens, 0.1);
+        UpstreamRecord &record = *m_trackers[0].find(base::UpstreamId("e1"));
+        m_trackers[0].onAttemptStarted(record, AttemptLoad{9000, 5000}, Start);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(4 * 5000, m_trackers[0].totalLoad(record, 4, Start).prefillTokens, 0.1);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(9000, m_trackers[0].totalLoad(record, 4, Start).memoryTokens, 0.1);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(5000, m_trackers[0].totalLoad(record, 2, Start).prefillTokens, 0.1);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_trackers[0].removeSilentPeers(Start + base::seconds{2}));
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(2 * 5000, m_trackers[0].totalLoad(record, 2, Start).prefillTokens, 0.1);
     }
 
     // A burst of prompts that share nothing, at both routers in turn.
@@ -159,7 +159,7 @@
         for (int i = 0; i < 16; ++i) {
             UpstreamRecord *record = placeAt(i % 2, query(0));
             CPPUNIT_ASSERT(record != nullptr);
-            m_books[i % 2].began(*record, AttemptWeight{9100, 9000}, Start);
+            m_trackers[i % 2].onAttemptStarted(*record, AttemptLoad{9100, 9000}, Start);
             report(i % 2);
             ++prompts[record->upstream.id];
         }
@@ -170,33 +170,33 @@
 
     void testChangesAreReportedOnce()
     {
-        UpstreamRecord &record = *m_books[0].find(base::UpstreamId("e1"));
-        m_books[0].began(record, AttemptWeight{9000, 5000}, Start);
-        m_books[0].started(record, AttemptWeight{9000, 5000});
-        m_books[0].placed(7, record, Start);
-        m_books[0].placed(7, record, Start);
-        const LoadReport changes = m_books[0].takeChanges();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.work.size());
-        CPPUNIT_ASSERT_EQUAL(1U, changes.work[0].requests);
-        CPPUNIT_ASSERT_EQUAL(0U, changes.work[0].unreadTokens);
+        UpstreamRecord &record = *m_trackers[0].find(base::UpstreamId("e1"));
+        m_trackers[0].onAttemptStarted(record, AttemptLoad{9000, 5000}, Start);
+        m_trackers[0].onFirstOutput(record, AttemptLoad{9000, 5000});
+        m_trackers[0].onPromptSent(7, record, Start);
+        m_trackers[0].onPromptSent(7, record, Start);
+        const LoadReport changes = m_trackers[0].takeChanges();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.loads.size());
+        CPPUNIT_ASSERT_EQUAL(1U, changes.loads[0].requests);
+        CPPUNIT_ASSERT_EQUAL(0U, changes.loads[0].prefillTokens);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.placements.size());
-        CPPUNIT_ASSERT(m_books[0].takeChanges().work.empty());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_books[0].wholeReport().work.size());
+        CPPUNIT_ASSERT(m_trackers[0].takeChanges().loads.empty());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_trackers[0].fullReport().loads.size());
     }
 
-    void testUpstreamThatIsGoneIsReportedBeforeItIsForgotten()
+    void testRemovedUpstreamIsReportedBeforeItsRecordIsDropped()
     {
-        UpstreamRecord &record = *m_books[0].find(base::UpstreamId("e1"));
-        m_books[0].began(record, AttemptWeight{9000, 5000}, Start);
+        UpstreamRecord &record = *m_trackers[0].find(base::UpstreamId("e1"));
+        m_trackers[0].onAttemptStarted(record, AttemptLoad{9000, 5000}, Start);
         report(0);
-        m_books[0].ended(record, AttemptWeight{9000, 5000}, false, AttemptEnd::Broken, Start);
+        m_trackers[0].onAttemptEnded(record, AttemptLoad{9000, 5000}, false, AttemptEnd::Broken, Start);
         m_view.upstreams.erase(m_view.upstreams.begin());
-        m_books[0].adopt(m_view, Start);
-        const LoadReport changes = m_books[0].takeChanges();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.work.size());
-        CPPUNIT_ASSERT_EQUAL(0U, changes.work[0].requests);
-        m_books[0].adopt(m_view, Start);
-        CPPUNIT_ASSERT(m_books[0].find(base::UpstreamId("e1")) == nullptr);
+        m_trackers[0].adopt(m_view, Start);
+        const LoadReport changes = m_trackers[0].takeChanges();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, changes.loads.size());
+        CPPUNIT_ASSERT_EQUAL(0U, changes.loads[0].requests);
+        m_trackers[0].adopt(m_view, Start);
+        CPPUNIT_ASSERT(m_trackers[0].find(base::UpstreamId("e1")) == nullptr);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(SharedPlacementTest);
--- a/carawaylatch/proxy/trafficplane.cpp
+++ b/carawaylatch/proxy/trafficplane.cpp
@@ -1,5 +1,5 @@
 // Wiring of the traffic thread. One steady timer drives the timer service; it is
-// armed for the earliest deadline, rounded up to TimerGrain so that a busy loop
+// armed for the earliest deadline, rounded up to TimerGranularity so that a busy loop
 // is not woken for each of many deadlines that lie close together.
 #include "carawaylatch/proxy/trafficplane.h"
 
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr base::Duration TimerGrain = base::milliseconds{2}; // far below every timeout of a request
+constexpr base::Duration TimerGranularity = base::milliseconds{2}; // far below every timeout of a request
 constexpr base::Duration TickInterval = base::milliseconds{50}; // waiting requests are looked at, and the log flushed
-constexpr std::size_t MaxKeptConnections = 64; // idle ones to one upstream, where it tells no bound
+constexpr std::size_t MaxIdlePerUpstream = 64; // idle ones to one upstream, where it tells no bound
 
 Reply plainReply(unsigned status, std::string body)
 {
@@ -77,11 +77,11 @@
 {
     m_tick = m_timers.every(now(), TickInterval, [this](base::TimePoint) {
         placeWaiting();
-        noteReadiness(unreadyReason());
+        updateReadiness(notReadyReason());
         m_log.flush();
     });
     m_reportTick = m_timers.every(now(), PeerExchange::ReportInterval, [this](base::TimePoint at) {
-        m_book.forgetSilentPeers(at);
+        m_tracker.removeSilentPeers(at);
         m_peers.tick();
     });
     armTimer();
@@ -148,37 +148,37 @@
 {
     const bool hasOtherRouters = view->routerEndpoints != m_view->routerEndpoints;
     m_view = std::move(view);
-    m_book.adopt(*m_view, now());
-    closeKept([this](const base::UpstreamId &upstream) {
-        return m_book.find(upstream) == nullptr;
+    m_tracker.adopt(*m_view, now());
+    closeIdleConnections([this](const base::UpstreamId &upstream) {
+        return m_tracker.find(upstream) == nullptr;
     });
     if (hasOtherRouters) {
         m_peers.setRouters(m_view->routerEndpoints);
     }
     applyBudgets();
-    scheduleQueues();
+    schedulePlacement();
 }
 
 LoadReport TrafficPlane::takeChanges()
 {
-    return m_book.takeChanges();
+    return m_tracker.takeChanges();
 }
 
-LoadReport TrafficPlane::wholeReport() const
+LoadReport TrafficPlane::fullReport() const
 {
-    return m_book.wholeReport();
+    return m_tracker.fullReport();
 }
 
 void TrafficPlane::onReport(const LoadReport &report)
 {
-    if (m_book.heardOf(report, now())) {
-        scheduleQueues(); // there may be room at an upstream
+    if (m_tracker.applyReport(report, now())) {
+        schedulePlacement(); // there may be room at an upstream
     }
 }
 
-void TrafficPlane::onPeerGone(const base::Endpoint &peer)
+void TrafficPlane::onPeerUnreachable(const base::Endpoint &peer)
 {
-    m_observer.onRouterGone(peer);
+    m_observer.onRouterUnreachable(peer);
 }
 
 // A router takes its part of the fleet's budget, counted with one router more than
@@ -205,7 +205,7 @@
 void TrafficPlane::beginStop()
 {
     m_isStopping = true;
-    noteReadiness(unreadyReason());
+    updateReadiness(notReadyReason());
 }
 
 bool TrafficPlane::isLeaving() const
@@ -241,21 +241,21 @@
     for (const auto &caller : callers) {
         caller->cancel();
     }
-    closeKept([](const base::UpstreamId &) {
+    closeIdleConnections([](const base::UpstreamId &) {
         return true;
     });
 }
 
-void TrafficPlane::closeKept(const std::function<bool(const base::UpstreamId &)> &isChosen)
+void TrafficPlane::closeIdleConnections(const std::function<bool(const base::UpstreamId &)> &isChosen)
 {
     std::vector<std::shared_ptr<UpstreamConnection>> chosen;
-    for (const auto &[upstream, kept] : m_kept) {
+    for (const auto &[upstream, kept] : m_idleConnections) {
         if (isChosen(upstream)) {
             chosen.insert(chosen.end(), kept.begin(), kept.end());
         }
     }
     for (const auto &connection : chosen) {
-        connection->close(); // which takes it out of m_kept
+        connection->close(); // which takes it out of m_idleConnections
     }
 }
 
@@ -297,7 +297,7 @@
         return; // the timer under way comes first
     }
     m_armedFor = *deadline;
-    const base::Duration wait = std::max<base::Duration>(*deadline - now(), base::Duration{}) + TimerGrain;
+    const base::Duration wait = std::max<base::Duration>(*deadline - now(), base::Duration{}) + TimerGranularity;
     m_timer.expires_after(wait);
     m_timer.async_wait([this](const boost::system::error_code &ec) {
         if (!ec) {
@@ -333,9 +333,9 @@
     return m_view;
 }
 
-UpstreamBook &TrafficPlane::book()
+UpstreamTracker &TrafficPlane::tracker()
 {
-    return m_book;
+    return m_tracker;
 }
 
 TrafficCounts &TrafficPlane::counts()
@@ -384,15 +384,15 @@
     return m_queues[pool];
 }
 
-void TrafficPlane::scheduleQueues()
+void TrafficPlane::schedulePlacement()
 {
     const bool isNeeded = std::any_of(m_queues.begin(), m_queues.end(), [](const auto &it) {
         return !it.second.isEmpty();
     });
-    if (m_isPlacing || !isNeeded) {
+    if (m_isPlacementScheduled || !isNeeded) {
         return;
     }
-    m_isPlacing = true;
+    m_isPlacementScheduled = true;
     boost::asio::post(m_loop, [this] {
         placeWaiting();
     });
@@ -400,7 +400,7 @@
 
 void TrafficPlane::placeWaiting()
 {
-    m_isPlacing = false;
+    m_isPlacementScheduled = false;
     for (auto &[pool, queue] : m_queues) {
         while (const auto exchange = queue.front()) {
             if (!exchange->tryToPlace()) {
@@ -410,7 +410,7 @@
     }
 }
 
-void TrafficPlane::noteRejected(std::string_view id, std::string_view host, std::string_view reason, unsigned status)
+void TrafficPlane::logRejected(std::string_view id, std::string_view host, std::string_view reason, unsigned status)
 {
     ++m_counts.rejected;
     m_log.write(base::LogEvent::RequestRejected, {{"id", std::string(id)},
@@ -420,30 +420,30 @@
                                                   {"table", std::to_string(m_view->table ? m_view->table->version : 0)}});
 }
 
-bool TrafficPlane::isMemoryFull() const
+bool TrafficPlane::isBodyBufferFull() const
 {
-    return m_bodyBytes > m_settings.maxBodyBytesHeld;
+    return m_bodyBytes > m_settings.maxBufferedBodyBytes;
 }
 
-void TrafficPlane::began(std::size_t bodyBytes)
+void TrafficPlane::onExchangeStarted(std::size_t bodyBytes)
 {
     m_bodyBytes += bodyBytes;
     ++m_inflight;
     ++m_counts.requests;
 }
 
-void TrafficPlane::ended(std::size_t bodyBytes)
+void TrafficPlane::onExchangeEnded(std::size_t bodyBytes)
 {
     m_bodyBytes -= bodyBytes;
     --m_inflight;
 }
 
-void TrafficPlane::forget(const std::shared_ptr<CallerConnection> &connection)
+void TrafficPlane::removeCaller(const std::shared_ptr<CallerConnection> &connection)
 {
     m_callers.erase(connection);
 }
 
-std::string_view TrafficPlane::unreadyReason() const
+std::string_view TrafficPlane::notReadyReason() const
 {
     if (m_isStopping) {
         return "stopping";
@@ -460,12 +460,12 @@
     return {};
 }
 
-void TrafficPlane::noteReadiness(std::string_view reason)
+void TrafficPlane::updateReadiness(std::string_view reason)
 {
-    if (reason == m_unreadyReason) {
+    if (reason == m_notReadyReason) {
         return;
     }
-    m_unreadyReason = reason;
+    m_notReadyReason = reason;
     const std::string age = std::to_string(base::toMilliseconds(tableAge()));
     if (reason.empty()) {
         m_log.write(base::LogEvent::GatewayReady,
@@ -475,12 +475,12 @@
     }
 }
 
-bool TrafficPlane::answerOwnPath(CallerConnection &connection, const HttpRequestHead &head)
+bool TrafficPlane::handleLocalPath(CallerConnection &connection, const HttpRequestHead &head)
 {
     constexpr std::string_view MetricsPath = "/metrics";
     if (head.target == m_dialect.readinessPath()) {
-        const std::string_view reason = unreadyReason();
-        noteReadiness(reason);
+        const std::string_view reason = notReadyReason();
+        updateReadiness(reason);
         connection.reply(plainReply(reason.empty() ? 200 : 503, std::string(reason.empty() ? "ready" : reason) + '\n'));
         return true;
     }
@@ -504,9 +504,9 @@
         {"connections_total", m_counts.connections},
         {"upstream_reads_total", m_counts.reads},
         {"streams_resumed_total", m_counts.resumed},
-        {"foreign_answers_total", m_counts.foreignAnswers},
+        {"foreign_answers_total", m_counts.mismatchedResponses},
         {"inflight", m_inflight},
-        {"peers", m_book.peers()},
+        {"peers", m_tracker.peers()},
         {"log_lines_dropped_total", m_log.dropped()},
         {"upstreams", m_view->upstreams.size()},
         {"table_version", m_view->table ? m_view->table->version : 0},
@@ -527,18 +527,18 @@
     return out;
 }
 
-std::shared_ptr<UpstreamConnection> TrafficPlane::takeKept(const Upstream &upstream, bool isRepeatable)
+std::shared_ptr<UpstreamConnection> TrafficPlane::takeIdleConnection(const Upstream &upstream, bool isRepeatable)
 {
-    const auto it = m_kept.find(upstream.id);
-    if (it == m_kept.end()) {
+    const auto it = m_idleConnections.find(upstream.id);
+    if (it == m_idleConnections.end()) {
         return nullptr;
     }
     auto &kept = it->second;
     while (!kept.empty()) {
         auto connection = std::move(kept.back());
         kept.pop_back();
-        const bool isSameLife = connection->bornMs() == upstream.bornMs;
-        if (isSameLife && (isRepeatable || now() < connection->keptUntil())) {
+        const bool isSameLife = connection->startTimeMs() == upstream.startTimeMs;
+        if (isSameLife && (isRepeatable || now() < connection->reusableUntil())) {
             return connection;
         }
         connection->close();
@@ -546,11 +546,11 @@
     return nullptr;
 }
 
-void TrafficPlane::keep(std::shared_ptr<UpstreamConnection> connection)
+void TrafficPlane::addIdleConnection(std::shared_ptr<UpstreamConnection> connection)
 {
-    auto &kept = m_kept[connection->upstream()];
+    auto &kept = m_idleConnections[connection->upstream()];
     kept.push_back(std::move(connection));
-    if (kept.size() > maxKept(kept.back()->upstream())) {
+    if (kept.size() > maxIdleConnections(kept.back()->upstream())) {
         const auto oldest = kept.front();
         kept.pop_front();
         oldest->close();
@@ -559,27 +559,27 @@
 
 // A router's part of the connections that an upstream accepts from all of them, counted
 // with one router more than are known; requests under way have the other half.
-std::size_t TrafficPlane::maxKept(const base::UpstreamId &upstream)
+std::size_t TrafficPlane::maxIdleConnections(const base::UpstreamId &upstream)
 {
-    const UpstreamRecord *record = m_book.find(upstream);
+    const UpstreamRecord *record = m_tracker.find(upstream);
     const Pool *pool = record != nullptr && m_view->table ? m_view->table->pool(record->upstream.pool) : nullptr;
     if (pool == nullptr || pool->maxConnections == 0) {
-        return MaxKeptConnections;
+        return MaxIdlePerUpstream;
     }
-    return std::max<std::size_t>(1, std::min<std::size_t>(MaxKeptConnections, pool->maxConnections / (m_view->routers + 1) / 2));
+    return std::max<std::size_t>(1, std::min<std::size_t>(MaxIdlePerUpstream, pool->maxConnections / (m_view->routers + 1) / 2));
 }
 
-void TrafficPlane::dropKept(const UpstreamConnection &connection)
+void TrafficPlane::removeIdleConnection(const UpstreamConnection &connection)
 {
-    const auto it = m_kept.find(connection.upstream());
-    if (it == m_kept.end()) {
+    const auto it = m_idleConnections.find(connection.upstream());
+    if (it == m_idleConnections.end()) {
         return;
     }
     std::erase_if(it->second, [&connection](const auto &kept) {
         return kept.get() == &connection;
     });
     if (it->second.empty()) {
-        m_kept.erase(it);
+        m_idleConnections.erase(it);
     }
 }
 
--- a/carawaylatch/proxy/trafficplane.h
+++ b/carawaylatch/proxy/trafficplane.h
@@ -51,7 +51,7 @@
     base::Duration maxTableAge{}; // requests with a key are refused beyond it; zero: no limit
     base::Duration readyTableAge = base::seconds{3}; // not ready beyond it
     base::Duration connectTimeout = base::milliseconds{400}; // several round trips between failure domains
-    std::uint64_t maxBodyBytesHeld = 32'000'000; // request bodies in memory; beyond it callers are refused
+    std::uint64_t maxBufferedBodyBytes = 32'000'000; // request bodies in memory; beyond it callers are refused
     PlacementTuning placement;
 };
 
@@ -67,7 +67,7 @@
     std::uint64_t attempts = 0;
     std::uint64_t connections = 0; // made to upstreams
     std::uint64_t reads = 0; // wake-ups of the loop with bytes of upstreams
-    std::uint64_t foreignAnswers = 0;
+    std::uint64_t mismatchedResponses = 0;
     std::uint64_t resumed = 0;
     std::array<telemetry::LatencyCounts, CallKindCount> firstByte{}; // of served requests, by CallKind
     std::array<telemetry::LatencyCounts, CallKindCount> total{}; // likewise
@@ -81,7 +81,7 @@
     // An answer told the weights of an upstream.
     virtual void onWeightsSeen(const base::UpstreamId &upstream, base::WeightsVersion weights) = 0;
     // Another router has not been reached for a long time.
-    virtual void onRouterGone(const base::Endpoint &peers) = 0;
+    virtual void onRouterUnreachable(const base::Endpoint &peers) = 0;
 };
 
 class TrafficPlane : private LoadReportSource
@@ -119,7 +119,7 @@
     [[nodiscard]] const Dialect &dialect() const;
     [[nodiscard]] const TrafficSettings &settings() const;
     [[nodiscard]] std::shared_ptr<const FleetView> view() const;
-    [[nodiscard]] UpstreamBook &book();
+    [[nodiscard]] UpstreamTracker &tracker();
     [[nodiscard]] TrafficCounts &counts();
     [[nodiscard]] telemetry::DecisionLog &log();
     [[nodiscard]] TrafficObserver &observer();
@@ -130,40 +130,40 @@
     [[nodiscard]] relay::RetryBudget &budget(const base::PoolName &pool);
     [[nodiscard]] WaitQueue &queue(const base::PoolName &pool);
     // Requests that wait at a pool are placed after this call returns.
-    void scheduleQueues();
-    void noteRejected(std::string_view id, std::string_view host, std::string_view reason, unsigned status);
+    void schedulePlacement();
+    void logRejected(std::string_view id, std::string_view host, std::string_view reason, unsigned status);
     // An exchange begins or ends, with the bytes of its request's body.
-    void began(std::size_t bodyBytes);
-    void ended(std::size_t bodyBytes);
+    void onExchangeStarted(std::size_t bodyBytes);
+    void onExchangeEnded(std::size_t bodyBytes);
     // True if request bodies take as much memory as they may.
-    [[nodiscard]] bool isMemoryFull() const;
-    void forget(const std::shared_ptr<CallerConnection> &connection);
+    [[nodiscard]] bool isBodyBufferFull() const;
+    void removeCaller(const std::shared_ptr<CallerConnection> &connection);
     // Answers readiness and metrics on the operators' port; false for a caller's request.
-    bool answerOwnPath(CallerConnection &connection, const HttpRequestHead &head);
+    bool handleLocalPath(CallerConnection &connection, const HttpRequestHead &head);
 
     // Returns a kept connection, or nothing. A request that may run only once takes
     // none that the upstream may be about to close.
-    [[nodiscard]] std::shared_ptr<UpstreamConnection> takeKept(const Upstream &upstream, bool isRepeatable);
-    void keep(std::shared_ptr<UpstreamConnection> connection);
-    void dropKept(const UpstreamConnection &connection);
+    [[nodiscard]] std::shared_ptr<UpstreamConnection> takeIdleConnection(const Upstream &upstream, bool isRepeatable);
+    void addIdleConnection(std::shared_ptr<UpstreamConnection> connection);
+    void removeIdleConnection(const UpstreamConnection &connection);
 
 private:
     struct Listener;
     [[nodiscard]] LoadReport takeChanges() override;
-    [[nodiscard]] LoadReport wholeReport() const override;
+    [[nodiscard]] LoadReport fullReport() const override;
     void onReport(const LoadReport &report) override;
-    void onPeerGone(const base::Endpoint &peer) override;
+    void onPeerUnreachable(const base::Endpoint &peer) override;
     [[nodiscard]] base::Result<void> listenOn(Listener &listener, const base::Endpoint &endpoint);
     void accept(Listener &listener);
     void armTimer();
     void onTimer();
     void placeWaiting();
-    [[nodiscard]] std::string_view unreadyReason() const;
-    void noteReadiness(std::string_view reason);
+    [[nodiscard]] std::string_view notReadyReason() const;
+    void updateReadiness(std::string_view reason);
     [[nodiscard]] std::string metricsText() const;
     void applyBudgets();
-    [[nodiscard]] std::size_t maxKept(const base::UpstreamId &upstream);
-    void closeKept(const std::function<bool(const base::UpstreamId &)> &isChosen);
+    [[nodiscard]] std::size_t maxIdleConnections(const base::UpstreamId &upstream);
+    void closeIdleConnections(const std::function<bool(const base::UpstreamId &)> &isChosen);
 
     boost::asio::io_context &m_loop;
     const base::Clock &m_clock;
@@ -177,10 +177,10 @@
     base::TimePoint m_armedFor = base::TimePoint::max(); // deadline of the timer under way
     bool m_isArmPosted = false;
     std::shared_ptr<const FleetView> m_view;
-    UpstreamBook m_book;
+    UpstreamTracker m_tracker;
     std::map<base::PoolName, relay::RetryBudget> m_budgets;
     std::map<base::PoolName, WaitQueue> m_queues;
-    std::map<base::UpstreamId, std::deque<std::shared_ptr<UpstreamConnection>>> m_kept; // newest last
+    std::map<base::UpstreamId, std::deque<std::shared_ptr<UpstreamConnection>>> m_idleConnections; // newest last
     std::set<std::shared_ptr<CallerConnection>> m_callers;
     std::unique_ptr<Listener> m_callersListener;
     std::unique_ptr<Listener> m_operatorsListener;
@@ -194,8 +194,8 @@
     std::size_t m_inflight = 0;
     bool m_isStopping = false;
     bool m_isLeaving = false;
-    bool m_isPlacing = false;
-    std::string m_unreadyReason = "starting"; // as last logged; empty: ready
+    bool m_isPlacementScheduled = false;
+    std::string m_notReadyReason = "starting"; // as last logged; empty: ready
 };
 
 } // namespace carawaylatch::proxy
