--- a/carawaylatch/proxy/upstreamconnection.cpp
+++ b/carawaylatch/proxy/upstreamconnection.cpp
@@ -15,18 +15,18 @@
 {
 
 // An upstream that acknowledges nothing for so long is cut off: above the pauses of a busy path.
-constexpr base::Duration UpstreamSilence = base::milliseconds{1500};
+constexpr base::Duration UpstreamAckTimeout = base::milliseconds{1500};
 // An idle connection is sure to be open this long where the upstream tells no time.
-constexpr base::Duration UntoldKeepAlive = base::milliseconds{800};
+constexpr base::Duration DefaultKeepAlive = base::milliseconds{800};
 // Share of the told idle time that is used, so that a request doesn't cross the close.
-constexpr double UsedKeepAliveShare = 0.7;
+constexpr double KeepAliveReuseShare = 0.7;
 
 } // namespace
 
-UpstreamConnection::UpstreamConnection(TrafficPlane &plane, base::UpstreamId upstream, std::uint64_t bornMs)
+UpstreamConnection::UpstreamConnection(TrafficPlane &plane, base::UpstreamId upstream, std::uint64_t startTimeMs)
     : m_plane(plane)
     , m_upstream(std::move(upstream))
-    , m_bornMs(bornMs)
+    , m_startTimeMs(startTimeMs)
     , m_socket(plane.executor())
 {
 }
@@ -36,9 +36,9 @@
     return m_upstream;
 }
 
-std::uint64_t UpstreamConnection::bornMs() const
+std::uint64_t UpstreamConnection::startTimeMs() const
 {
-    return m_bornMs;
+    return m_startTimeMs;
 }
 
 bool UpstreamConnection::isReused() const
@@ -46,9 +46,9 @@
     return m_isReused;
 }
 
-base::TimePoint UpstreamConnection::keptUntil() const
+base::TimePoint UpstreamConnection::reusableUntil() const
 {
-    return m_keptUntil;
+    return m_reusableUntil;
 }
 
 void UpstreamConnection::connect(const base::Endpoint &endpoint, base::Duration timeout, std::function<void(std::string_view)> done)
@@ -78,13 +78,13 @@
             (*callback)(error.message());
             return;
         }
-        setSocketOptions(self->m_socket, UpstreamSilence);
+        setSocketOptions(self->m_socket, UpstreamAckTimeout);
         (*callback)({});
     });
 }
 
 void UpstreamConnection::send(std::string head, std::shared_ptr<const std::string> body, std::string requestId, bool isHeadRequest,
-                              std::weak_ptr<AnswerListener> listener)
+                              std::weak_ptr<ResponseListener> listener)
 {
     m_head = std::move(head);
     m_body = std::move(body);
@@ -93,8 +93,8 @@
     m_listener = std::move(listener);
     m_parser.emplace(isHeadRequest);
     m_hasSeenHead = false;
-    m_isForeign = false;
-    m_foreignAnswers = 0;
+    m_isMismatched = false;
+    m_mismatchedResponses = 0;
     m_isPaused = false;
     m_isWriting = true;
     const std::array<boost::asio::const_buffer, 2> buffers{boost::asio::buffer(m_head), boost::asio::buffer(*m_body)};
@@ -132,10 +132,10 @@
     m_listener.reset();
     boost::system::error_code ignored;
     m_socket.close(ignored);
-    m_plane.dropKept(*this);
+    m_plane.removeIdleConnection(*this);
 }
 
-std::shared_ptr<AnswerListener> UpstreamConnection::listener() const
+std::shared_ptr<ResponseListener> UpstreamConnection::listener() const
 {
     return m_listener.lock();
 }
@@ -155,8 +155,8 @@
             self->onRead(n);
             return;
         }
-        if (ec == boost::asio::error::eof && self->m_parser && self->m_hasSeenHead && self->m_parser->feedEnd() && !self->m_isForeign) {
-            self->finishAnswer();
+        if (ec == boost::asio::error::eof && self->m_parser && self->m_hasSeenHead && self->m_parser->feedEof() && !self->m_isMismatched) {
+            self->finishResponse();
             return;
         }
         self->fail(ec.message());
@@ -185,16 +185,16 @@
             return;
         }
         m_input.erase(0, used.value());
-        if (m_parser->isHeadDone() && !m_hasSeenHead && !m_isForeign) {
+        if (m_parser->isHeadComplete() && !m_hasSeenHead && !m_isMismatched) {
             consumeHead();
         }
         if (m_isClosed || !m_parser) {
             return;
         }
         std::string bytes = m_parser->takeBody();
-        if (!bytes.empty() && !m_isForeign) {
+        if (!bytes.empty() && !m_isMismatched) {
             if (const auto it = listener()) {
-                it->onAnswerBytes(std::move(bytes));
+                it->onResponseBody(std::move(bytes));
             }
         }
         if (m_isClosed || !m_parser) {
@@ -203,12 +203,12 @@
         if (!m_parser->isComplete()) {
             return; // more bytes are needed
         }
-        if (m_isForeign || (m_parser->head().status < 200 && !m_hasSeenHead)) {
-            m_isForeign = false;
+        if (m_isMismatched || (m_parser->head().status < 200 && !m_hasSeenHead)) {
+            m_isMismatched = false;
             m_parser.emplace(m_isHeadRequest);
             continue;
         }
-        finishAnswer();
+        finishResponse();
         return;
     }
 }
@@ -219,47 +219,47 @@
     if (head.status < 200) {
         return; // an interim answer; the final one follows
     }
-    const UpstreamAnswer answer = m_plane.dialect().readAnswer(head);
+    const UpstreamResponse response = m_plane.dialect().parseResponse(head);
     // Without an id only the first answer of a connection is surely ours.
-    if (answer.requestId.empty() && (m_isReused || m_foreignAnswers > 0)) {
+    if (response.requestId.empty() && (m_isReused || m_mismatchedResponses > 0)) {
         fail("an answer that names no request");
         return;
     }
-    if (!answer.requestId.empty() && answer.requestId != m_requestId) {
-        ++m_plane.counts().foreignAnswers;
-        if (++m_foreignAnswers > MaxForeignAnswers) {
+    if (!response.requestId.empty() && response.requestId != m_requestId) {
+        ++m_plane.counts().mismatchedResponses;
+        if (++m_mismatchedResponses > MaxMismatchedResponses) {
             fail("answers of other requests");
             return;
         }
-        m_isForeign = true;
+        m_isMismatched = true;
         return;
     }
     m_hasSeenHead = true;
-    if (answer.keepAlive) {
-        m_keepAlive = *answer.keepAlive;
+    if (response.keepAlive) {
+        m_keepAlive = *response.keepAlive;
     }
     if (const auto it = listener()) {
-        it->onAnswerHead(head, answer);
+        it->onResponseHead(head, response);
     }
 }
 
-void UpstreamConnection::finishAnswer()
+void UpstreamConnection::finishResponse()
 {
-    const bool isKept = m_parser->keepsAlive() && !m_isWriting && m_input.empty() && m_foreignAnswers == 0;
+    const bool isKept = m_parser->keepsAlive() && !m_isWriting && m_input.empty() && m_mismatchedResponses == 0;
     const auto it = listener();
     m_parser.reset();
     m_listener.reset();
     m_isReused = true;
-    const base::Duration kept = m_keepAlive > base::Duration{} ? base::fromSeconds(base::toSeconds(m_keepAlive) * UsedKeepAliveShare) : UntoldKeepAlive;
-    m_keptUntil = m_plane.now() + kept;
+    const base::Duration kept = m_keepAlive > base::Duration{} ? base::fromSeconds(base::toSeconds(m_keepAlive) * KeepAliveReuseShare) : DefaultKeepAlive;
+    m_reusableUntil = m_plane.now() + kept;
     if (isKept) {
         m_isPaused = false;
-        m_plane.keep(shared_from_this());
+        m_plane.addIdleConnection(shared_from_this());
     } else {
         close();
     }
     if (it) {
-        it->onAnswerEnd();
+        it->onResponseEnd();
     }
 }
 
@@ -269,7 +269,7 @@
     m_parser.reset();
     close();
     if (it) {
-        it->onBroken(problem);
+        it->onResponseError(problem);
     }
 }
 
--- a/carawaylatch/proxy/upstreamtracker.cpp
+++ b/carawaylatch/proxy/upstreamtracker.cpp
@@ -18,15 +18,15 @@
 
 // Weight of the newest attempt in the failure share: about the last ten count.
 constexpr double FailureWeight = 0.1;
-// Pause after the first connection that could not be made; doubles up to MaxAvoidance.
-constexpr base::Duration FirstAvoidance = base::milliseconds{250};
+// Pause after the first connection that could not be made; doubles up to MaxBackoff.
+constexpr base::Duration InitialBackoff = base::milliseconds{250};
 // A crashed upstream is tried again this often, which bounds how late its return is noticed.
-constexpr base::Duration MaxAvoidance = base::seconds{2};
+constexpr base::Duration MaxBackoff = base::seconds{2};
 
-UpstreamWork workOf(const UpstreamRecord &record)
+PeerUpstreamLoad ownLoad(const UpstreamRecord &record)
 {
     constexpr std::uint64_t Most = std::numeric_limits<std::uint32_t>::max();
-    return {record.key, record.inflight, static_cast<std::uint32_t>(std::min(record.unreadTokens, Most)),
+    return {record.idHash, record.inflight, static_cast<std::uint32_t>(std::min(record.prefillTokens, Most)),
             static_cast<std::uint32_t>(std::min(record.inflightTokens, Most))};
 }
 
@@ -35,43 +35,43 @@
 double UpstreamRecord::load(base::TimePoint now) const
 {
     const base::Duration age = now - sampledAt;
-    const double fading = age >= SampleLife ? 0.0 : 1.0 - base::toSeconds(age) / base::toSeconds(SampleLife);
-    return inflight + othersLoad * fading;
+    const double fading = age >= MaxSampleAge ? 0.0 : 1.0 - base::toSeconds(age) / base::toSeconds(MaxSampleAge);
+    return inflight + otherRoutersLoad * fading;
 }
 
 bool UpstreamRecord::isBackedUp(base::TimePoint now) const
 {
     constexpr std::uint32_t MostWaiting = 1; // one that waits for the next step is no queue
-    constexpr base::Duration BackedUpLife = base::milliseconds{300}; // about the time in which an engine ends a request
-    return waiting > MostWaiting && now - sampledAt < BackedUpLife;
+    constexpr base::Duration MaxBackedUpAge = base::milliseconds{300}; // about the time in which an engine ends a request
+    return waiting > MostWaiting && now - sampledAt < MaxBackedUpAge;
 }
 
-bool UpstreamRecord::isSilent(base::TimePoint now, double millisecondsPerToken) const
+bool UpstreamRecord::isSilent(base::TimePoint now, double prefillMillisecondsPerToken) const
 {
     // Above a load of weights, which holds an engine's runs up for about 600 ms.
-    constexpr base::Duration LongestPause = base::milliseconds{800};
+    constexpr base::Duration MaxSilence = base::milliseconds{800};
     // Prompts of other routers are read before and between this one's.
     constexpr double ReadingMargin = 3;
-    const base::Duration reading = base::fromSeconds(static_cast<double>(unreadTokens) * millisecondsPerToken * ReadingMargin / 1000);
-    return inflight > 0 && now - quietSince > LongestPause + reading;
+    const base::Duration reading = base::fromSeconds(static_cast<double>(prefillTokens) * prefillMillisecondsPerToken * ReadingMargin / 1000);
+    return inflight > 0 && now - silentSince > MaxSilence + reading;
 }
 
-void UpstreamBook::adopt(const FleetView &view, base::TimePoint now)
+void UpstreamTracker::adopt(const FleetView &view, base::TimePoint now)
 {
     for (auto &[id, record] : m_records) {
         record.isListed = false;
     }
     for (const Upstream &upstream : view.upstreams) {
         UpstreamRecord &record = m_records[upstream.id];
-        if (record.upstream.bornMs != upstream.bornMs || record.upstream.endpoint != upstream.endpoint) {
+        if (record.upstream.startTimeMs != upstream.startTimeMs || record.upstream.endpoint != upstream.endpoint) {
             record.failureShare = 0;
-            record.failuresInRow = 0;
-            record.avoidUntil = now;
-            record.othersLoad = 0;
+            record.consecutiveConnectFailures = 0;
+            record.backoffUntil = now;
+            record.otherRoutersLoad = 0;
             record.weights = {};
         }
         record.upstream = upstream;
-        record.key = base::hash64(upstream.id.value());
+        record.idHash = base::hash64(upstream.id.value());
         record.isListed = true;
         for (const auto &[model, weights] : upstream.models) {
             record.weights = std::max(record.weights, weights);
@@ -81,125 +81,125 @@
         return !it.second.isListed && it.second.inflight == 0 && it.second.isReported;
     });
     m_members.clear();
-    m_byKey.clear();
+    m_byIdHash.clear();
     for (auto &[id, record] : m_records) {
         if (record.isListed) {
-            m_byKey.emplace(record.key, &record);
+            m_byIdHash.emplace(record.idHash, &record);
             m_members[record.upstream.pool].push_back(&record);
         }
     }
 }
 
-UpstreamRecord *UpstreamBook::find(const base::UpstreamId &id)
+UpstreamRecord *UpstreamTracker::find(const base::UpstreamId &id)
 {
     const auto it = m_records.find(id);
     return it == m_records.end() ? nullptr : &it->second;
 }
 
-const std::vector<UpstreamRecord *> &UpstreamBook::members(const base::PoolName &pool) const
+const std::vector<UpstreamRecord *> &UpstreamTracker::members(const base::PoolName &pool) const
 {
     const auto it = m_members.find(pool);
     return it == m_members.end() ? m_noMembers : it->second;
 }
 
-void UpstreamBook::heard(UpstreamRecord &record, base::TimePoint now)
+void UpstreamTracker::onBytesReceived(UpstreamRecord &record, base::TimePoint now)
 {
-    record.quietSince = now;
+    record.silentSince = now;
 }
 
-void UpstreamBook::began(UpstreamRecord &record, const AttemptWeight &weight, base::TimePoint now)
+void UpstreamTracker::onAttemptStarted(UpstreamRecord &record, const AttemptLoad &load, base::TimePoint now)
 {
     if (record.inflight == 0) {
-        record.quietSince = now;
+        record.silentSince = now;
     }
     ++record.inflight;
-    record.inflightTokens += weight.memoryTokens;
-    record.unreadTokens += weight.unreadTokens;
-    changed(record);
+    record.inflightTokens += load.memoryTokens;
+    record.prefillTokens += load.prefillTokens;
+    markUnreported(record);
 }
 
-void UpstreamBook::started(UpstreamRecord &record, const AttemptWeight &weight)
+void UpstreamTracker::onFirstOutput(UpstreamRecord &record, const AttemptLoad &load)
 {
-    record.unreadTokens -= weight.unreadTokens;
-    changed(record);
+    record.prefillTokens -= load.prefillTokens;
+    markUnreported(record);
 }
 
-void UpstreamBook::ended(UpstreamRecord &record, const AttemptWeight &weight, bool hasStarted, AttemptEnd end, base::TimePoint now)
+void UpstreamTracker::onAttemptEnded(UpstreamRecord &record, const AttemptLoad &load, bool hasStarted, AttemptEnd end, base::TimePoint now)
 {
     --record.inflight;
-    record.inflightTokens -= weight.memoryTokens;
+    record.inflightTokens -= load.memoryTokens;
     if (!hasStarted) {
-        record.unreadTokens -= weight.unreadTokens;
+        record.prefillTokens -= load.prefillTokens;
     }
-    changed(record);
+    markUnreported(record);
     if (end == AttemptEnd::NotExecuted) {
         return; // says nothing about health
     }
     const bool isFailure = end != AttemptEnd::Answered;
     record.failureShare += FailureWeight * ((isFailure ? 1.0 : 0.0) - record.failureShare);
     if (end != AttemptEnd::NotSent) {
-        record.failuresInRow = 0;
+        record.consecutiveConnectFailures = 0;
         return;
     }
-    const std::uint32_t doublings = std::min<std::uint32_t>(record.failuresInRow, 4);
-    record.avoidUntil = now + std::min<base::Duration>(FirstAvoidance * (1U << doublings), MaxAvoidance);
-    ++record.failuresInRow;
+    const std::uint32_t doublings = std::min<std::uint32_t>(record.consecutiveConnectFailures, 4);
+    record.backoffUntil = now + std::min<base::Duration>(InitialBackoff * (1U << doublings), MaxBackoff);
+    ++record.consecutiveConnectFailures;
 }
 
-void UpstreamBook::sampled(UpstreamRecord &record, const LoadSample &sample, base::TimePoint now)
+void UpstreamTracker::onLoadSample(UpstreamRecord &record, const LoadSample &sample, base::TimePoint now)
 {
     const std::uint32_t total = sample.running + sample.waiting;
-    record.othersLoad = total > record.inflight ? total - record.inflight : 0;
+    record.otherRoutersLoad = total > record.inflight ? total - record.inflight : 0;
     record.waiting = sample.waiting;
     record.sampledAt = now;
 }
 
-void UpstreamBook::placed(std::uint64_t promptState, const UpstreamRecord &record, base::TimePoint now)
+void UpstreamTracker::onPromptSent(std::uint64_t cacheKey, const UpstreamRecord &record, base::TimePoint now)
 {
     if (m_newPlacements.size() < MaxReportRows) {
-        m_newPlacements.push_back({promptState, record.key});
+        m_newPlacements.push_back({cacheKey, record.idHash});
     }
-    m_placements.placed(promptState, record.key, now);
+    m_placements.onPromptSent(cacheKey, record.idHash, now);
 }
 
-const PromptPlacements &UpstreamBook::placements() const
+const PrefixPlacements &UpstreamTracker::placements() const
 {
     return m_placements;
 }
 
-const UpstreamRecord *UpstreamBook::holderOf(std::uint64_t promptState, const UpstreamRecord &taker, base::TimePoint now) const
+const UpstreamRecord *UpstreamTracker::findKvSource(std::uint64_t cacheKey, const UpstreamRecord &destination, base::TimePoint now) const
 {
-    const auto isUsable = [this, &taker, now](std::uint64_t key) {
-        const auto it = m_byKey.find(key);
-        return it != m_byKey.end() && it->second != &taker && it->second->upstream.pool == taker.upstream.pool
-               && it->second->upstream.phase == UpstreamPhase::Ready && now >= it->second->avoidUntil;
+    const auto isUsable = [this, &destination, now](std::uint64_t key) {
+        const auto it = m_byIdHash.find(key);
+        return it != m_byIdHash.end() && it->second != &destination && it->second->upstream.pool == destination.upstream.pool
+               && it->second->upstream.phase == UpstreamPhase::Ready && now >= it->second->backoffUntil;
     };
-    const auto key = m_placements.holder(promptState, now, isUsable);
-    return key ? m_byKey.at(*key) : nullptr;
+    const auto key = m_placements.holder(cacheKey, now, isUsable);
+    return key ? m_byIdHash.at(*key) : nullptr;
 }
 
-bool UpstreamBook::heardOf(const LoadReport &report, base::TimePoint now)
+bool UpstreamTracker::applyReport(const LoadReport &report, base::TimePoint now)
 {
     if (!m_peers.apply(report, now)) {
         return false;
     }
-    for (const PromptPlacement &placement : report.placements) {
-        m_placements.placed(placement.promptState, placement.upstream, now);
+    for (const PrefixPlacement &placement : report.placements) {
+        m_placements.onPromptSent(placement.cacheKey, placement.upstream, now);
     }
     return true;
 }
 
-std::size_t UpstreamBook::forgetSilentPeers(base::TimePoint now)
+std::size_t UpstreamTracker::removeSilentPeers(base::TimePoint now)
 {
     return m_peers.expire(now);
 }
 
-std::size_t UpstreamBook::peers() const
+std::size_t UpstreamTracker::peers() const
 {
     return m_peers.peers();
 }
 
-void UpstreamBook::changed(UpstreamRecord &record)
+void UpstreamTracker::markUnreported(UpstreamRecord &record)
 {
     if (record.isReported) {
         record.isReported = false;
@@ -207,14 +207,14 @@
     }
 }
 
-LoadReport UpstreamBook::takeChanges()
+LoadReport UpstreamTracker::takeChanges()
 {
     LoadReport report;
-    while (!m_unreported.empty() && report.work.size() < MaxReportRows) {
+    while (!m_unreported.empty() && report.loads.size() < MaxReportRows) {
         UpstreamRecord &record = *m_unreported.back();
         m_unreported.pop_back();
         record.isReported = true;
-        report.work.push_back(workOf(record));
+        report.loads.push_back(ownLoad(record));
     }
     // A prompt that was sent twice since is named once.
     report.placements = std::exchange(m_newPlacements, {});
@@ -223,35 +223,35 @@
     return report;
 }
 
-LoadReport UpstreamBook::wholeReport() const
+LoadReport UpstreamTracker::fullReport() const
 {
     LoadReport report;
-    report.isWhole = true;
+    report.isFullReport = true;
     for (const auto &[id, record] : m_records) {
-        if (record.inflight > 0 && report.work.size() < MaxReportRows) {
-            report.work.push_back(workOf(record));
+        if (record.inflight > 0 && report.loads.size() < MaxReportRows) {
+            report.loads.push_back(ownLoad(record));
         }
     }
     return report;
 }
 
-TotalWork UpstreamBook::workAt(const UpstreamRecord &record, std::uint32_t routers, base::TimePoint now) const
+TotalLoad UpstreamTracker::totalLoad(const UpstreamRecord &record, std::uint32_t routers, base::TimePoint now) const
 {
-    TotalWork work;
+    TotalLoad load;
     const std::size_t others = routers > 0 ? routers - 1 : 0;
     if (m_peers.peers() * 2 >= others) {
-        const UpstreamWork peers = m_peers.at(record.key);
-        work.requests = static_cast<double>(record.inflight) + peers.requests;
-        work.unreadTokens = static_cast<double>(record.unreadTokens) + peers.unreadTokens;
-        work.memoryTokens = static_cast<double>(record.inflightTokens) + peers.memoryTokens;
-        return work;
+        const PeerUpstreamLoad peers = m_peers.at(record.idHash);
+        load.requests = static_cast<double>(record.inflight) + peers.requests;
+        load.prefillTokens = static_cast<double>(record.prefillTokens) + peers.prefillTokens;
+        load.memoryTokens = static_cast<double>(record.inflightTokens) + peers.memoryTokens;
+        return load;
     }
-    work.requests = record.load(now);
+    load.requests = record.load(now);
     // Each router sees its own part of the queued work; the parts are about equal.
-    work.unreadTokens = static_cast<double>(record.unreadTokens) * routers;
+    load.prefillTokens = static_cast<double>(record.prefillTokens) * routers;
     // Others' requests are taken to be as large as this router's own.
-    work.memoryTokens = record.inflight == 0 ? 0 : work.requests * static_cast<double>(record.inflightTokens) / record.inflight;
-    return work;
+    load.memoryTokens = record.inflight == 0 ? 0 : load.requests * static_cast<double>(record.inflightTokens) / record.inflight;
+    return load;
 }
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/waitqueue.cpp
+++ b/carawaylatch/proxy/waitqueue.cpp
@@ -11,36 +11,36 @@
 namespace
 {
 
-constexpr double LeastRate = 0.2; // ends a second; below it nothing can be said of a wait
+constexpr double MinRate = 0.2; // ends a second; below it nothing can be said of a wait
 
 } // namespace
 
-void EndRate::note(base::TimePoint now)
+void CompletionRate::record(base::TimePoint now)
 {
     m_weight = perSecond(now) * TimeConstantSeconds + 1;
     m_updatedAt = now;
 }
 
-double EndRate::perSecond(base::TimePoint now) const
+double CompletionRate::perSecond(base::TimePoint now) const
 {
     return m_weight * std::exp(-base::toSeconds(now - m_updatedAt) / TimeConstantSeconds) / TimeConstantSeconds;
 }
 
-base::Duration ReturnSchedule::next(base::TimePoint now, std::optional<base::Duration> expectedWait, double endsPerSecond)
+base::Duration RetrySchedule::next(base::TimePoint now, std::optional<base::Duration> expectedWait, double completionsPerSecond)
 {
-    base::TimePoint at = now + std::max(expectedWait.value_or(LeastPause), LeastPause);
-    if (endsPerSecond >= LeastRate) {
-        at = std::max(at, m_last + base::fromSeconds(1 / endsPerSecond));
+    base::TimePoint at = now + std::max(expectedWait.value_or(MinDelay), MinDelay);
+    if (completionsPerSecond >= MinRate) {
+        at = std::max(at, m_last + base::fromSeconds(1 / completionsPerSecond));
     }
-    at = std::min(at, now + MostPause);
+    at = std::min(at, now + MaxDelay);
     m_last = at;
     return at - now;
 }
 
 std::optional<base::Duration> WaitQueue::expectedWait(std::uint32_t urgency, base::TimePoint now) const
 {
-    const double rate = m_ends.perSecond(now);
-    if (rate < LeastRate) {
+    const double rate = m_completionRate.perSecond(now);
+    if (rate < MinRate) {
         return std::nullopt;
     }
     const auto ahead = std::distance(m_waiting.begin(), m_waiting.lower_bound({urgency + 1, 0}));
@@ -74,14 +74,14 @@
     return m_waiting.size();
 }
 
-EndRate &WaitQueue::ends()
+CompletionRate &WaitQueue::completionRate()
 {
-    return m_ends;
+    return m_completionRate;
 }
 
-base::Duration WaitQueue::pauseOfRefused(std::uint32_t urgency, base::TimePoint now)
+base::Duration WaitQueue::retryDelay(std::uint32_t urgency, base::TimePoint now)
 {
-    return m_returns.next(now, expectedWait(urgency, now), m_ends.perSecond(now));
+    return m_retrySchedule.next(now, expectedWait(urgency, now), m_completionRate.perSecond(now));
 }
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/waitqueue.h
+++ b/carawaylatch/proxy/waitqueue.h
@@ -21,10 +21,10 @@
 class Exchange;
 
 // Rate at which things end, over about the last second.
-class EndRate
+class CompletionRate
 {
 public:
-    void note(base::TimePoint now);
+    void record(base::TimePoint now);
     // Ends a second; zero if none was noted for a while.
     [[nodiscard]] double perSecond(base::TimePoint now) const;
 
@@ -39,15 +39,15 @@
 // The load it answers: many callers refused within a moment, who would all come
 // back together and be refused again. Each is told a time of its own, one end of a
 // request after that of the caller before it.
-class ReturnSchedule
+class RetrySchedule
 {
 public:
-    static constexpr base::Duration LeastPause = base::milliseconds{400}; // where nothing better is known
-    static constexpr base::Duration MostPause = base::seconds{2}; // callers give up on much longer ones
+    static constexpr base::Duration MinDelay = base::milliseconds{400}; // where nothing better is known
+    static constexpr base::Duration MaxDelay = base::seconds{2}; // callers give up on much longer ones
 
     // Returns how long the next refused caller should stay away. `expectedWait` is how
-    // long room takes to appear, `endsPerSecond` the rate at which requests end; zero: unknown.
-    [[nodiscard]] base::Duration next(base::TimePoint now, std::optional<base::Duration> expectedWait, double endsPerSecond);
+    // long room takes to appear, `completionsPerSecond` the rate at which requests end; zero: unknown.
+    [[nodiscard]] base::Duration next(base::TimePoint now, std::optional<base::Duration> expectedWait, double completionsPerSecond);
 
 private:
     base::TimePoint m_last; // told to the caller before
@@ -65,15 +65,15 @@
     [[nodiscard]] std::shared_ptr<Exchange> front() const;
     [[nodiscard]] bool isEmpty() const;
     [[nodiscard]] std::size_t size() const;
-    [[nodiscard]] EndRate &ends();
+    [[nodiscard]] CompletionRate &completionRate();
     // How long a caller that is refused now should stay away.
-    [[nodiscard]] base::Duration pauseOfRefused(std::uint32_t urgency, base::TimePoint now);
+    [[nodiscard]] base::Duration retryDelay(std::uint32_t urgency, base::TimePoint now);
 
 private:
     std::map<Key, std::shared_ptr<Exchange>> m_waiting;
     std::uint64_t m_arrivals = 0;
-    EndRate m_ends;
-    ReturnSchedule m_returns;
+    CompletionRate m_completionRate;
+    RetrySchedule m_retrySchedule;
 };
 
 } // namespace carawaylatch::proxy
