--- a/carawaylatch/proxy/attemptrules.cpp
+++ b/carawaylatch/proxy/attemptrules.cpp
@@ -18,8 +18,8 @@
         return history.connectFailures < MaxConnectFailures;
     }
     // Upstreams that did not run the request don't count against the route's attempts.
-    const bool hasAttempt = history.sent - history.notExecuted < route.maxAttempts;
-    return hasAttempt && history.notExecuted <= MaxNotExecutedAttempts && history.hasBudget;
+    const bool hasAttemptLeft = history.sent - history.notExecuted < route.maxAttempts;
+    return hasAttemptLeft && history.notExecuted <= MaxNotExecutedAttempts && history.hasBudget;
 }
 
 // True if no attempt ran or will run.
--- a/carawaylatch/proxy/exchange.cpp
+++ b/carawaylatch/proxy/exchange.cpp
@@ -47,8 +47,8 @@
         return;
     }
     m_plane.budget(m_pool).noteRequest(m_plane.now());
-    const base::Duration kept = std::min(m_route->timeout, m_request.callerTimeout.value_or(m_route->timeout) + DeadlineGrace);
-    m_deadlineTimer = m_plane.timers().after(m_startedAt, kept, [weak = weak_from_this()](base::TimePoint) {
+    const base::Duration requestTimeout = std::min(m_route->timeout, m_request.callerTimeout.value_or(m_route->timeout) + DeadlineGrace);
+    m_deadlineTimer = m_plane.timers().after(m_startedAt, requestTimeout, [weak = weak_from_this()](base::TimePoint) {
         if (const auto self = weak.lock()) {
             self->onTimeout();
         }
@@ -133,8 +133,8 @@
 
 base::Duration Exchange::timeLeft(base::TimePoint now) const
 {
-    const base::Duration kept = std::min(m_route->timeout, m_request.callerTimeout.value_or(m_route->timeout));
-    return m_startedAt + kept - now;
+    const base::Duration requestTimeout = std::min(m_route->timeout, m_request.callerTimeout.value_or(m_route->timeout));
+    return m_startedAt + requestTimeout - now;
 }
 
 PlacementResult Exchange::selectUpstream() const
--- a/carawaylatch/proxy/peerload.cpp
+++ b/carawaylatch/proxy/peerload.cpp
@@ -17,10 +17,10 @@
     }
     Peer &peer = it->second;
     if (report.isFullReport) {
-        forget(peer);
+        removeLoad(peer);
     }
     peer.incarnation = report.incarnation;
-    peer.heardAt = now;
+    peer.lastReportAt = now;
     for (const PeerUpstreamLoad &load : report.loads) {
         set(peer, load);
     }
@@ -31,11 +31,11 @@
 {
     std::size_t forgotten = 0;
     for (auto it = m_peers.begin(); it != m_peers.end();) {
-        if (now - it->second.heardAt <= PeerTimeout) {
+        if (now - it->second.lastReportAt <= PeerTimeout) {
             ++it;
             continue;
         }
-        forget(it->second);
+        removeLoad(it->second);
         it = m_peers.erase(it);
         ++forgotten;
     }
@@ -62,18 +62,18 @@
     sum.prefillTokens += load.prefillTokens - former.prefillTokens;
     sum.memoryTokens += load.memoryTokens - former.memoryTokens;
     former = load;
-    const auto isNothing = [](const PeerUpstreamLoad &it) {
+    const auto isZero = [](const PeerUpstreamLoad &it) {
         return it.requests == 0 && it.prefillTokens == 0 && it.memoryTokens == 0;
     };
-    if (isNothing(sum)) {
+    if (isZero(sum)) {
         m_sums.erase(load.upstream);
     }
-    if (isNothing(former)) {
+    if (isZero(former)) {
         peer.loads.erase(load.upstream);
     }
 }
 
-void PeerLoad::forget(Peer &peer)
+void PeerLoad::removeLoad(Peer &peer)
 {
     std::vector<std::uint64_t> upstreams;
     for (const auto &[upstream, load] : peer.loads) {
--- a/carawaylatch/proxy/peerload.h
+++ b/carawaylatch/proxy/peerload.h
@@ -33,12 +33,12 @@
     struct Peer
     {
         std::uint64_t incarnation = 0;
-        base::TimePoint heardAt;
+        base::TimePoint lastReportAt;
         std::unordered_map<std::uint64_t, PeerUpstreamLoad> loads; // by upstream; only those with work
     };
 
     void set(Peer &peer, const PeerUpstreamLoad &load);
-    void forget(Peer &peer);
+    void removeLoad(Peer &peer);
 
     std::map<std::uint64_t, Peer> m_peers; // by sender
     std::unordered_map<std::uint64_t, PeerUpstreamLoad> m_sums; // of all peers' work; only upstreams with work
--- a/carawaylatch/proxy/placement.cpp
+++ b/carawaylatch/proxy/placement.cpp
@@ -120,7 +120,7 @@
         context.owner = rendezvousOwner(query, members);
     }
     PlacementResult result;
-    bool isAvoided = false; // the best so far is one to be avoided
+    bool isBestUnhealthy = false; // the best so far is one to be avoided
     for (UpstreamRecord *record : members) {
         if (!isUsable(context, *record) || !areWeightsAllowed(context, *record)) {
             continue;
@@ -130,16 +130,16 @@
             result.verdict = result.record == nullptr ? PlacementVerdict::Full : result.verdict;
             continue;
         }
-        const bool isToAvoid = query.now < record->backoffUntil || record->isSilent(query.now, tuning.prefillMillisecondsPerToken);
+        const bool isUnhealthy = query.now < record->backoffUntil || record->isSilent(query.now, tuning.prefillMillisecondsPerToken);
         const bool hasCachedPrefix = isPrefixCached(context, *record, tracker);
         const double cost = costOf(context, *record, load, hasCachedPrefix);
-        const bool isBetter = result.record == nullptr || (isAvoided && !isToAvoid) || (isAvoided == isToAvoid && cost < result.cost);
+        const bool isBetter = result.record == nullptr || (isBestUnhealthy && !isUnhealthy) || (isBestUnhealthy == isUnhealthy && cost < result.cost);
         if (isBetter) {
             result = PlacementResult{PlacementVerdict::Chosen, record, hasCachedPrefix, cost};
-            isAvoided = isToAvoid;
+            isBestUnhealthy = isUnhealthy;
         }
     }
-    if (isAvoided) {
+    if (isBestUnhealthy) {
         // All that have room failed a moment ago: the request waits for one to come back.
         return PlacementResult{PlacementVerdict::Full, nullptr, false, 0};
     }
--- a/carawaylatch/proxy/prefixplacements.cpp
+++ b/carawaylatch/proxy/prefixplacements.cpp
@@ -36,8 +36,8 @@
     return m_placements.contains(cacheKey);
 }
 
-std::optional<std::uint64_t> PrefixPlacements::holder(std::uint64_t cacheKey, base::TimePoint now,
-                                                      const std::function<bool(std::uint64_t upstream)> &isUsable) const
+std::optional<std::uint64_t> PrefixPlacements::findHolder(std::uint64_t cacheKey, base::TimePoint now,
+                                                          const std::function<bool(std::uint64_t upstream)> &isUsable) const
 {
     const auto it = m_placements.find(cacheKey);
     if (it == m_placements.end()) {
--- a/carawaylatch/proxy/prefixplacements.h
+++ b/carawaylatch/proxy/prefixplacements.h
@@ -35,8 +35,8 @@
     [[nodiscard]] bool contains(std::uint64_t cacheKey) const;
     // The upstream among those that pass `isUsable` which was sent the prompt last and
     // is likely to hold it now.
-    [[nodiscard]] std::optional<std::uint64_t> holder(std::uint64_t cacheKey, base::TimePoint now,
-                                                      const std::function<bool(std::uint64_t upstream)> &isUsable) const;
+    [[nodiscard]] std::optional<std::uint64_t> findHolder(std::uint64_t cacheKey, base::TimePoint now,
+                                                          const std::function<bool(std::uint64_t upstream)> &isUsable) const;
 
 private:
     struct Placement
--- a/carawaylatch/proxy/testing/decisionstest.cpp
+++ b/carawaylatch/proxy/testing/decisionstest.cpp
@@ -438,13 +438,13 @@
         PrefixPlacements placements;
         placements.onPromptSent(1, 7, Start);
         const base::TimePoint read = Start + PrefixPlacements::PrefillTime;
-        CPPUNIT_ASSERT_MESSAGE("still reading", !placements.holder(1, read - base::milliseconds{1}, any));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, *placements.holder(1, read, any));
-        CPPUNIT_ASSERT_MESSAGE("evicted", !placements.holder(1, Start + PrefixPlacements::RetentionTime, any));
+        CPPUNIT_ASSERT_MESSAGE("still reading", !placements.findHolder(1, read - base::milliseconds{1}, any));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, *placements.findHolder(1, read, any));
+        CPPUNIT_ASSERT_MESSAGE("evicted", !placements.findHolder(1, Start + PrefixPlacements::RetentionTime, any));
         CPPUNIT_ASSERT(placements.isLikelyCached(1, 7, Start) && !placements.isLikelyCached(1, 7, Start + PrefixPlacements::RetentionTime));
         placements.onPromptSent(1, 7, Start + base::seconds{1});
-        CPPUNIT_ASSERT_MESSAGE("used again", placements.holder(1, Start + PrefixPlacements::RetentionTime, any).has_value());
-        CPPUNIT_ASSERT(!placements.holder(2, read, any));
+        CPPUNIT_ASSERT_MESSAGE("used again", placements.findHolder(1, Start + PrefixPlacements::RetentionTime, any).has_value());
+        CPPUNIT_ASSERT(!placements.findHolder(2, read, any));
     }
 
     void testLatestUsableHolder()
@@ -454,8 +454,8 @@
             placements.onPromptSent(1, upstream, Start + base::milliseconds{static_cast<int>(upstream)});
         }
         const base::TimePoint later = Start + base::seconds{1};
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{PrefixPlacements::MaxUpstreamsPerKey + 1}, *placements.holder(1, later, any));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, *placements.holder(1, later, [](std::uint64_t upstream) {
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{PrefixPlacements::MaxUpstreamsPerKey + 1}, *placements.findHolder(1, later, any));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, *placements.findHolder(1, later, [](std::uint64_t upstream) {
             return upstream == 3;
         }));
         CPPUNIT_ASSERT_MESSAGE("the first gave way", !placements.isLikelyCached(1, 1, later) && placements.isLikelyCached(1, 2, later));
--- a/carawaylatch/proxy/testing/loadreporttest.cpp
+++ b/carawaylatch/proxy/testing/loadreporttest.cpp
@@ -108,7 +108,7 @@
         struct Row
         {
             std::uint64_t incarnation = 0;
-            base::TimePoint heardAt;
+            base::TimePoint lastReportAt;
             std::map<std::uint64_t, PeerUpstreamLoad> loads;
         };
         base::Random random(carawaylatch::testing::seed());
@@ -119,7 +119,7 @@
             now += base::milliseconds{static_cast<int>(random.below(120))};
             load.expire(now);
             std::erase_if(model, [now](const auto &it) {
-                return now - it.second.heardAt > PeerLoad::PeerTimeout;
+                return now - it.second.lastReportAt > PeerLoad::PeerTimeout;
             });
             const LoadReport report = randomReport(random);
             const auto known = model.find(report.sender);
@@ -128,7 +128,7 @@
             if (isUsable) {
                 Row &row = model[report.sender];
                 row.incarnation = report.incarnation;
-                row.heardAt = now;
+                row.lastReportAt = now;
                 if (report.isFullReport) {
                     row.loads.clear();
                 }
--- a/carawaylatch/proxy/testing/peerexchangetest.cpp
+++ b/carawaylatch/proxy/testing/peerexchangetest.cpp
@@ -101,7 +101,7 @@
         }
         return false;
     }
-    bool hasHeard(std::size_t at, std::uint64_t upstream)
+    bool hasReceived(std::size_t at, std::uint64_t upstream)
     {
         for (const LoadReport &report : m_sources[at]->received) {
             for (const PeerUpstreamLoad &load : report.loads) {
@@ -166,12 +166,12 @@
         m_sources[0]->full.loads = {{41, 1, 2, 3}};
         connectAll();
         CPPUNIT_ASSERT_MESSAGE("the whole comes first", tickUntil([this] {
-                                   return hasHeard(1, 41) && hasHeard(2, 41);
+                                   return hasReceived(1, 41) && hasReceived(2, 41);
                                }));
         CPPUNIT_ASSERT(m_sources[1]->received.front().isFullReport);
         m_sources[0]->next.loads = {{42, 1, 2, 3}};
         CPPUNIT_ASSERT(tickUntil([this] {
-            return hasHeard(1, 42) && hasHeard(2, 42);
+            return hasReceived(1, 42) && hasReceived(2, 42);
         }));
         CPPUNIT_ASSERT(!m_sources[1]->received.back().isFullReport);
         const std::size_t heard = m_sources[1]->received.size();
@@ -187,20 +187,20 @@
         m_sources[0]->full.loads = {{41, 1, 2, 3}};
         connectAll();
         CPPUNIT_ASSERT(tickUntil([this] {
-            return hasHeard(1, 41);
+            return hasReceived(1, 41);
         }));
         m_exchanges[1].reset();
         m_sources[1]->received.clear();
         CPPUNIT_ASSERT(!tickUntil(
             [this] {
-                return hasHeard(1, 41);
+                return hasReceived(1, 41);
             },
             std::chrono::milliseconds{100}));
         m_exchanges[1] = std::make_unique<PeerExchange>(m_loop, m_clock, m_routers[1], "again", *m_sources[1], *m_log);
         CPPUNIT_ASSERT(m_exchanges[1]->listen().has_value());
         CPPUNIT_ASSERT(tickUntil(
             [this] {
-                return hasHeard(1, 41);
+                return hasReceived(1, 41);
             },
             std::chrono::milliseconds{5000}));
     }
@@ -219,7 +219,7 @@
         for (std::uint64_t upstream = 100; std::chrono::steady_clock::now() < end; ++upstream) {
             m_sources[0]->next.loads = {{upstream, 1, 2, 3}};
             CPPUNIT_ASSERT(tickUntil([this, upstream] {
-                return hasHeard(1, upstream);
+                return hasReceived(1, upstream);
             }));
         }
     }
@@ -245,7 +245,7 @@
         m_sources[1]->full.loads = {{7, 1, 1, 1}};
         CPPUNIT_ASSERT_MESSAGE("sound peers are heard afterwards", tickUntil(
                                                                        [this] {
-                                                                           return hasHeard(0, 7);
+                                                                           return hasReceived(0, 7);
                                                                        },
                                                                        std::chrono::milliseconds{5000}));
     }
--- a/carawaylatch/proxy/trafficplane.cpp
+++ b/carawaylatch/proxy/trafficplane.cpp
@@ -249,9 +249,9 @@
 void TrafficPlane::closeIdleConnections(const std::function<bool(const base::UpstreamId &)> &isChosen)
 {
     std::vector<std::shared_ptr<UpstreamConnection>> chosen;
-    for (const auto &[upstream, kept] : m_idleConnections) {
+    for (const auto &[upstream, idle] : m_idleConnections) {
         if (isChosen(upstream)) {
-            chosen.insert(chosen.end(), kept.begin(), kept.end());
+            chosen.insert(chosen.end(), idle.begin(), idle.end());
         }
     }
     for (const auto &connection : chosen) {
@@ -533,12 +533,12 @@
     if (it == m_idleConnections.end()) {
         return nullptr;
     }
-    auto &kept = it->second;
-    while (!kept.empty()) {
-        auto connection = std::move(kept.back());
-        kept.pop_back();
-        const bool isSameLife = connection->startTimeMs() == upstream.startTimeMs;
-        if (isSameLife && (isRepeatable || now() < connection->reusableUntil())) {
+    auto &idle = it->second;
+    while (!idle.empty()) {
+        auto connection = std::move(idle.back());
+        idle.pop_back();
+        const bool isSameProcess = connection->startTimeMs() == upstream.startTimeMs;
+        if (isSameProcess && (isRepeatable || now() < connection->reusableUntil())) {
             return connection;
         }
         connection->close();
@@ -548,11 +548,11 @@
 
 void TrafficPlane::addIdleConnection(std::shared_ptr<UpstreamConnection> connection)
 {
-    auto &kept = m_idleConnections[connection->upstream()];
-    kept.push_back(std::move(connection));
-    if (kept.size() > maxIdleConnections(kept.back()->upstream())) {
-        const auto oldest = kept.front();
-        kept.pop_front();
+    auto &idle = m_idleConnections[connection->upstream()];
+    idle.push_back(std::move(connection));
+    if (idle.size() > maxIdleConnections(idle.back()->upstream())) {
+        const auto oldest = idle.front();
+        idle.pop_front();
         oldest->close();
     }
 }
@@ -575,8 +575,8 @@
     if (it == m_idleConnections.end()) {
         return;
     }
-    std::erase_if(it->second, [&connection](const auto &kept) {
-        return kept.get() == &connection;
+    std::erase_if(it->second, [&connection](const auto &idle) {
+        return idle.get() == &connection;
     });
     if (it->second.empty()) {
         m_idleConnections.erase(it);
--- a/carawaylatch/proxy/upstreamconnection.cpp
+++ b/carawaylatch/proxy/upstreamconnection.cpp
@@ -245,14 +245,14 @@
 
 void UpstreamConnection::finishResponse()
 {
-    const bool isKept = m_parser->keepsAlive() && !m_isWriting && m_input.empty() && m_mismatchedResponses == 0;
+    const bool isReusable = m_parser->keepsAlive() && !m_isWriting && m_input.empty() && m_mismatchedResponses == 0;
     const auto it = listener();
     m_parser.reset();
     m_listener.reset();
     m_isReused = true;
-    const base::Duration kept = m_keepAlive > base::Duration{} ? base::fromSeconds(base::toSeconds(m_keepAlive) * KeepAliveReuseShare) : DefaultKeepAlive;
-    m_reusableUntil = m_plane.now() + kept;
-    if (isKept) {
+    const base::Duration reuseTime = m_keepAlive > base::Duration{} ? base::fromSeconds(base::toSeconds(m_keepAlive) * KeepAliveReuseShare) : DefaultKeepAlive;
+    m_reusableUntil = m_plane.now() + reuseTime;
+    if (isReusable) {
         m_isPaused = false;
         m_plane.addIdleConnection(shared_from_this());
     } else {
--- a/carawaylatch/proxy/upstreamtracker.cpp
+++ b/carawaylatch/proxy/upstreamtracker.cpp
@@ -25,9 +25,9 @@
 
 PeerUpstreamLoad ownLoad(const UpstreamRecord &record)
 {
-    constexpr std::uint64_t Most = std::numeric_limits<std::uint32_t>::max();
-    return {record.idHash, record.inflight, static_cast<std::uint32_t>(std::min(record.prefillTokens, Most)),
-            static_cast<std::uint32_t>(std::min(record.inflightTokens, Most))};
+    constexpr std::uint64_t MaxFieldValue = std::numeric_limits<std::uint32_t>::max();
+    return {record.idHash, record.inflight, static_cast<std::uint32_t>(std::min(record.prefillTokens, MaxFieldValue)),
+            static_cast<std::uint32_t>(std::min(record.inflightTokens, MaxFieldValue))};
 }
 
 } // namespace
@@ -35,15 +35,15 @@
 double UpstreamRecord::load(base::TimePoint now) const
 {
     const base::Duration age = now - sampledAt;
-    const double fading = age >= MaxSampleAge ? 0.0 : 1.0 - base::toSeconds(age) / base::toSeconds(MaxSampleAge);
-    return inflight + otherRoutersLoad * fading;
+    const double decay = age >= MaxSampleAge ? 0.0 : 1.0 - base::toSeconds(age) / base::toSeconds(MaxSampleAge);
+    return inflight + otherRoutersLoad * decay;
 }
 
 bool UpstreamRecord::isBackedUp(base::TimePoint now) const
 {
-    constexpr std::uint32_t MostWaiting = 1; // one that waits for the next step is no queue
+    constexpr std::uint32_t MaxWaiting = 1; // one that waits for the next step is no queue
     constexpr base::Duration MaxBackedUpAge = base::milliseconds{300}; // about the time in which an engine ends a request
-    return waiting > MostWaiting && now - sampledAt < MaxBackedUpAge;
+    return waiting > MaxWaiting && now - sampledAt < MaxBackedUpAge;
 }
 
 bool UpstreamRecord::isSilent(base::TimePoint now, double prefillMillisecondsPerToken) const
@@ -51,9 +51,9 @@
     // Above a load of weights, which holds an engine's runs up for about 600 ms.
     constexpr base::Duration MaxSilence = base::milliseconds{800};
     // Prompts of other routers are read before and between this one's.
-    constexpr double ReadingMargin = 3;
-    const base::Duration reading = base::fromSeconds(static_cast<double>(prefillTokens) * prefillMillisecondsPerToken * ReadingMargin / 1000);
-    return inflight > 0 && now - silentSince > MaxSilence + reading;
+    constexpr double PrefillMargin = 3;
+    const base::Duration prefillTime = base::fromSeconds(static_cast<double>(prefillTokens) * prefillMillisecondsPerToken * PrefillMargin / 1000);
+    return inflight > 0 && now - silentSince > MaxSilence + prefillTime;
 }
 
 void UpstreamTracker::adopt(const FleetView &view, base::TimePoint now)
@@ -174,7 +174,7 @@
         return it != m_byIdHash.end() && it->second != &destination && it->second->upstream.pool == destination.upstream.pool
                && it->second->upstream.phase == UpstreamPhase::Ready && now >= it->second->backoffUntil;
     };
-    const auto key = m_placements.holder(cacheKey, now, isUsable);
+    const auto key = m_placements.findHolder(cacheKey, now, isUsable);
     return key ? m_byIdHash.at(*key) : nullptr;
 }
 
