--- a/carawaylatch/proxy/callerconnection.cpp
+++ b/carawaylatch/proxy/callerconnection.cpp
@@ -1,5 +1,5 @@
-// State of a caller's connection: idle, reading a request, waiting for its
-// exchange, answering. finishRequest() closes the circle.
+// States of a caller's connection: idle, reading a request, waiting for its
+// exchange, writing the response. finishRequest() returns it to idle.
 #include "carawaylatch/proxy/callerconnection.h"
 
 #include <boost/asio/buffer.hpp>
@@ -17,7 +17,7 @@
 namespace
 {
 
-// A caller that acknowledges nothing for so long is gone; streams reach it every few milliseconds.
+// A caller that acknowledges nothing for this long is disconnected; streams send data every few milliseconds.
 constexpr base::Duration CallerAckTimeout = base::seconds{5};
 
 } // namespace
@@ -171,7 +171,7 @@
         appendField(out, "Transfer-Encoding", "chunked");
     }
     m_isReplying = true;
-    m_queued.append(out).append("\r\n"); // leaves with the first piece
+    m_queued.append(out).append("\r\n"); // sent together with the body of `head`, if any
     if (head.body.empty()) {
         flush();
     } else {
@@ -219,7 +219,7 @@
     }
     armTimer();
     if (!m_input.empty()) {
-        // Not from within the call that finished: the stack would grow with pipelined requests.
+        // Posted, because a direct call would deepen the stack with each pipelined request.
         boost::asio::post(m_socket.get_executor(), [self = shared_from_this()] {
             self->consumeInput();
             self->read();
@@ -304,7 +304,7 @@
     if (m_isClosed) {
         return;
     }
-    // A reset can't be taken for the end of a body that has no length.
+    // Zero linger sends a reset, which can't be taken for the end of a body without a length.
     boost::system::error_code ignored;
     m_socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
     close();
--- a/carawaylatch/proxy/callerconnection.h
+++ b/carawaylatch/proxy/callerconnection.h
@@ -1,9 +1,9 @@
-// One connection of a caller: reads requests, writes answers.
+// Server side of one caller's HTTP/1.1 connection: reads requests and writes replies.
 //
-// Reading never stops while a request is under way, so that a caller that leaves
-// is noticed at once; bytes of a following request are kept up to a bound.
-// Requests of one connection are answered one after the other. All calls on the
-// traffic thread.
+// The connection keeps reading while a request is in progress, so that a disconnect
+// is detected at once; pipelined bytes are buffered up to MaxPipelinedBytes.
+// Requests of one connection are processed one at a time. All calls on the traffic
+// thread.
 #pragma once
 
 #include <array>
@@ -24,12 +24,12 @@
 class Exchange;
 class TrafficPlane;
 
-// An answer of the router itself, or a complete one of an upstream.
+// A complete response, from the router itself or from an upstream.
 struct Reply
 {
     unsigned status = 200;
     std::string reason;
-    HttpFields fields; // without framing
+    HttpFields fields; // without framing fields
     std::string body;
 };
 
@@ -39,20 +39,20 @@
     CallerConnection(TrafficPlane &plane, Tcp::socket socket);
 
     void start();
-    // Writes a whole answer and goes on with the next request.
+    // Writes a complete response and continues with the next request.
     void reply(const Reply &reply);
-    // Writes the head of an answer whose body follows in pieces.
+    // Writes the head of a response whose body is streamed with sendBodyBytes().
     void beginReply(const Reply &head);
     void sendBodyBytes(std::string_view bytes);
     void endReply();
-    // Closes so that an answer under way can't look complete.
+    // Resets the connection, so that a partial response can't be taken for a complete one.
     void abort();
-    // Closes at once and cancels the request under way.
+    // Closes at once and cancels the request in progress.
     void cancel();
-    // Closes if no request is under way; otherwise after the present one.
+    // Closes now if no request is in progress, otherwise after the current one.
     void closeWhenIdle();
     [[nodiscard]] bool isIdle() const;
-    // Bytes that the caller has not taken yet.
+    // Bytes not yet written to the socket.
     [[nodiscard]] std::size_t queuedBytes() const;
 
 private:
@@ -71,25 +71,25 @@
     void close();
     [[nodiscard]] std::string headText(const Reply &reply) const;
 
-    // A caller may send this much of following requests ahead.
+    // Pipelined input that is buffered before reading stops.
     static constexpr std::size_t MaxPipelinedBytes = 65'536;
 
     TrafficPlane &m_plane;
     Tcp::socket m_socket;
-    std::array<char, 8192> m_chunk{}; // one read
+    std::array<char, 8192> m_chunk{}; // read buffer
     std::string m_input; // read and not yet parsed
-    std::optional<HttpRequestParser> m_parser; // nothing between requests
-    std::shared_ptr<Exchange> m_exchange; // the request under way
-    std::string m_writing; // handed to the socket
-    std::string m_queued; // follows m_writing
+    std::optional<HttpRequestParser> m_parser; // empty between requests
+    std::shared_ptr<Exchange> m_exchange; // the request in progress
+    std::string m_writing; // buffer of the pending write
+    std::string m_queued; // to be written after m_writing
     base::TimerService::Subscription m_timer;
-    base::TimePoint m_requestStartedAt; // first byte of the present request
+    base::TimePoint m_requestStartedAt; // first byte of the current request
     bool m_isReading = false;
     bool m_isWriting = false;
     bool m_isClosed = false;
-    bool m_closesAfterReply = false; // asked for by the caller or by a stop
-    bool m_isChunked = false; // the body under way
-    bool m_isReplying = false; // a head was written whose body is not complete
+    bool m_closesAfterReply = false; // requested by the caller or by shutdown
+    bool m_isChunked = false; // the current response uses chunked transfer coding
+    bool m_isReplying = false; // a streamed response has begun and is not complete
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/dialect.h
+++ b/carawaylatch/proxy/dialect.h
@@ -1,8 +1,8 @@
-// How callers and upstreams spell what the router decides on.
+// Maps HTTP fields of callers and upstreams to the values that routing depends on.
 //
 // The traffic plane works on CallerRequest, AttemptPlan and UpstreamResponse. A
-// Dialect translates them from and to HTTP fields; nothing else in the plane
-// knows the name of such a field.
+// Dialect translates them from and to HTTP fields; no other part of the plane
+// depends on the names of these fields.
 #pragma once
 
 #include <cstdint>
@@ -18,42 +18,42 @@
 namespace carawaylatch::proxy
 {
 
-// One part of a prompt; requests with equal first parts share prompt state.
+// One segment of a prompt. Requests whose leading parts are equal can share KV cache.
 struct PromptPart
 {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
 };
 
-// A caller's request as decisions see it.
+// The properties of a caller's request that routing depends on.
 struct CallerRequest
 {
     std::string id; // empty if the caller sent none
     std::string host;
     std::string key; // empty if the caller sent none
-    std::optional<base::Duration> callerTimeout; // how long the caller waits
-    std::optional<std::uint64_t> lastEventId; // a stream that goes on after this event
+    std::optional<base::Duration> callerTimeout; // how long the caller waits for the response
+    std::optional<std::uint64_t> lastEventId; // resumes a stream after this event
     base::ModelId model; // empty for plain services
     std::uint32_t promptTokens = 0;
     std::uint32_t maxOutputTokens = 0;
-    std::vector<PromptPart> parts; // the last one belongs to this request alone
+    std::vector<PromptPart> parts; // the last one is specific to this request
 };
 
-// What is decided about one attempt.
+// The router's decisions about one attempt.
 struct AttemptPlan
 {
     base::UpstreamId upstream;
-    base::Duration timeLeft{}; // that the caller still waits
+    base::Duration timeLeft{}; // until the request's deadline
     base::CustomerId customer; // empty on public routes
     std::uint32_t urgency = 0; // zero is the most urgent
     std::string cacheNamespace; // empty for plain services
-    base::WeightsVersion weights; // that the upstream must have; zero: any
-    std::optional<std::uint64_t> lastEventId; // the stream goes on after this event
-    std::optional<base::Endpoint> fetchFrom; // source of prompt state worth fetching
-    std::optional<base::Endpoint> saveTo; // store that keeps the shared prompt state
+    base::WeightsVersion weights; // version that the upstream must have loaded; zero: any
+    std::optional<std::uint64_t> lastEventId; // resumes the stream after this event
+    std::optional<base::Endpoint> fetchFrom; // where to fetch the KV cache of the shared prefix
+    std::optional<base::Endpoint> saveTo; // cache store to which to save it
 };
 
-// Load as an upstream tells it with an answer.
+// Load that an upstream reports in a response.
 struct LoadSample
 {
     std::uint32_t running = 0;
@@ -61,16 +61,16 @@
     std::uint32_t slots = 0;
 };
 
-// An upstream's response head as decisions see it.
+// The properties of an upstream's response head that routing depends on.
 struct UpstreamResponse
 {
     std::string requestId; // empty if not echoed
-    bool isSigned = false; // the upstream vouches for status and body
-    bool isNotExecuted = false; // the request did not run and never will
-    bool isEncoded = false; // the body is not the upstream's own bytes
+    bool isSigned = false; // the response carries the upstream's signature
+    bool isNotExecuted = false; // the upstream guarantees that the request did not and will not run
+    bool isEncoded = false; // a content coding was applied to the body
     std::optional<LoadSample> load;
     std::optional<base::WeightsVersion> weights;
-    std::optional<base::Duration> keepAlive; // idle time after which it closes the connection
+    std::optional<base::Duration> keepAlive; // idle time after which the upstream closes the connection
 };
 
 class Dialect
@@ -79,12 +79,12 @@
     virtual ~Dialect() = default;
 
     [[nodiscard]] virtual CallerRequest parseRequest(const HttpRequestHead &head) const = 0;
-    // Returns the head to send, ready for the wire, without Content-Length.
+    // Returns the serialized request head without Content-Length and without the final empty line.
     [[nodiscard]] virtual std::string formatAttemptHead(const HttpRequestHead &head, const AttemptPlan &plan) const = 0;
     [[nodiscard]] virtual UpstreamResponse parseResponse(const HttpResponseHead &head) const = 0;
-    // Name of the field with a request's id, for answers of the router itself.
+    // Name of the field that carries the request id, for responses of the router itself.
     [[nodiscard]] virtual std::string_view requestIdField() const = 0;
-    // Path on which readiness is asked for.
+    // Path of the readiness check.
     [[nodiscard]] virtual std::string_view readinessPath() const = 0;
 };
 
--- a/carawaylatch/proxy/eventscanner.cpp
+++ b/carawaylatch/proxy/eventscanner.cpp
@@ -1,5 +1,5 @@
-// An event ends with an empty line. Its id is the value of its "id" field, a
-// whole number that grows by one with each event.
+// An event ends with an empty line. Its id is the value of its "id" field, an
+// integer that increases by one with each event.
 #include "carawaylatch/proxy/eventscanner.h"
 
 #include <charconv>
@@ -48,7 +48,7 @@
 {
     const auto id = eventId(event);
     if (!id) {
-        return true; // a comment or an event without an id passes as it is
+        return true; // comments and events without an id are forwarded unchanged
     }
     if (m_lastEventId && *id <= *m_lastEventId) {
         return false;
--- a/carawaylatch/proxy/eventscanner.h
+++ b/carawaylatch/proxy/eventscanner.h
@@ -1,8 +1,8 @@
-// Splits a stream of server-sent events into whole events.
+// Splits a stream of server-sent events into complete events.
 //
-// A stream that may go on at another upstream is forwarded in whole events only:
-// what an upstream sent of an event before it broke off is dropped, and the next
-// upstream sends that event again. Events are passed on byte for byte.
+// A resumable stream is forwarded in complete events only: when an upstream fails
+// inside an event, the partial event is dropped and the next upstream sends it
+// again. Events are forwarded byte for byte.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +16,27 @@
 class EventScanner
 {
 public:
-    // `lastEventId` is that of the last event which the caller already holds.
+    // `lastEventId` is the id of the last event that the caller has received.
     explicit EventScanner(std::optional<std::uint64_t> lastEventId = std::nullopt);
 
-    // Takes bytes of the stream and returns the events that they complete, less
-    // those that the caller already holds.
+    // Takes bytes of the stream and returns the events that they complete, without
+    // those that the caller has already received.
     [[nodiscard]] std::string feed(std::string_view bytes);
-    // Drops the incomplete event; the stream goes on from another upstream.
+    // Drops the incomplete event; the stream continues from another upstream.
     void restart();
-    // Id of the last whole event, or nothing before the first.
+    // Id of the last complete event, or nothing before the first.
     [[nodiscard]] std::optional<std::uint64_t> lastEventId() const;
-    // True if no part of an event is held back.
+    // True if no partial event is buffered.
     [[nodiscard]] bool isAtBoundary() const;
-    // True if an id was skipped; the stream can't be completed any more.
+    // True if an event id was skipped; the stream can no longer be completed.
     [[nodiscard]] bool hasGap() const;
 
 private:
     [[nodiscard]] bool isNew(std::string_view event);
 
-    std::string m_partial; // bytes of an event whose end has not arrived
+    std::string m_partial; // bytes of an incomplete event
     std::optional<std::uint64_t> m_lastEventId;
-    bool m_isResumed = false; // the next event follows a break
+    bool m_isResumed = false; // the next event is the first one after a resume
     bool m_hasGap = false;
 };
 
--- a/carawaylatch/proxy/httpmessage.cpp
+++ b/carawaylatch/proxy/httpmessage.cpp
@@ -1,4 +1,4 @@
-// Field rules of HTTP/1.1 (RFC 9110 and RFC 9112) that a forwarding process needs.
+// Field rules of HTTP/1.1 (RFC 9110 and RFC 9112) that apply to a proxy.
 #include "carawaylatch/proxy/httpmessage.h"
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Fields of one connection, and those of framing, which each hop sets itself.
+// Hop-by-hop fields and framing fields, which each hop sets itself.
 constexpr std::array<std::string_view, 10> HopByHopFields{
     "connection", "keep-alive",        "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
     "trailer",    "transfer-encoding", "upgrade",          "content-length"};
@@ -22,7 +22,7 @@
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
 
-// True if a Connection field lists the name as one of its options.
+// True if a Connection field lists the name as an option.
 bool isNamedByConnection(const HttpFields &fields, std::string_view name)
 {
     for (const HttpField &field : fields) {
--- a/carawaylatch/proxy/httpmessage.h
+++ b/carawaylatch/proxy/httpmessage.h
@@ -1,7 +1,7 @@
-// HTTP/1.1 heads as values, and the rules for forwarding their fields.
+// HTTP/1.1 message heads, and the rules for forwarding their fields.
 //
-// Fields keep their order and spelling, so that what a peer sent is passed on
-// unchanged. Fields that concern one connection alone are never forwarded.
+// Fields keep their order and spelling, so that they are forwarded as received.
+// Hop-by-hop fields are never forwarded.
 #pragma once
 
 #include <string>
@@ -38,20 +38,20 @@
 // Compares ASCII text without regard to case.
 [[nodiscard]] bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
-// Returns the value of the first field of a name, or nothing.
+// Returns the value of the first field with this name, or nullptr.
 [[nodiscard]] const std::string *findField(const HttpFields &fields, std::string_view name);
 
-// Returns how many fields have a name.
+// Returns the number of fields with this name.
 [[nodiscard]] std::size_t countFields(const HttpFields &fields, std::string_view name);
 
-// Returns the fields that may pass from one connection to another: without the
-// fields of RFC 9110, section 7.6.1, those that Connection names, and framing.
+// Returns the end-to-end fields: all but the hop-by-hop fields of RFC 9110, section
+// 7.6.1, those listed in Connection, and the framing fields.
 [[nodiscard]] HttpFields forwardableFields(const HttpFields &fields);
 
 // Appends "name: value\r\n".
 void appendField(std::string &out, std::string_view name, std::string_view value);
 
-// Returns the usual reason phrase of a status.
+// Returns the standard reason phrase of a status, or "Unknown".
 [[nodiscard]] std::string_view reasonPhrase(unsigned status);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/httpparser.cpp
+++ b/carawaylatch/proxy/httpparser.cpp
@@ -1,6 +1,6 @@
-// Beast's parser rejects what lets two hops disagree about a message's end:
-// repeated or mixed Content-Length and Transfer-Encoding, and bare control bytes.
-// What it leaves open is checked here: a transfer coding other than chunked.
+// Beast's parser rejects ambiguous framing, which could make two hops disagree about
+// where a message ends: repeated or mixed Content-Length and Transfer-Encoding, and
+// bare control bytes. This file also rejects transfer codings other than chunked.
 #include "carawaylatch/proxy/httpparser.h"
 
 #include <boost/beast/http/basic_parser.hpp>
@@ -33,9 +33,9 @@
 base::Error parseError(const error_code &ec)
 {
     if (ec == http::error::header_limit || ec == http::error::body_limit) {
-        return base::fail(base::ErrorKind::LimitExceeded, "message is longer than allowed (" + ec.message() + "); send less");
+        return base::fail(base::ErrorKind::LimitExceeded, "message exceeds the size limit (" + ec.message() + "); send a smaller one");
     }
-    return base::fail(base::ErrorKind::InvalidArgument, "not an HTTP/1.1 message (" + ec.message() + "); correct its framing");
+    return base::fail(base::ErrorKind::InvalidArgument, "malformed HTTP/1.1 message (" + ec.message() + "); correct its framing");
 }
 
 bool hasUnknownCoding(const HttpFields &fields)
@@ -65,7 +65,7 @@
     return used;
 }
 
-// What requests and responses share: fields, and the body as plain bytes.
+// Collects the fields and the decoded body of a request or response.
 template <bool isRequest>
 class MessageReader : public http::basic_parser<isRequest>
 {
@@ -86,7 +86,7 @@
     }
     void on_body_init_impl(const boost::optional<std::uint64_t> &length, error_code & /*ec*/) override
     {
-        constexpr std::uint64_t MaxReservedBytes = 131'072; // above it the buffer grows as bytes arrive
+        constexpr std::uint64_t MaxReservedBytes = 131'072; // for larger bodies the buffer grows as bytes arrive
         if (length) {
             body.reserve(static_cast<std::size_t>(std::min(*length, MaxReservedBytes)));
         }
@@ -130,7 +130,7 @@
     {
         MessageReader::on_header_impl(ec);
         head.fields = std::move(fields);
-        // Two hops may choose between several hosts differently (RFC 9112, section 3.2).
+        // With several Host fields, two hops may choose different hosts (RFC 9112, section 3.2).
         if (!ec && countFields(head.fields, "host") > 1) {
             ec = http::error::bad_field;
         }
@@ -202,9 +202,9 @@
 HttpResponseParser::HttpResponseParser(bool isHeadRequest)
     : m_impl(std::make_unique<Impl>())
 {
-    constexpr std::uint32_t MaxResponseHeadBytes = 65'536; // larger heads are not an upstream's
+    constexpr std::uint32_t MaxResponseHeadBytes = 65'536; // no upstream sends larger heads
     m_impl->header_limit(MaxResponseHeadBytes);
-    // Not boost::none: Beast 1.74 compares lengths with it and refuses every one.
+    // Not boost::none: Beast 1.74 compares the body length with it and rejects every length.
     m_impl->body_limit(std::numeric_limits<std::uint64_t>::max());
     m_impl->eager(true);
     m_impl->skip(isHeadRequest);
@@ -224,7 +224,7 @@
         return base::ok();
     }
     if (!m_impl->is_header_done() || !m_impl->need_eof()) {
-        return base::fail(base::ErrorKind::Truncated, "connection ended inside a message; send the request again where it may repeat");
+        return base::fail(base::ErrorKind::Truncated, "connection closed inside a message; retry the request if it is repeatable");
     }
     error_code ec;
     m_impl->put_eof(ec);
--- a/carawaylatch/proxy/httpparser.h
+++ b/carawaylatch/proxy/httpparser.h
@@ -1,9 +1,9 @@
 // Incremental parsers of HTTP/1.1 messages (over Boost.Beast's basic_parser).
 //
-// One parser reads one message. feed() takes bytes as they arrive and returns how
-// many it used; the caller keeps the rest and offers it again with more. After
-// the message is complete no further byte is used, so bytes that follow belong
-// to the next message.
+// One parser parses one message. feed() takes bytes as they arrive and returns how
+// many it consumed; the caller keeps the rest and passes it again with more input.
+// A complete message consumes no more bytes, so those that follow belong to the
+// next message.
 //
 //     BOOST_OUTCOME_TRY(const std::size_t used, parser.feed(input));
 //     if (parser.isComplete()) ...
@@ -23,8 +23,8 @@
 
 struct ParserLimits
 {
-    std::uint32_t headBytes = 16'384; // longest head; LimitExceeded beyond it
-    std::uint64_t bodyBytes = 4'194'304; // longest body; LimitExceeded beyond it
+    std::uint32_t headBytes = 16'384; // longest head; LimitExceeded for longer ones
+    std::uint64_t bodyBytes = 4'194'304; // longest body; LimitExceeded for longer ones
 };
 
 class HttpRequestParser
@@ -35,14 +35,14 @@
     HttpRequestParser &operator=(HttpRequestParser &&) noexcept;
     ~HttpRequestParser();
 
-    // Errors: InvalidArgument (not a request), LimitExceeded (head or body too long).
+    // Errors: InvalidArgument (malformed request), LimitExceeded (head or body too long).
     [[nodiscard]] base::Result<std::size_t> feed(std::string_view bytes);
     [[nodiscard]] bool isHeadComplete() const;
     [[nodiscard]] bool isComplete() const;
     // True if the caller may send another request on the connection.
     [[nodiscard]] bool keepsAlive() const;
     [[nodiscard]] HttpRequestHead &head();
-    // The body as far as it has arrived.
+    // The part of the body that has arrived.
     [[nodiscard]] std::string &body();
 
 private:
@@ -53,18 +53,18 @@
 class HttpResponseParser
 {
 public:
-    // A response to HEAD has no body whatever its head says.
+    // A response to HEAD has no body, whatever its framing fields say.
     explicit HttpResponseParser(bool isHeadRequest = false);
     HttpResponseParser(HttpResponseParser &&) noexcept;
     HttpResponseParser &operator=(HttpResponseParser &&) noexcept;
     ~HttpResponseParser();
 
     [[nodiscard]] base::Result<std::size_t> feed(std::string_view bytes);
-    // The peer ended the connection in order. Returns Truncated if the message was not complete.
+    // To be called when the peer closes the connection. Returns Truncated if the message is incomplete.
     [[nodiscard]] base::Result<void> feedEof();
     [[nodiscard]] bool isHeadComplete() const;
     [[nodiscard]] bool isComplete() const;
-    // True if the upstream keeps the connection open after this answer.
+    // True if the upstream keeps the connection open after this response.
     [[nodiscard]] bool keepsAlive() const;
     [[nodiscard]] const HttpResponseHead &head() const;
     // Body bytes that arrived since the last call.
--- a/carawaylatch/proxy/socket.cpp
+++ b/carawaylatch/proxy/socket.cpp
@@ -1,5 +1,6 @@
-// A cut path sends no reset. TCP_USER_TIMEOUT bounds unacknowledged bytes and
-// keep-alive probes find a dead peer on a connection that only reads.
+// A broken network path sends no reset. TCP_USER_TIMEOUT bounds how long sent data may
+// stay unacknowledged, and keep-alive probes detect a dead peer on a connection that
+// only reads.
 #include "carawaylatch/proxy/socket.h"
 
 #include <netinet/tcp.h>
@@ -19,13 +20,13 @@
 using IntervalOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
 using CountOption = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
 
-constexpr int Backlog = 1024; // connections that wait to be accepted; a herd of callers comes at once
+constexpr int Backlog = 1024; // connections waiting to be accepted; many callers may connect at once
 
 } // namespace
 
 void setSocketOptions(Tcp::socket &socket, base::Duration ackTimeout)
 {
-    // A socket without one of the options still works; the request's own timer bounds it.
+    // Errors are ignored: without an option the request's own timer still bounds the wait.
     boost::system::error_code ignored;
     const int milliseconds = static_cast<int>(base::toMilliseconds(ackTimeout));
     const int seconds = std::max(1, milliseconds / 2000);
--- a/carawaylatch/proxy/socket.h
+++ b/carawaylatch/proxy/socket.h
@@ -1,4 +1,4 @@
-// Socket options that both sides of the plane use.
+// Socket setup shared by connections to callers, upstreams and other routers.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,11 +12,11 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-// Sends small writes at once, and ends a connection whose peer has acknowledged
-// nothing for `silence`, whether bytes are under way or it is idle.
+// Disables Nagle's algorithm, and lets the kernel end a connection whose peer has
+// acknowledged nothing for `ackTimeout`, whether data is in flight or it is idle.
 void setSocketOptions(Tcp::socket &socket, base::Duration ackTimeout);
 
-// Opens, binds and listens. Unavailable if the address is taken or none of this VM.
+// Opens, binds and listens. Unavailable if the address is in use or not local to this VM.
 [[nodiscard]] base::Result<void> openAcceptor(Tcp::acceptor &acceptor, const base::Endpoint &endpoint);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/upstreamconnection.cpp
+++ b/carawaylatch/proxy/upstreamconnection.cpp
@@ -1,4 +1,4 @@
-// Framing decides what an answer is; the echoed request id decides whose it is.
+// Framing delimits responses; the echoed request id matches them to requests.
 #include "carawaylatch/proxy/upstreamconnection.h"
 
 #include <boost/asio/buffer.hpp>
@@ -14,11 +14,11 @@
 namespace
 {
 
-// An upstream that acknowledges nothing for so long is cut off: above the pauses of a busy path.
+// An upstream that acknowledges nothing for this long is unreachable; longer than the delays of a congested path.
 constexpr base::Duration UpstreamAckTimeout = base::milliseconds{1500};
-// An idle connection is sure to be open this long where the upstream tells no time.
+// Time for which an idle connection is expected to stay open if the upstream announces none.
 constexpr base::Duration DefaultKeepAlive = base::milliseconds{800};
-// Share of the told idle time that is used, so that a request doesn't cross the close.
+// Share of the announced idle time that is used, so that a request does not race with the close.
 constexpr double KeepAliveReuseShare = 0.7;
 
 } // namespace
@@ -65,7 +65,7 @@
     m_connectTimer = m_plane.timers().after(m_plane.now(), timeout, [weak = weak_from_this(), callback](base::TimePoint) {
         if (const auto self = weak.lock(); self && !self->m_isClosed) {
             self->close();
-            (*callback)("no connection in time");
+            (*callback)("connect timed out");
         }
     });
     m_socket.async_connect(Tcp::endpoint(address, endpoint.port), [self = shared_from_this(), callback](const boost::system::error_code &error) {
@@ -104,7 +104,8 @@
         if (ec && !self->m_isClosed && self->m_parser && !self->m_hasSeenHead && !self->m_isReading) {
             self->fail(ec.message());
         }
-        // Otherwise the read under way tells: an upstream may answer and close before it has read all.
+        // Otherwise the pending read reports the outcome: an upstream may respond and close before it has
+        // read the whole request.
     });
     read();
 }
@@ -166,7 +167,7 @@
 void UpstreamConnection::onRead(std::size_t n)
 {
     if (!m_parser) {
-        close(); // bytes that no request waits for
+        close(); // unsolicited bytes
         return;
     }
     m_input.append(m_chunk.data(), n);
@@ -217,18 +218,18 @@
 {
     const HttpResponseHead &head = m_parser->head();
     if (head.status < 200) {
-        return; // an interim answer; the final one follows
+        return; // an interim response; the final one follows
     }
     const UpstreamResponse response = m_plane.dialect().parseResponse(head);
-    // Without an id only the first answer of a connection is surely ours.
+    // Without an id, only the first response of a connection certainly belongs to this request.
     if (response.requestId.empty() && (m_isReused || m_mismatchedResponses > 0)) {
-        fail("an answer that names no request");
+        fail("response without a request id on a reused connection");
         return;
     }
     if (!response.requestId.empty() && response.requestId != m_requestId) {
         ++m_plane.counts().mismatchedResponses;
         if (++m_mismatchedResponses > MaxMismatchedResponses) {
-            fail("answers of other requests");
+            fail("too many responses to other requests");
             return;
         }
         m_isMismatched = true;
--- a/carawaylatch/proxy/upstreamconnection.h
+++ b/carawaylatch/proxy/upstreamconnection.h
@@ -1,10 +1,9 @@
-// One connection to an upstream: sends a request, reads its answer, is kept for
-// the next one.
+// One reusable HTTP/1.1 connection to an upstream: sends a request and reads its response.
 //
-// Bytes that no request waits for end the connection. An answer that names
-// another request is read and dropped, and the one that is due is awaited behind
-// it; such a connection isn't kept. An answer that names none is taken only as the
-// first of its connection. All calls on the traffic thread.
+// Unsolicited bytes close the connection. A response that carries the id of another
+// request is read and dropped, and the connection waits for the expected one behind
+// it; such a connection is not reused. A response without a request id is accepted
+// only as the first of its connection. All calls on the traffic thread.
 #pragma once
 
 #include <array>
@@ -26,7 +25,7 @@
 
 class TrafficPlane;
 
-// What an attempt hears of its connection. After onResponseEnd() or onResponseError() it hears nothing more.
+// Receives the response to a request. onResponseEnd() or onResponseError() is the last call.
 class ResponseListener
 {
 public:
@@ -42,20 +41,20 @@
 public:
     UpstreamConnection(TrafficPlane &plane, base::UpstreamId upstream, std::uint64_t startTimeMs);
 
-    // Calls back once, with an empty problem on success. Not after close().
+    // Calls `done` once, with an empty problem on success; not after close().
     void connect(const base::Endpoint &endpoint, base::Duration timeout, std::function<void(std::string_view problem)> done);
-    // Sends one request. The body is kept until it was written.
+    // Sends one request and shares ownership of the body until it is written.
     void send(std::string head, std::shared_ptr<const std::string> body, std::string requestId, bool isHeadRequest, std::weak_ptr<ResponseListener> listener);
     void pauseReading();
     void resumeReading();
-    // Ends the connection and the request on it; nothing is called back.
+    // Closes the connection and drops the request on it; no callback is made.
     void close();
 
     [[nodiscard]] const base::UpstreamId &upstream() const;
     [[nodiscard]] std::uint64_t startTimeMs() const;
-    // True if an answer was read on it before.
+    // True if a response was already read on this connection.
     [[nodiscard]] bool isReused() const;
-    // The time until which the upstream is sure to keep it open.
+    // Until this time the upstream is expected to keep the idle connection open.
     [[nodiscard]] base::TimePoint reusableUntil() const;
 
 private:
@@ -68,7 +67,7 @@
     [[nodiscard]] std::shared_ptr<ResponseListener> listener() const;
 
     static constexpr std::size_t ReadBytes = 16'384;
-    static constexpr int MaxMismatchedResponses = 4; // answers of other requests that are passed over
+    static constexpr int MaxMismatchedResponses = 4; // dropped responses to other requests
 
     TrafficPlane &m_plane;
     const base::UpstreamId m_upstream;
@@ -77,21 +76,21 @@
     base::TimerService::Subscription m_connectTimer;
     std::array<char, ReadBytes> m_chunk{};
     std::string m_input;
-    std::optional<HttpResponseParser> m_parser; // while an answer is due
+    std::optional<HttpResponseParser> m_parser; // while a response is expected
     std::weak_ptr<ResponseListener> m_listener;
     std::string m_head;
     std::shared_ptr<const std::string> m_body;
-    std::string m_requestId; // whose answer is due
+    std::string m_requestId; // of the expected response
     bool m_isHeadRequest = false;
-    bool m_isMismatched = false; // the answer under way is dropped
+    bool m_isMismatched = false; // the current response belongs to another request and is dropped
     int m_mismatchedResponses = 0;
-    bool m_hasSeenHead = false; // of the answer that is due
+    bool m_hasSeenHead = false; // of the expected response
     bool m_isWriting = false;
     bool m_isReading = false;
     bool m_isPaused = false;
     bool m_isClosed = false;
     bool m_isReused = false;
-    base::Duration m_keepAlive{}; // as the upstream told; zero: not told
+    base::Duration m_keepAlive{}; // as announced by the upstream; zero: unknown
     base::TimePoint m_reusableUntil;
 };
 
