--- a/carawaylatch/proxy/kvtransfer.cpp
+++ b/carawaylatch/proxy/kvtransfer.cpp
@@ -1,4 +1,4 @@
-// Keys and sources of promptstate.h.
+// Key computation and choice of source and store for kvtransfer.h.
 #include "carawaylatch/proxy/kvtransfer.h"
 
 #include "carawaylatch/base/hash.h"
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr std::uint32_t MinTransferTokens = 512; // shorter parts are read faster than they are fetched
+constexpr std::uint32_t MinTransferTokens = 512; // shorter prefixes are recomputed faster than they are fetched
 
 } // namespace
 
--- a/carawaylatch/proxy/kvtransfer.h
+++ b/carawaylatch/proxy/kvtransfer.h
@@ -1,10 +1,11 @@
-// Names of prompt state, and where an engine gets it from.
+// KV cache keys of shared prompt prefixes, and from where an engine fetches their KV cache.
 //
-// The load it answers: engines whose memory holds a few prompts' shared parts, and
-// links that carry them ten times as fast as an engine reads them. An engine that
-// has not read a prompt fetches it from another one that has of late; the links of
-// many engines carry more than those of the few cache stores, which are asked only
-// where no engine is known. What is read first is saved to a store once.
+// An engine's memory holds the KV cache of only a few shared prefixes, and fetching
+// one over the network is ten times as fast as recomputing it. An engine without the
+// prefix fetches it from another engine that processed it recently. The engines have
+// more total bandwidth than the few cache stores, which are used only if no such
+// engine is known. A prefix that is computed for the first time is saved to a store
+// once.
 #pragma once
 
 #include <cstdint>
@@ -20,26 +21,27 @@
 namespace carawaylatch::proxy
 {
 
-// Key of a prompt's state as one version of weights makes it.
+// Key of a prefix's KV cache, which depends on the weights version that computed it.
 [[nodiscard]] std::uint64_t kvCacheKey(std::uint64_t prefixKey, base::WeightsVersion weights);
-// Hash of a prompt's shared parts (all but the last), zero if there are none.
+// Hash of a prompt's shared prefix (all parts but the last), zero if there is none.
 [[nodiscard]] std::uint64_t sharedPrefixKey(std::span<const PromptPart> parts);
-// Tokens of a prompt's shared parts.
+// Number of tokens of a prompt's shared prefix.
 [[nodiscard]] std::uint32_t sharedPrefixTokens(std::span<const PromptPart> parts);
 
-// Returns the cache store that keeps a prompt's shared parts: the first in rendezvous
-// order of those that answer, so that routers agree and each store keeps and carries
-// its part. Nothing if none answers.
+// Returns the cache store of a shared prefix: the first available one in rendezvous
+// order, so that all routers choose the same one and the prefixes are spread over the
+// stores. Returns nullptr if none is available.
 [[nodiscard]] const CacheStore *selectCacheStore(std::uint64_t prefixKey, const FleetView &view);
 
 struct KvTransferPlan
 {
-    std::optional<base::Endpoint> fetchFrom; // costs nothing where the engine keeps the parts itself
+    std::optional<base::Endpoint> fetchFrom; // ignored at no cost by an engine that already holds the prefix
     std::optional<base::Endpoint> saveTo;
 };
 
-// Where the engine `taker` fetches the shared parts of a prompt and saves them, before
-// it is sent the prompt. Nothing for parts that are read faster than they are fetched.
+// Returns from where the engine `destination` fetches the KV cache of a prefix, and where
+// it saves it. Called before the prompt is recorded as sent to the engine. Empty for
+// prefixes that are recomputed faster than they are fetched.
 [[nodiscard]] KvTransferPlan planKvTransfer(std::uint64_t prefixKey, std::uint32_t sharedTokens, const UpstreamRecord &destination, const FleetView &view,
                                             const UpstreamTracker &tracker, base::TimePoint now);
 
--- a/carawaylatch/proxy/loadreport.cpp
+++ b/carawaylatch/proxy/loadreport.cpp
@@ -1,5 +1,5 @@
-// Encoding of loadreport.h. Decoding compares the length with the counts before it
-// reads a row.
+// Encoding of loadreport.h. Decoding checks the length against the row counts before
+// it reads a row.
 #include "carawaylatch/proxy/loadreport.h"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
     }
 }
 
-// Takes an integer from the front; the caller has checked the length.
+// Removes an integer from the front; the caller has checked the length.
 template <typename T>
 T take(std::string_view &bytes)
 {
@@ -39,7 +39,7 @@
 
 base::Error malformedReport(const std::string &problem)
 {
-    return base::fail(base::ErrorKind::InvalidArgument, "not a load report: " + problem + "; check the version of the router that sent it");
+    return base::fail(base::ErrorKind::InvalidArgument, "malformed load report: " + problem + "; check the version of the router that sent it");
 }
 
 } // namespace
@@ -73,10 +73,10 @@
 base::Result<LoadReport> decodeLoadReport(std::string_view bytes)
 {
     if (bytes.size() < HeaderBytes) {
-        return malformedReport("shorter than its head");
+        return malformedReport("shorter than the header");
     }
     if (take<std::uint8_t>(bytes) != Version) {
-        return malformedReport("another version");
+        return malformedReport("unsupported version");
     }
     LoadReport report;
     report.isFullReport = (take<std::uint8_t>(bytes) & FullFlag) != 0;
@@ -85,10 +85,10 @@
     report.sender = take<std::uint64_t>(bytes);
     report.incarnation = take<std::uint64_t>(bytes);
     if (loads > MaxReportRows || placements > MaxReportRows) {
-        return malformedReport("more rows than a report holds");
+        return malformedReport("too many rows");
     }
     if (bytes.size() != loads * LoadRowBytes + placements * PlacementRowBytes) {
-        return malformedReport("its length differs from its counts");
+        return malformedReport("length does not match the row counts");
     }
     report.loads.reserve(loads);
     for (std::size_t i = 0; i < loads; ++i) {
--- a/carawaylatch/proxy/loadreport.h
+++ b/carawaylatch/proxy/loadreport.h
@@ -1,17 +1,17 @@
-// What routers tell each other of their own work: requests under way at each
-// upstream, and where they placed prompts.
+// Load reports that routers exchange: a router's own outstanding requests at each
+// upstream, and the upstreams to which it sent prompts.
 //
-// The load it answers: many routers in front of many engines, where each sees a
-// small part of the requests and would place the next one nearly blind. A report
-// holds absolute figures, so a lost one is made good by the next, and it only
-// hints: no promise to callers depends on it.
+// With many routers in front of many engines, each router sees only a small part of
+// the requests and could not balance the load on its own. Reports hold absolute
+// values, so the next report makes up for a lost one. They are hints: correctness
+// does not depend on them.
 //
-// On the wire a report is a head of fixed size, then rows of fixed size, integers
+// On the wire a report is a header of fixed size, then rows of fixed size, integers
 // little-endian:
 //
-//     version u8, flags u8 (1: whole), loads u16, placements u16, sender u64, life u64
-//     load:      upstream u64, requests u16, unread tokens u32, memory tokens u32
-//     placement: prompt state u64, upstream u64
+//     version u8, flags u8 (1: full), loads u16, placements u16, sender u64, incarnation u64
+//     load:      upstream u64, requests u16, prefill tokens u32, memory tokens u32
+//     placement: cache key u64, upstream u64
 #pragma once
 
 #include <compare>
@@ -26,16 +26,16 @@
 namespace carawaylatch::proxy
 {
 
-// One router's work at one upstream. Counts beyond their field's range are cut to it.
+// One router's load at one upstream. Encoding clamps values to the range of their field.
 struct PeerUpstreamLoad
 {
     std::uint64_t upstream = 0; // hash of its id
-    std::uint32_t requests = 0; // sent and not ended
-    std::uint32_t prefillTokens = 0; // prompt tokens of those without a first event
-    std::uint32_t memoryTokens = 0; // that these requests may take
+    std::uint32_t requests = 0; // outstanding
+    std::uint32_t prefillTokens = 0; // prompt tokens that the upstream has yet to process
+    std::uint32_t memoryTokens = 0; // upper bound of the KV cache that these requests use
 };
 
-// A prompt's shared parts were sent to an upstream to be read.
+// A prompt with this shared prefix was sent to an upstream.
 struct PrefixPlacement
 {
     std::uint64_t cacheKey = 0; // see kvCacheKey()
@@ -47,19 +47,19 @@
 struct LoadReport
 {
     std::uint64_t sender = 0; // hash of the router's id
-    std::uint64_t incarnation = 0; // of the sending process
-    bool isFullReport = false; // upstreams that it does not name have no work of the sender
+    std::uint64_t incarnation = 0; // of the sending router process
+    bool isFullReport = false; // the sender has no load at upstreams that the report does not list
     std::vector<PeerUpstreamLoad> loads;
     std::vector<PrefixPlacement> placements;
 };
 
-// Rows of each kind in one report; more are left to the next one.
+// Maximum rows of each kind in one report; the rest goes into the next one.
 constexpr std::size_t MaxReportRows = 1500;
-// Bytes of the largest report.
+// Size of the largest report.
 constexpr std::size_t MaxReportBytes = 22 + MaxReportRows * (18 + 16);
 
 [[nodiscard]] std::string encodeLoadReport(const LoadReport &report);
-// InvalidArgument for bytes that are no report of this version.
+// InvalidArgument if the bytes are not a report of this version.
 [[nodiscard]] base::Result<LoadReport> decodeLoadReport(std::string_view bytes);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/peerexchange.cpp
+++ b/carawaylatch/proxy/peerexchange.cpp
@@ -1,5 +1,5 @@
-// Connections of the exchange. peer::Http2Session is the protocol; here are the
-// sockets, one read and at most one write under way on each.
+// Connections of the exchange. peer::Http2Session implements the protocol; this file
+// handles the sockets, each with one pending read and at most one pending write.
 #include "carawaylatch/proxy/peerexchange.h"
 
 #include <boost/asio/buffer.hpp>
@@ -22,12 +22,12 @@
 {
 
 constexpr base::Duration HeartbeatInterval = base::milliseconds{400}; // a third of PeerLoad::PeerTimeout
-constexpr base::Duration ConnectTimeout = base::milliseconds{700}; // several round trips; a lost opening packet takes a second
-constexpr base::Duration ResponseTimeout = base::seconds{1}; // a peer that is busy answers later than this only when it is of no use
-constexpr base::Duration InitialRetryDelay = base::milliseconds{500}; // after a lost connection; doubles up to MaxRetryDelay
-constexpr base::Duration MaxRetryDelay = base::seconds{8}; // a router that was removed stays listed
-constexpr std::size_t MaxUnanswered = 16; // reports to one peer; beyond it they are left out and a whole one follows
-constexpr std::size_t MaxInbound = 2 * MaxReportPeers; // neighbours may see another ring for a while
+constexpr base::Duration ConnectTimeout = base::milliseconds{700}; // several round trips, but less than the one second after which a lost SYN is sent again
+constexpr base::Duration ResponseTimeout = base::seconds{1}; // a peer so busy that it responds later is of no use
+constexpr base::Duration InitialRetryDelay = base::milliseconds{500}; // after a failure; doubles up to MaxRetryDelay
+constexpr base::Duration MaxRetryDelay = base::seconds{8}; // bounds the cost of removed routers, which stay listed
+constexpr std::size_t MaxUnanswered = 16; // reports to one peer; further ones are skipped, and a full report follows
+constexpr std::size_t MaxInbound = 2 * MaxReportPeers; // routers may temporarily know different rings
 constexpr int StatusAccepted = 204;
 constexpr int StatusRejected = 400;
 
@@ -53,7 +53,7 @@
     return peers;
 }
 
-// A peer's connection to this router.
+// Connection that a peer opened to this router.
 class PeerExchange::Inbound : public std::enable_shared_from_this<Inbound>
 {
 public:
@@ -94,7 +94,7 @@
     void write()
     {
         if (!m_output.empty()) {
-            return; // the end of the write under way looks again
+            return; // the handler of the pending write calls write() again
         }
         m_output = m_session.takeOutput();
         if (m_output.empty()) {
@@ -112,10 +112,10 @@
     Tcp::socket m_socket;
     peer::Http2Session m_session;
     std::array<char, 4096> m_chunk{};
-    std::string m_output; // of the write under way
+    std::string m_output; // buffer of the pending write
 };
 
-// This router's connection to a peer.
+// Connection that this router opens to a peer.
 class PeerExchange::Outbound : public std::enable_shared_from_this<Outbound>
 {
 public:
@@ -126,16 +126,16 @@
     {
     }
 
-    // Connects where it is time to, and gives a connection up that is silent.
+    // Connects when the retry delay has passed, and drops a connection whose peer does not respond.
     void tick()
     {
         const base::TimePoint now = m_exchange->m_clock.now();
         if (m_state == State::Idle && now >= m_retryAt) {
             connect();
         } else if (m_state == State::Connecting && now - m_waitingSince > ConnectTimeout) {
-            drop("no connection in time");
+            drop("connect timed out");
         } else if (m_state == State::Open && m_unanswered > 0 && now - m_waitingSince > ResponseTimeout) {
-            drop("no answer in time");
+            drop("response timed out");
         }
         if (m_lostSince && now - *m_lostSince >= UnreachableTimeout) {
             m_lostSince = now;
@@ -143,13 +143,13 @@
         }
     }
 
-    // True if changes alone say nothing to the peer: it has no whole report of this connection, or missed some.
+    // True if the peer needs a full report: it has got none on this connection, or reports to it were skipped.
     [[nodiscard]] bool needsFullReport() const
     {
         return m_state == State::Open && m_needsFullReport;
     }
 
-    // Sends a report, or leaves it out where the peer takes too little.
+    // Sends a report, or skips it if too many are unanswered.
     void send(const std::string &report)
     {
         if (m_state != State::Open) {
@@ -187,7 +187,7 @@
         boost::system::error_code ec;
         const auto address = boost::asio::ip::make_address(m_endpoint.address, ec);
         if (ec) {
-            m_retryAt = base::TimePoint::max(); // whoever wrote it, it is no address
+            m_retryAt = base::TimePoint::max(); // an invalid address is never retried
             return;
         }
         m_state = State::Connecting;
@@ -214,7 +214,7 @@
         read();
     }
 
-    // A connection alone says little: the system of a suspended peer still accepts.
+    // Only responses show that a peer is alive: the kernel accepts connections even for a suspended process.
     void onResponses(std::size_t answers)
     {
         m_unanswered -= std::min(answers, m_unanswered);
@@ -233,7 +233,7 @@
                                          return;
                                      }
                                      if (ec || !self->m_session->receive({self->m_chunk.data(), n})) {
-                                         self->drop(ec ? ec.message() : "no answer of this protocol");
+                                         self->drop(ec ? ec.message() : "invalid HTTP/2 response");
                                          return;
                                      }
                                      if (const std::size_t answers = self->m_session->takeAnswers().size(); answers > 0) {
@@ -247,7 +247,7 @@
     void write()
     {
         if (!m_output.empty()) {
-            return; // the end of the write under way looks again
+            return; // the handler of the pending write calls write() again
         }
         m_output = m_session->takeOutput();
         if (m_output.empty()) {
@@ -285,17 +285,17 @@
     PeerExchange *m_exchange; // nullptr once closed
     const base::Endpoint m_endpoint;
     Tcp::socket m_socket;
-    std::optional<peer::Http2Session> m_session; // of the present connection
+    std::optional<peer::Http2Session> m_session; // of the current connection
     std::array<char, 1024> m_chunk{};
-    std::string m_output; // of the write under way, which may be of a former connection
+    std::string m_output; // buffer of the pending write, which may belong to a former connection
     State m_state = State::Idle;
-    std::uint64_t m_generation = 0; // of the connection; handlers of former ones do nothing
-    base::TimePoint m_waitingSince; // for the connection, or for an answer: since the last one or the first report without one
+    std::uint64_t m_generation = 0; // of the connection; handlers of former connections return at once
+    base::TimePoint m_waitingSince; // start of the wait for the connection or for a response
     base::TimePoint m_retryAt;
     base::Duration m_retryDelay = InitialRetryDelay;
-    std::size_t m_unanswered = 0; // reports; at most MaxUnanswered
+    std::size_t m_unanswered = 0; // reports without a response; at most MaxUnanswered
     bool m_needsFullReport = true;
-    std::optional<base::TimePoint> m_lostSince; // the first failure since the last answer
+    std::optional<base::TimePoint> m_lostSince; // the first failure since the last response
 };
 
 PeerExchange::PeerExchange(boost::asio::io_context &loop, const base::Clock &clock, base::Endpoint self, const std::string &id, LoadReportSource &source,
@@ -341,7 +341,7 @@
             m_inbound.insert(inbound);
             inbound->read();
         }
-        m_isAccepting = false; // the next tick accepts again, so that a lack of descriptors doesn't spin
+        m_isAccepting = false; // after an error the next tick accepts again, which avoids a busy loop when descriptors run out
         if (!ec) {
             accept();
         }
@@ -372,7 +372,7 @@
 void PeerExchange::tick()
 {
     const base::TimePoint now = m_clock.now();
-    LoadReport changes = m_source.takeChanges(); // also with the exchange off: nobody else takes them
+    LoadReport changes = m_source.takeChanges(); // also when disabled, because nothing else clears them
     if (m_self.port == 0) {
         return;
     }
@@ -384,7 +384,7 @@
     if (isDue) {
         m_reportedAt = now;
     }
-    std::string fullText; // made for the first peer that needs it; most ticks have none
+    std::string fullText; // built only if a peer needs it, which is rare
     for (const auto &[endpoint, outbound] : m_outbound) {
         outbound->tick();
         if (outbound->needsFullReport() && fullText.empty()) {
--- a/carawaylatch/proxy/peerexchange.h
+++ b/carawaylatch/proxy/peerexchange.h
@@ -1,11 +1,11 @@
-// Sends this router's load reports to other routers and takes theirs.
+// Exchanges load reports (loadreport.h) with other routers.
 //
-// The load it answers: see loadreport.h. Each router keeps one HTTP/2 connection to
-// each of its peers and posts a report each ReportInterval when something changed,
-// or a sign of life each HeartbeatInterval. A peer that answers nothing is dropped
-// and tried again later, ever less often; it holds nothing else up, and placement
-// goes on with what this router sees itself. Peers are the nearest in a ring of all
-// routers, so their number, and with it the cost, is bounded whatever the fleet.
+// Each router keeps one HTTP/2 connection to each of its peers and posts a report
+// every ReportInterval in which something changed, and a heartbeat (an empty report)
+// after HeartbeatInterval without one. A peer that does not respond is disconnected
+// and retried with exponential backoff. It does not delay other peers, and placement
+// continues with this router's own data. Peers are the nearest neighbours in a ring
+// of all routers, so their number and the cost are bounded for any fleet size.
 #pragma once
 
 #include <cstdint>
@@ -28,48 +28,48 @@
 namespace carawaylatch::proxy
 {
 
-// Routers that one router reports to.
+// Maximum number of routers to which one router reports.
 constexpr std::size_t MaxReportPeers = 32;
 
-// The routers that `self` reports to: the nearest on both sides in the ring of all
-// endpoints in order, so that each of two neighbours reports to the other.
+// The routers to which `self` reports: the nearest on both sides in the ring of all
+// sorted endpoints, so that the relation is symmetric.
 [[nodiscard]] std::vector<base::Endpoint> reportPeers(std::span<const base::Endpoint> routers, const base::Endpoint &self);
 
-// What the exchange needs of the router's own knowledge.
+// Provides this router's reports and receives those of peers.
 class LoadReportSource
 {
 public:
     virtual ~LoadReportSource() = default;
-    // What changed since the last call.
+    // Changes since the last call.
     [[nodiscard]] virtual LoadReport takeChanges() = 0;
     [[nodiscard]] virtual LoadReport fullReport() const = 0;
     virtual void onReport(const LoadReport &report) = 0;
-    // A router has answered nothing for UnreachableTimeout; told again after as long.
+    // A peer has not responded for UnreachableTimeout. Repeated after each further UnreachableTimeout.
     virtual void onPeerUnreachable(const base::Endpoint &peer) = 0;
 };
 
 class PeerExchange
 {
 public:
-    // All references outlive the exchange. `self` is where other routers connect and
-    // `id` names this router in reports.
+    // All references must outlive the exchange. `self` is the endpoint to which other
+    // routers connect, and `id` identifies this router in reports.
     PeerExchange(boost::asio::io_context &loop, const base::Clock &clock, base::Endpoint self, const std::string &id, LoadReportSource &source,
                  telemetry::DecisionLog &log);
     ~PeerExchange();
     PeerExchange(const PeerExchange &) = delete;
     PeerExchange &operator=(const PeerExchange &) = delete;
 
-    // Binds the address; port zero turns the exchange off. Unavailable if it is taken.
+    // Binds the address; port zero disables the exchange. Unavailable if the address is in use.
     [[nodiscard]] base::Result<void> listen();
-    // All routers of the fleet, this one may be among them.
+    // Sets the routers of the fleet, which may include this one.
     void setRouters(std::span<const base::Endpoint> routers);
-    // Reports and connects where it is time to; called each ReportInterval.
+    // Sends due reports and makes due connections; to be called every ReportInterval.
     void tick();
     void closeAll();
 
-    // Far beyond restarts and cuts between failure domains.
+    // Much longer than restarts and network partitions between failure domains.
     static constexpr base::Duration UnreachableTimeout = base::minutes{10};
-    static constexpr base::Duration ReportInterval = base::milliseconds{50}; // a third of the reading of a long prompt
+    static constexpr base::Duration ReportInterval = base::milliseconds{50}; // a third of the prefill time of a long prompt
 
 private:
     class Inbound;
@@ -91,8 +91,8 @@
     bool m_isAccepting = false;
     std::set<std::shared_ptr<Inbound>> m_inbound;
     std::map<base::Endpoint, std::shared_ptr<Outbound>> m_outbound;
-    base::TimePoint m_reportedAt; // last report or sign of life
-    bool m_hasLoggedBadReport = false; // logged once
+    base::TimePoint m_reportedAt; // last report or heartbeat
+    bool m_hasLoggedBadReport = false; // a malformed report is logged only once
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/peerload.cpp
+++ b/carawaylatch/proxy/peerload.cpp
@@ -1,4 +1,4 @@
-// Sums are changed by the difference between a peer's former and present figures.
+// Sums are updated by the difference between a peer's previous and new values.
 #include "carawaylatch/proxy/peerload.h"
 
 #include <vector>
@@ -57,7 +57,7 @@
 {
     PeerUpstreamLoad &former = peer.loads[load.upstream];
     PeerUpstreamLoad &sum = m_sums[load.upstream];
-    // Unsigned differences wrap back: the sum holds the former figure.
+    // The unsigned differences may wrap, but the sums don't: they include the previous values.
     sum.requests += load.requests - former.requests;
     sum.prefillTokens += load.prefillTokens - former.prefillTokens;
     sum.memoryTokens += load.memoryTokens - former.memoryTokens;
--- a/carawaylatch/proxy/peerload.h
+++ b/carawaylatch/proxy/peerload.h
@@ -1,8 +1,8 @@
-// The work of other routers at each upstream, summed from their reports.
+// Load of other routers at each upstream, summed over their reports.
 //
-// A state machine of the traffic thread without I/O. A peer that was not heard of
-// for PeerTimeout counts no more: it ended, or is cut off. Bounded by MaxPeers peers
-// and the rows of their reports.
+// A state machine of the traffic thread without I/O. The load of a peer that has not
+// reported for PeerTimeout is removed: the peer stopped or is unreachable. Memory is
+// bounded by MaxPeers peers and the rows of their reports.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,15 @@
 class PeerLoad
 {
 public:
-    static constexpr std::size_t MaxPeers = 64; // twice the peers that a router reports to
-    static constexpr base::Duration PeerTimeout = base::milliseconds{1200}; // three missed signs of life
+    static constexpr std::size_t MaxPeers = 64; // twice MaxReportPeers
+    static constexpr base::Duration PeerTimeout = base::milliseconds{1200}; // three missed heartbeats
 
-    // Takes a report. False for changes of a life that has told no whole state yet, or of one peer too many.
+    // Applies a report. Returns false for changes of an incarnation that has sent no full report yet,
+    // and for a peer beyond MaxPeers.
     bool apply(const LoadReport &report, base::TimePoint now);
-    // Forgets peers that are silent; returns how many.
+    // Removes peers that have timed out; returns their number.
     std::size_t expire(base::TimePoint now);
-    // Work of all peers at an upstream; zeros if there is none.
+    // Total load of all peers at an upstream.
     [[nodiscard]] PeerUpstreamLoad at(std::uint64_t upstream) const;
     [[nodiscard]] std::size_t peers() const;
 
@@ -34,14 +35,14 @@
     {
         std::uint64_t incarnation = 0;
         base::TimePoint lastReportAt;
-        std::unordered_map<std::uint64_t, PeerUpstreamLoad> loads; // by upstream; only those with work
+        std::unordered_map<std::uint64_t, PeerUpstreamLoad> loads; // by upstream; only those with load
     };
 
     void set(Peer &peer, const PeerUpstreamLoad &load);
     void removeLoad(Peer &peer);
 
     std::map<std::uint64_t, Peer> m_peers; // by sender
-    std::unordered_map<std::uint64_t, PeerUpstreamLoad> m_sums; // of all peers' work; only upstreams with work
+    std::unordered_map<std::uint64_t, PeerUpstreamLoad> m_sums; // of all peers, by upstream; only those with load
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/placement.cpp
+++ b/carawaylatch/proxy/placement.cpp
@@ -1,4 +1,4 @@
-// Costs and eligibility of placement.h. One pass over the pool's members.
+// Eligibility and cost of the candidates, in one pass over the pool's members.
 #include "carawaylatch/proxy/placement.h"
 
 #include <algorithm>
@@ -13,18 +13,18 @@
 namespace
 {
 
-// Share of an engine's memory that requests under way may take; the rest keeps shared parts.
+// Share of an engine's memory for running requests; the rest holds cached prefixes.
 constexpr double UsableMemoryShare = 0.9;
 
-// What is the same for all candidates of one query.
+// Inputs that are the same for all candidates of one query.
 struct PlacementContext
 {
     const PlacementQuery &query;
     const FleetView &view;
     const PlacementTuning &tuning;
     const Pool *pool = nullptr;
-    const WeightsTarget *target = nullptr; // nothing if no version is named
-    base::WeightsVersion oldestWeights; // that may still be used
+    const WeightsTarget *target = nullptr; // nullptr if no version was announced
+    base::WeightsVersion oldestWeights; // oldest version that may still be used
     const UpstreamRecord *owner = nullptr; // first in rendezvous order
 };
 
@@ -55,7 +55,7 @@
         return false;
     }
     const auto memory = static_cast<double>(context.pool->engine->cacheTokens);
-    // A request that is larger than the share runs alone.
+    // A request that exceeds the share by itself runs alone.
     return memory == 0 || load.memoryTokens == 0 || load.memoryTokens + context.query.memoryTokens <= memory * UsableMemoryShare;
 }
 
@@ -120,7 +120,7 @@
         context.owner = rendezvousOwner(query, members);
     }
     PlacementResult result;
-    bool isBestUnhealthy = false; // the best so far is one to be avoided
+    bool isBestUnhealthy = false; // the best candidate so far is backed off or silent
     for (UpstreamRecord *record : members) {
         if (!isUsable(context, *record) || !areWeightsAllowed(context, *record)) {
             continue;
@@ -140,7 +140,7 @@
         }
     }
     if (isBestUnhealthy) {
-        // All that have room failed a moment ago: the request waits for one to come back.
+        // All upstreams with capacity are backed off or silent; the request waits until one recovers.
         return PlacementResult{PlacementVerdict::Full, nullptr, false, 0};
     }
     return result;
--- a/carawaylatch/proxy/placement.h
+++ b/carawaylatch/proxy/placement.h
@@ -1,12 +1,11 @@
 // Chooses the upstream of one attempt.
 //
-// The load it answers: prompts that share long parts, on engines that forget them
-// when weights change, beside plain services with few places. Each candidate gets
-// an expected cost in milliseconds: work queued before the request, prompt
-// tokens it would have to read, distance, weights that are no longer the newest,
-// and recent failures. The least cost wins. Without other knowledge the shared
-// parts belong to the first upstream in rendezvous order, so routers agree
-// without talking.
+// Handles prompts with long shared prefixes on engines that lose their KV cache when
+// weights change, and plain services with few slots. Each candidate gets an expected
+// cost in milliseconds: queued load, prompt tokens to prefill, another failure domain,
+// outdated weights and recent failures. The candidate with the lowest cost is chosen.
+// A prefix that no engine is known to hold belongs to the first upstream in rendezvous
+// order, so that routers agree without communicating.
 #pragma once
 
 #include <cstdint>
@@ -23,17 +22,17 @@
 
 struct PlacementTuning
 {
-    double prefillMillisecondsPerToken = 0.022; // reading a prompt; a first estimate for engines of this size
-    double fullServiceMilliseconds = 120; // a plain service whose slots are all taken: two calls of the longer kind
-    double runningRequestMilliseconds = 1; // each request at an engine makes its steps longer
-    double recomputeMillisecondsPerToken = 0.06; // what reading shared parts twice costs operators beside the time
-    double ownerShare = 0.3; // of the cost of reading shared parts at their home when they were not placed there yet
-    double otherDomainMilliseconds = 12; // transfers between failure domains cost operators more than callers
-    double oldWeightsMilliseconds = 60; // answers of old weights are worth less
+    double prefillMillisecondsPerToken = 0.022; // prefill time of engines of this size
+    double fullServiceMilliseconds = 120; // a plain service with all slots in use: the duration of two long calls
+    double runningRequestMilliseconds = 1; // each running request lengthens an engine's decode steps
+    double recomputeMillisecondsPerToken = 0.06; // cost to operators, beyond the latency, of computing a shared prefix again
+    double ownerShare = 0.3; // share of the prefill cost charged at the prefix's rendezvous owner
+    double otherDomainMilliseconds = 12; // traffic between failure domains, a cost to operators more than to callers
+    double oldWeightsMilliseconds = 60; // penalty, because responses of old weights have less value
     double failureMilliseconds = 1500; // expected loss of a failed attempt
-    std::uint32_t serviceQueueFactor = 2; // requests at a plain service for each of its slots
-    base::Duration oldWeightsLimit = base::seconds{6}; // after a new version is named, older weights get no request
-    base::Duration oldWeightsStart = base::milliseconds{7400}; // by then a request on older weights has begun, or is taken back
+    std::uint32_t serviceQueueFactor = 2; // maximum requests per slot of a plain service
+    base::Duration oldWeightsLimit = base::seconds{6}; // older weights get no requests this long after a new version is announced
+    base::Duration oldWeightsStart = base::milliseconds{7400}; // a request on older weights is aborted if it has not started this long after the announcement
 };
 
 struct PlacementQuery
@@ -41,24 +40,24 @@
     base::TimePoint now;
     base::PoolName pool;
     base::ModelId model; // empty for plain services
-    std::uint64_t prefixKey = 0; // hash of the shared parts; zero without any
+    std::uint64_t prefixKey = 0; // hash of the shared prefix; zero if there is none
     std::uint32_t sharedTokens = 0;
-    std::uint32_t memoryTokens = 0; // prompt and longest answer
+    std::uint32_t memoryTokens = 0; // prompt and maximum output
     base::FailureDomain domain; // of this router
-    std::span<const base::UpstreamId> excluded; // tried before
+    std::span<const base::UpstreamId> excluded; // already tried
 };
 
 enum class PlacementVerdict {
     Chosen,
-    Full, // upstreams exist, but none has room now
-    NoUpstream, // none may be used
+    Full, // usable upstreams exist, but none has capacity now
+    NoUpstream, // no upstream may be used
 };
 
 struct PlacementResult
 {
     PlacementVerdict verdict = PlacementVerdict::NoUpstream;
-    UpstreamRecord *record = nullptr; // with Chosen
-    bool hasCachedPrefix = false; // the shared parts are expected in its memory
+    UpstreamRecord *record = nullptr; // set if the verdict is Chosen
+    bool hasCachedPrefix = false; // the upstream is expected to hold the shared prefix
     double cost = 0; // milliseconds
 };
 
--- a/carawaylatch/proxy/prefixplacements.cpp
+++ b/carawaylatch/proxy/prefixplacements.cpp
@@ -1,4 +1,4 @@
-// Placements of a state are kept in order of their last use.
+// The placements of a key are kept in order of last use.
 #include "carawaylatch/proxy/prefixplacements.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
         return placement.upstream == upstream;
     });
     if (it == placements.end()) {
-        it = placements.end() - 1; // the one not used for longest gives way
+        it = placements.end() - 1; // replaces the least recently used one
         *it = Placement{upstream, now, now};
     }
     it->lastAt = now;
--- a/carawaylatch/proxy/prefixplacements.h
+++ b/carawaylatch/proxy/prefixplacements.h
@@ -1,8 +1,8 @@
-// Which upstreams were sent a prompt's shared parts, by this router or another.
+// Upstreams to which prompts with a shared prefix were sent, by this or another router.
 //
-// The load it answers: prompts that share long parts, on engines that read them
-// slowly and pass them on quickly. A state machine of the traffic thread without
-// I/O; bounded by MaxKeys, beyond which all are forgotten.
+// Engines compute the KV cache of a long prefix slowly, but transfer it quickly to each
+// other. A state machine of the traffic thread without I/O; when a new key would exceed
+// MaxKeys, all entries are dropped.
 #pragma once
 
 #include <array>
@@ -20,33 +20,33 @@
 class PrefixPlacements
 {
 public:
-    static constexpr std::size_t MaxKeys = 16'384; // about two megabytes
-    static constexpr std::size_t MaxUpstreamsPerKey = 4; // upstreams remembered for each state
-    // A prompt that was sent this long ago has been read: twice the reading of a long one.
+    static constexpr std::size_t MaxKeys = 16'384; // about 2 MB
+    static constexpr std::size_t MaxUpstreamsPerKey = 4; // the least recently used one is replaced
+    // A prompt sent this long ago has been processed: twice the prefill time of a long one.
     static constexpr base::Duration PrefillTime = base::milliseconds{350};
-    // Engines under load evict what was not used for longer.
+    // Engines under load evict entries that have not been used for longer.
     static constexpr base::Duration RetentionTime = base::seconds{2};
 
-    // A prompt of this state (see kvCacheKey()) was sent to the upstream of this key.
+    // A prompt with this key (see kvCacheKey()) was sent to the upstream with this id hash.
     void onPromptSent(std::uint64_t cacheKey, std::uint64_t upstream, base::TimePoint now);
-    // True if the upstream was sent the prompt of late: it holds the parts, or reads them now.
+    // True if a prompt with this key was sent to the upstream recently: it holds the prefix or is computing it.
     [[nodiscard]] bool isLikelyCached(std::uint64_t cacheKey, std::uint64_t upstream, base::TimePoint now) const;
-    // True if any upstream was sent the prompt.
+    // True if a prompt with this key was sent to any upstream.
     [[nodiscard]] bool contains(std::uint64_t cacheKey) const;
-    // The upstream among those that pass `isUsable` which was sent the prompt last and
-    // is likely to hold it now.
+    // The most recently used upstream that is likely to hold the prefix now and for
+    // which `isUsable` returns true.
     [[nodiscard]] std::optional<std::uint64_t> findHolder(std::uint64_t cacheKey, base::TimePoint now,
                                                           const std::function<bool(std::uint64_t upstream)> &isUsable) const;
 
 private:
     struct Placement
     {
-        std::uint64_t upstream = 0; // its key; zero: none
+        std::uint64_t upstream = 0; // hash of its id; zero: none
         base::TimePoint firstAt;
         base::TimePoint lastAt;
     };
 
-    std::unordered_map<std::uint64_t, std::array<Placement, MaxUpstreamsPerKey>> m_placements; // latest first
+    std::unordered_map<std::uint64_t, std::array<Placement, MaxUpstreamsPerKey>> m_placements; // most recently used first
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/upstreamtracker.cpp
+++ b/carawaylatch/proxy/upstreamtracker.cpp
@@ -1,7 +1,7 @@
-// Bookkeeping of upstreambook.h.
+// Load accounting of upstreamtracker.h.
 //
-// Load of others is what an answer told less what this router had there itself;
-// it fades linearly, because a sample says nothing about a second later.
+// The load of other routers is the load reported in a response minus this router's own
+// load. It decays linearly to zero over MaxSampleAge, after which a sample is outdated.
 #include "carawaylatch/proxy/upstreamtracker.h"
 
 #include <algorithm>
@@ -16,11 +16,11 @@
 namespace
 {
 
-// Weight of the newest attempt in the failure share: about the last ten count.
+// Weight of the newest attempt in the failure share, which then covers about ten attempts.
 constexpr double FailureWeight = 0.1;
-// Pause after the first connection that could not be made; doubles up to MaxBackoff.
+// Backoff after the first failed connection; doubles up to MaxBackoff.
 constexpr base::Duration InitialBackoff = base::milliseconds{250};
-// A crashed upstream is tried again this often, which bounds how late its return is noticed.
+// A crashed upstream is retried at this interval, which bounds how late its recovery is detected.
 constexpr base::Duration MaxBackoff = base::seconds{2};
 
 PeerUpstreamLoad ownLoad(const UpstreamRecord &record)
@@ -41,16 +41,16 @@
 
 bool UpstreamRecord::isBackedUp(base::TimePoint now) const
 {
-    constexpr std::uint32_t MaxWaiting = 1; // one that waits for the next step is no queue
-    constexpr base::Duration MaxBackedUpAge = base::milliseconds{300}; // about the time in which an engine ends a request
+    constexpr std::uint32_t MaxWaiting = 1; // a request that waits for the next step is not queued
+    constexpr base::Duration MaxBackedUpAge = base::milliseconds{300}; // about the interval at which an engine completes requests
     return waiting > MaxWaiting && now - sampledAt < MaxBackedUpAge;
 }
 
 bool UpstreamRecord::isSilent(base::TimePoint now, double prefillMillisecondsPerToken) const
 {
-    // Above a load of weights, which holds an engine's runs up for about 600 ms.
+    // Longer than a load of weights, which stalls an engine for about 600 ms.
     constexpr base::Duration MaxSilence = base::milliseconds{800};
-    // Prompts of other routers are read before and between this one's.
+    // Prompts of other routers are processed before and between this router's.
     constexpr double PrefillMargin = 3;
     const base::Duration prefillTime = base::fromSeconds(static_cast<double>(prefillTokens) * prefillMillisecondsPerToken * PrefillMargin / 1000);
     return inflight > 0 && now - silentSince > MaxSilence + prefillTime;
@@ -133,7 +133,7 @@
     }
     markUnreported(record);
     if (end == AttemptEnd::NotExecuted) {
-        return; // says nothing about health
+        return; // does not indicate a fault of the upstream
     }
     const bool isFailure = end != AttemptEnd::Answered;
     record.failureShare += FailureWeight * ((isFailure ? 1.0 : 0.0) - record.failureShare);
@@ -216,7 +216,7 @@
         record.isReported = true;
         report.loads.push_back(ownLoad(record));
     }
-    // A prompt that was sent twice since is named once.
+    // A prompt that was sent twice since the last call is listed once.
     report.placements = std::exchange(m_newPlacements, {});
     std::sort(report.placements.begin(), report.placements.end());
     report.placements.erase(std::unique(report.placements.begin(), report.placements.end()), report.placements.end());
@@ -247,9 +247,9 @@
         return load;
     }
     load.requests = record.load(now);
-    // Each router sees its own part of the queued work; the parts are about equal.
+    // Each router sees only its own prefill load; the routers' shares are about equal.
     load.prefillTokens = static_cast<double>(record.prefillTokens) * routers;
-    // Others' requests are taken to be as large as this router's own.
+    // Assumes that other routers' requests are as large as this router's own.
     load.memoryTokens = record.inflight == 0 ? 0 : load.requests * static_cast<double>(record.inflightTokens) / record.inflight;
     return load;
 }
--- a/carawaylatch/proxy/upstreamtracker.h
+++ b/carawaylatch/proxy/upstreamtracker.h
@@ -1,9 +1,10 @@
-// What this router knows of each upstream: requests under way, here and at other
-// routers, load that answers told, failures, and where prompt state was placed.
+// Tracks the state of each upstream: outstanding requests of this and other routers,
+// load reported in responses, failures, and the prefixes sent to it.
 //
-// A state machine of the traffic thread without I/O. Snapshots of the fleet come
-// in through adopt(), attempts through began(), started() and ended(), reports of
-// other routers through applyReport(); own reports go out through takeChanges().
+// A state machine of the traffic thread without I/O. Inputs are fleet snapshots
+// (adopt()), the progress of attempts (onAttemptStarted(), onFirstOutput(),
+// onAttemptEnded()) and reports of other routers (applyReport()); takeChanges()
+// returns this router's own reports.
 #pragma once
 
 #include <cstdint>
@@ -26,41 +27,41 @@
 struct UpstreamRecord
 {
     Upstream upstream;
-    std::uint64_t idHash = 0; // hash of the id, as reports name it
-    bool isReported = true; // the figures below are as other routers were told
-    bool isListed = false; // in the present snapshot
-    std::uint32_t inflight = 0; // requests of this router that have not ended
-    std::uint64_t inflightTokens = 0; // memory that these may take
-    std::uint64_t prefillTokens = 0; // prompt tokens of those without a first event
-    // Requests of others at the time of the last sample; trusted for MaxSampleAge.
+    std::uint64_t idHash = 0; // identifies the upstream in load reports
+    bool isReported = true; // other routers have been sent the load below
+    bool isListed = false; // in the current snapshot
+    std::uint32_t inflight = 0; // outstanding requests of this router
+    std::uint64_t inflightTokens = 0; // upper bound of the KV cache that these use
+    std::uint64_t prefillTokens = 0; // prompt tokens that the upstream has yet to process for these
+    // Requests of other routers at the time of the last sample; discounted to zero over MaxSampleAge.
     std::uint32_t otherRoutersLoad = 0;
-    std::uint32_t waiting = 0; // requests that waited at the upstream then
+    std::uint32_t waiting = 0; // requests queued at the upstream at the time of the last sample
     base::TimePoint sampledAt;
-    base::WeightsVersion weights; // newest version known of its model; zero: unknown
-    double failureShare = 0; // of recent attempts, weighted towards the newest
-    std::uint32_t consecutiveConnectFailures = 0; // connections that could not be made
-    base::TimePoint backoffUntil; // gets nothing before, unless nothing else is left
-    base::TimePoint silentSince; // last byte heard, or when the first of the requests under way was sent
+    base::WeightsVersion weights; // newest known version of its model; zero: unknown
+    double failureShare = 0; // of attempts, as an exponentially weighted moving average
+    std::uint32_t consecutiveConnectFailures = 0; // since the last attempt that was sent
+    base::TimePoint backoffUntil; // gets no new requests before this time
+    base::TimePoint silentSince; // last byte received, or start of the first outstanding request
 
-    static constexpr base::Duration MaxSampleAge = base::seconds{1}; // answers come many times a second under load
+    static constexpr base::Duration MaxSampleAge = base::seconds{1}; // under load, responses arrive many times a second
 
-    // True if requests waited at the upstream a moment ago: one more would wait too.
+    // True if the last recent sample showed queued requests; a new one would be queued too.
     [[nodiscard]] bool isBackedUp(base::TimePoint now) const;
-    // Requests at the upstream, own and others'.
+    // Estimated requests at the upstream, of all routers.
     [[nodiscard]] double load(base::TimePoint now) const;
-    // True if requests are under way and nothing was heard of any for longer than
-    // reading their prompts can take: the upstream or the path to it is dead.
+    // True if requests are outstanding and no byte was received for longer than the
+    // prefill of their prompts can take: the upstream or the path to it is down.
     [[nodiscard]] bool isSilent(base::TimePoint now, double prefillMillisecondsPerToken) const;
 };
 
-// How much one attempt weighs on its upstream.
+// Load of one attempt at its upstream.
 struct AttemptLoad
 {
-    std::uint64_t memoryTokens = 0; // prompt and longest answer
-    std::uint64_t prefillTokens = 0; // prompt tokens that it has to read
+    std::uint64_t memoryTokens = 0; // prompt and maximum output
+    std::uint64_t prefillTokens = 0; // prompt tokens to process
 };
 
-// All routers' work at one upstream, as far as it is known.
+// Known or estimated load of all routers at one upstream.
 struct TotalLoad
 {
     double requests = 0;
@@ -78,40 +79,40 @@
     [[nodiscard]] const std::vector<UpstreamRecord *> &members(const base::PoolName &pool) const;
 
     void onAttemptStarted(UpstreamRecord &record, const AttemptLoad &load, base::TimePoint now);
-    // Bytes of an answer have arrived.
+    // Bytes of a response have arrived.
     void onBytesReceived(UpstreamRecord &record, base::TimePoint now);
-    // The first event or the head of the answer has arrived.
+    // The first body bytes of the response have arrived.
     void onFirstOutput(UpstreamRecord &record, const AttemptLoad &load);
     void onAttemptEnded(UpstreamRecord &record, const AttemptLoad &load, bool hasStarted, AttemptEnd end, base::TimePoint now);
     void onLoadSample(UpstreamRecord &record, const LoadSample &sample, base::TimePoint now);
 
-    // A prompt of this state is sent to the upstream.
+    // A prompt with this KV cache key is sent to the upstream.
     void onPromptSent(std::uint64_t cacheKey, const UpstreamRecord &record, base::TimePoint now);
     // Placements by this router and others.
     [[nodiscard]] const PrefixPlacements &placements() const;
-    // An upstream of the same pool as `taker` that is likely to hold the state and can pass it on.
+    // An upstream of the pool of `destination` that likely holds the KV cache entry and can transfer it, or nullptr.
     [[nodiscard]] const UpstreamRecord *findKvSource(std::uint64_t cacheKey, const UpstreamRecord &destination, base::TimePoint now) const;
 
-    // Takes another router's report. False if it could not be used.
+    // Applies another router's report. Returns false if it was not usable.
     bool applyReport(const LoadReport &report, base::TimePoint now);
-    // Forgets routers that are silent; returns how many.
+    // Removes routers that have timed out; returns their number.
     std::size_t removeSilentPeers(base::TimePoint now);
     [[nodiscard]] std::size_t peers() const;
-    // Work and placements that changed since the last call; the rows' bound may leave some for the next.
+    // Load that changed and placements made since the last call; load beyond MaxReportRows is left for the next call.
     [[nodiscard]] LoadReport takeChanges();
-    // All work under way here, without placements.
+    // All current load of this router, without placements.
     [[nodiscard]] LoadReport fullReport() const;
-    // Work of all `routers` at an upstream: as they report it, or estimated from what
-    // is under way here and what answers told where most of them are not heard.
+    // Load of all `routers` at an upstream: the sum of their reports if at least half of
+    // the others report, otherwise an estimate from this router's own load and samples.
     [[nodiscard]] TotalLoad totalLoad(const UpstreamRecord &record, std::uint32_t routers, base::TimePoint now) const;
 
 private:
     void markUnreported(UpstreamRecord &record);
 
-    std::map<base::UpstreamId, UpstreamRecord> m_records; // nodes keep their address
+    std::map<base::UpstreamId, UpstreamRecord> m_records; // std::map, because the pointers below need stable addresses
     std::map<base::PoolName, std::vector<UpstreamRecord *>> m_members;
     std::vector<UpstreamRecord *> m_noMembers;
-    std::unordered_map<std::uint64_t, const UpstreamRecord *> m_byIdHash; // listed ones
+    std::unordered_map<std::uint64_t, const UpstreamRecord *> m_byIdHash; // only listed upstreams
     PrefixPlacements m_placements;
     PeerLoad m_peers;
     std::vector<UpstreamRecord *> m_unreported; // exactly those with isReported false
