--- a/carawaylatch/proxy/attemptrules.cpp
+++ b/carawaylatch/proxy/attemptrules.cpp
@@ -1,4 +1,4 @@
-// The table of attemptrules.h, written as one question after the other.
+// Implementation of the retry rules in attemptrules.h.
 #include "carawaylatch/proxy/attemptrules.h"
 
 namespace carawaylatch::proxy
@@ -9,7 +9,7 @@
 
 bool isRetryAllowed(const Route &route, AttemptEnd end, const AttemptHistory &history)
 {
-    // An attempt that is not known as unexecuted may have run.
+    // An attempt that was sent may have run unless the upstream reported otherwise.
     const bool mayHaveRun = history.sent > history.notExecuted;
     if (!history.hasTimeLeft || (mayHaveRun && !route.isRepeatable())) {
         return false;
@@ -17,12 +17,12 @@
     if (end == AttemptEnd::NotSent) {
         return history.connectFailures < MaxConnectFailures;
     }
-    // Upstreams that did not run the request don't count against the route's attempts.
+    // Attempts that did not run the request don't count towards the route's limit.
     const bool hasAttemptLeft = history.sent - history.notExecuted < route.maxAttempts;
     return hasAttemptLeft && history.notExecuted <= MaxNotExecutedAttempts && history.hasBudget;
 }
 
-// True if no attempt ran or will run.
+// True if it is certain that no attempt ran or will run.
 bool isKnownNotExecuted(const AttemptHistory &history)
 {
     return history.sent == history.notExecuted;
--- a/carawaylatch/proxy/attemptrules.h
+++ b/carawaylatch/proxy/attemptrules.h
@@ -1,8 +1,9 @@
-// What follows the end of an attempt: another one, or which answer.
+// Retry rules: decides after each failed attempt whether to retry the request or
+// how to answer the caller.
 //
-// The load it answers: upstreams that crash, refuse, lose answers or spoil them,
-// under calls of every kind. Two promises bind the table: a call that must not
-// repeat is never sent twice, and an answer that says "not run" is true.
+// Handles upstreams that crash, refuse requests, or lose or corrupt responses, for
+// every kind of call. Two invariants hold: a non-repeatable call that may have run is
+// never sent again, and a reply that says "not executed" is always true.
 #pragma once
 
 #include <cstdint>
@@ -14,45 +15,45 @@
 {
 
 enum class AttemptEnd {
-    NotSent, // no connection; no byte left
-    NotExecuted, // the upstream says that it did not run the request
-    Broken, // sent; the answer is missing, cut or no answer
-    ServerError, // a complete answer with a status of 500 or above, or 429, 408 or 421
-    Answered, // a complete answer of another status
+    NotSent, // connecting failed; no byte was sent
+    NotExecuted, // the upstream reports that it did not run the request
+    Broken, // sent; the response is missing, truncated or invalid
+    ServerError, // a complete response with a status of 500 or above, or 429, 408 or 421
+    Answered, // a complete response with any other status
 };
 constexpr std::size_t AttemptEndCount = static_cast<std::size_t>(AttemptEnd::Answered) + 1;
 
 struct AttemptHistory
 {
-    std::uint32_t sent = 0; // attempts of which a byte left, the ended one included
-    std::uint32_t notExecuted = 0; // of these, those that said "not executed"
-    std::uint32_t connectFailures = 0; // connections that could not be made
-    bool hasResponseStarted = false; // the caller already holds a part of the answer
+    std::uint32_t sent = 0; // attempts of which at least one byte was sent, including the last one
+    std::uint32_t notExecuted = 0; // of these, attempts that the upstream reported as not executed
+    std::uint32_t connectFailures = 0; // failed connection attempts
+    bool hasResponseStarted = false; // part of the response has been sent to the caller
     bool hasTimeLeft = true;
-    bool hasBudget = true; // the pool's budget allows another send
+    bool hasBudget = true; // the pool's retry budget allows another attempt
 };
 
 enum class NextStep {
     Retry, // at another upstream
-    Forward, // the upstream's own answer, unchanged
-    RefuseNotExecuted, // refuse with the time at which to come back
-    FailOutcomeUnknown, // a failure that promises nothing
-    Abort, // cut the answer under way, so that it can't look complete
+    Forward, // forward the upstream's response unchanged
+    RefuseNotExecuted, // reply 503 with Retry-After; the request did not run
+    FailOutcomeUnknown, // reply with an error that leaves open whether the request ran
+    Abort, // reset the connection, so that a partial response can't be taken for a complete one
 };
 
-// Connections that one request may fail to make before it is refused.
+// Failed connection attempts after which a request is refused.
 constexpr std::uint32_t MaxConnectFailures = 4;
 
-// Upstreams that may turn one request away before it is refused.
+// Retries of a request after "not executed" responses, before it is refused.
 constexpr std::uint32_t MaxNotExecutedAttempts = 3;
 
 [[nodiscard]] NextStep nextStep(const Route &route, AttemptEnd end, const AttemptHistory &history);
 
-// Names as they stand in logs, such as "not_sent" and "try_again".
+// Names used in logs, such as "not_sent" and "try_again".
 [[nodiscard]] std::string_view attemptEndName(AttemptEnd end);
 [[nodiscard]] std::string_view nextStepName(NextStep step);
 
-// True if the status promises callers that the request did not run.
+// True if callers take the status to mean that the request did not run.
 [[nodiscard]] bool impliesNotExecuted(unsigned status);
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/exchange.cpp
+++ b/carawaylatch/proxy/exchange.cpp
@@ -1,4 +1,4 @@
-// An exchange from its check to its end; exchangeattempt.cpp has the attempts.
+// Admission, queueing and completion of an exchange; attempts are in exchangeattempt.cpp.
 #include "carawaylatch/proxy/exchange.h"
 
 #include <algorithm>
@@ -14,11 +14,11 @@
 namespace
 {
 
-constexpr base::Duration OtherRouterRetryAfter = base::milliseconds{50}; // another router has room now
-// Share of the target latency that a request may wait for room. Beyond it the answer
-// would be late in any case, and another router or a moment later serves the caller better.
+constexpr base::Duration OtherRouterRetryAfter = base::milliseconds{50}; // another router can take the request at once
+// Share of the target latency that a request may wait in the queue. After a longer wait the
+// response would miss the target, and the caller does better to retry, possibly at another router.
 constexpr double MaxQueueWaitShare = 0.6;
-// A caller's own deadline passes before the router answers for it.
+// The router replies this long after the caller's own deadline, so that the caller times out first.
 constexpr base::Duration DeadlineGrace = base::milliseconds{60};
 
 } // namespace
@@ -56,7 +56,7 @@
     placeOrQueue();
 }
 
-// Route, key and id. Answers and returns false where the request can't go on.
+// Checks route, key and request id. Replies with an error and returns false if the request is not admitted.
 bool Exchange::admit()
 {
     if (m_plane.isLeaving()) {
@@ -89,7 +89,7 @@
         m_prefixKey = base::combineHashes(m_prefixKey, base::hash64(m_customer->id.value()));
     }
     m_sharedTokens = sharedPrefixTokens(m_request.parts);
-    constexpr std::uint32_t RoutePriorities = 3; // ranks of routes within one rank of customers
+    constexpr std::uint32_t RoutePriorities = 3; // route priorities within one customer priority
     constexpr std::uint32_t LeastUrgent = 9;
     const std::uint32_t routeRank = std::min(m_route->priority, RoutePriorities - 1);
     const std::uint32_t customerRank = m_customer != nullptr ? m_customer->priority.value_or(0) : 0;
@@ -244,7 +244,7 @@
 
 void Exchange::refuse(std::string_view reason, base::Duration retryAfter)
 {
-    // Callers that were refused together come back spread over half the pause.
+    // Random jitter of up to half the delay spreads the retries of callers refused together.
     const base::Duration spread = base::fromSeconds(base::toSeconds(retryAfter) * 0.5 * m_plane.random().unit());
     replyLocally(503, reason, retryAfter + spread);
 }
@@ -279,7 +279,7 @@
     m_deadlineTimer.cancel();
     leaveQueue();
     if (m_attempt && m_attempt->connection && outcome != "served" && outcome != "upstream_error") {
-        m_attempt->connection->close(); // the upstream drops what it still does for this request
+        m_attempt->connection->close(); // cancels the request at the upstream
     }
     m_attempt.reset();
     TrafficCounts &counts = m_plane.counts();
--- a/carawaylatch/proxy/exchange.h
+++ b/carawaylatch/proxy/exchange.h
@@ -1,8 +1,8 @@
-// One request of a caller, from its last byte to the end of its answer.
+// One caller request, from its last byte to the end of its response.
 //
-// The steps: check (route, key), place or wait, connect, send, answer. Each
-// failed attempt is put to nextStep(); the exchange only carries out what the
-// tables and state machines decide. It ends exactly once, with one log line.
+// The steps: check route and key, select an upstream or wait in the queue, connect,
+// send, reply. After each failed attempt nextStep() decides what follows. An
+// exchange ends exactly once, with one log line.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
 namespace carawaylatch::proxy
 {
 
-// One attempt of an exchange, from its placement to its end.
+// One attempt of an exchange, from the selection of an upstream to its end.
 struct Attempt
 {
     std::shared_ptr<UpstreamConnection> connection;
@@ -34,10 +34,10 @@
     base::TimePoint startedAt;
     bool isSent = false;
     bool hasStarted = false;
-    bool hasCachedPrefix = false; // of the prompt, as placed
+    bool hasCachedPrefix = false; // as expected when the upstream was selected
     HttpResponseHead head;
     UpstreamResponse response;
-    std::string body; // of an answer that is passed on whole
+    std::string body; // of a response that is buffered until it is complete
 };
 
 class Exchange : public std::enable_shared_from_this<Exchange>, public ResponseListener
@@ -46,11 +46,11 @@
     Exchange(TrafficPlane &plane, std::shared_ptr<CallerConnection> caller, HttpRequestHead head, std::string body, base::TimePoint startedAt);
 
     void start();
-    // The caller has left.
+    // The caller has disconnected.
     void cancel();
-    // The caller has taken all bytes that were queued for it.
+    // All bytes queued for the caller have been written.
     void onCallerDrained();
-    // Places the request if there is room; false if it goes on waiting.
+    // Starts an attempt if an upstream has capacity; returns false if none has.
     bool tryToPlace();
     [[nodiscard]] const base::PoolName &pool() const;
 
@@ -77,9 +77,9 @@
     void beginStream();
     void forwardStream(std::string_view bytes);
     void onTimeout();
-    // Gives an attempt up that makes no progress, where the request may go to another upstream.
+    // Aborts an attempt that makes no progress if the request may be retried at another upstream.
     void watchProgress();
-    // Takes an attempt back that waits at an engine until its weights are too old.
+    // Aborts an attempt that an engine has not started before its weights are too old.
     void watchStart();
     [[nodiscard]] std::string_view stallReason(base::TimePoint now) const;
     void refuse(std::string_view reason, base::Duration retryAfter);
@@ -89,41 +89,41 @@
     void leaveQueue();
     [[nodiscard]] base::Duration timeLeft(base::TimePoint now) const;
 
-    // An answer that does not stream is held back up to this size, so that one which
-    // breaks can be tried again or becomes an error; a longer one is passed on as it comes.
+    // A non-streaming response is buffered up to this size, so that a broken one can be
+    // retried or replaced by an error; a longer one is forwarded as it arrives.
     static constexpr std::size_t MaxBufferedResponseBytes = 262'144;
-    // Bytes that a slow caller may leave in this process before the upstream is no longer read.
+    // Bytes queued for a slow caller above which reading from the upstream pauses.
     static constexpr std::size_t MaxCallerQueueBytes = 262'144;
 
     TrafficPlane &m_plane;
-    std::shared_ptr<CallerConnection> m_caller; // until the end
+    std::shared_ptr<CallerConnection> m_caller; // reset when the exchange ends
     HttpRequestHead m_head;
     std::shared_ptr<const std::string> m_body;
     const base::TimePoint m_startedAt;
     CallerRequest m_request;
-    std::shared_ptr<const FleetView> m_view; // the one that route and key were checked against
-    const Route *m_route = nullptr; // lives as long as m_view
-    const Customer *m_customer = nullptr; // likewise; nothing on public routes
+    std::shared_ptr<const FleetView> m_view; // the view in which route and key were looked up
+    const Route *m_route = nullptr; // owned by m_view
+    const Customer *m_customer = nullptr; // owned by m_view; nullptr on public routes
     base::PoolName m_pool;
     std::uint64_t m_prefixKey = 0;
     std::uint32_t m_sharedTokens = 0;
     std::uint32_t m_urgency = 0;
     std::vector<base::UpstreamId> m_triedUpstreams;
     AttemptHistory m_history;
-    std::optional<Attempt> m_attempt; // under way
+    std::optional<Attempt> m_attempt; // in progress
     std::optional<WaitQueue::Key> m_queueKey; // while waiting
     base::TimerService::Subscription m_deadlineTimer;
     base::TimerService::Subscription m_queueTimer;
-    base::TimerService::Subscription m_startTimer; // while an attempt on older weights has not begun
-    base::TimerService::Subscription m_progressTimer; // while an attempt of a repeatable request is under way
+    base::TimerService::Subscription m_startTimer; // armed until an attempt on older weights has started
+    base::TimerService::Subscription m_progressTimer; // armed during attempts of a repeatable request
     EventScanner m_scanner;
     std::optional<base::TimePoint> m_sentAt; // of the first attempt that was sent
-    std::optional<base::TimePoint> m_firstByteAt; // first byte of the answer
-    base::TimePoint m_lastByteAt; // of a stream
-    base::Duration m_longestGap{}; // between two pieces of a stream
+    std::optional<base::TimePoint> m_firstByteAt; // first byte of the response
+    base::TimePoint m_lastByteAt; // last bytes of a streamed response
+    base::Duration m_longestGap{}; // between consecutive reads of a streamed response
     base::UpstreamId m_lastUpstream;
-    bool m_isStreaming = false; // the answer's head went to the caller
-    bool m_isPassThrough = false; // m_isStreaming, and not a resumable stream
+    bool m_isStreaming = false; // the response head was sent to the caller
+    bool m_isPassThrough = false; // bytes are forwarded as they arrive, without splitting into events
     bool m_isEnded = false;
 };
 
--- a/carawaylatch/proxy/exchangeattempt.cpp
+++ b/carawaylatch/proxy/exchangeattempt.cpp
@@ -1,4 +1,4 @@
-// The attempt under way: connect, send, hear the answer, decide what follows.
+// Attempts of an exchange: connect, send, process the response, decide on a retry.
 #include "carawaylatch/proxy/exchange.h"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 namespace
 {
 
-constexpr base::Duration ProgressInterval = base::milliseconds{100}; // between looks at an attempt's progress
-constexpr int LateResponseFactor = 2; // of the target latency; a second server then still answers in time to be of use
-constexpr base::Duration MaxStreamGap = base::milliseconds{1200}; // twice a load of weights
+constexpr base::Duration ProgressInterval = base::milliseconds{100}; // between checks of an attempt's progress
+constexpr int LateResponseFactor = 2; // of the target latency; leaves time for a retry to produce a useful response
+constexpr base::Duration MaxStreamGap = base::milliseconds{1200}; // twice the time that an engine takes to load weights
 
 } // namespace
 
@@ -159,7 +159,7 @@
         m_isPassThrough = true;
     }
     if (m_isStreaming) {
-        return; // goes on after a break; the caller keeps the first head
+        return; // resumed after a failed attempt; the caller already has a response head
     }
     m_isStreaming = true;
     m_history.hasResponseStarted = true;
@@ -209,7 +209,7 @@
     }
     const bool isSuccess = status >= 200 && status < 300;
     if (isSuccess && (!attempt.response.isSigned || attempt.response.isEncoded)) {
-        return AttemptEnd::Broken; // not the upstream's own answer
+        return AttemptEnd::Broken; // altered by an intermediary, or not sent by the upstream
     }
     return AttemptEnd::Answered;
 }
@@ -245,7 +245,7 @@
     m_startTimer = m_plane.timers().after(*supersededAt, m_plane.settings().placement.oldWeightsStart, [weak = weak_from_this()](base::TimePoint) {
         const auto self = weak.lock();
         if (self && self->m_attempt && !self->m_attempt->hasStarted) {
-            self->endAttempt(AttemptEnd::Broken, "not begun before its weights were too old");
+            self->endAttempt(AttemptEnd::Broken, "not started before its weights were too old");
         }
     });
 }
@@ -258,14 +258,15 @@
             return;
         }
         const std::string_view reason = self->stallReason(now);
-        // Silence alone ends nothing: the attempt is given up only for a better one.
+        // A stalled attempt is aborted only if the retry budget and an upstream are available for another one.
         if (!reason.empty() && self->m_plane.budget(self->m_pool).mayTake(now) && self->selectUpstream().verdict == PlacementVerdict::Chosen) {
             self->endAttempt(AttemptEnd::Broken, reason);
         }
     });
 }
 
-// Only a request that can go elsewhere is given up: another one has nothing to gain.
+// Returns why the attempt counts as stalled, or nothing. An attempt is never stalled when the request has no
+// attempts left, because aborting it would gain nothing.
 std::string_view Exchange::stallReason(base::TimePoint now) const
 {
     const Attempt &attempt = *m_attempt;
@@ -277,10 +278,10 @@
     }
     const bool isLateResponse = m_route->kind == CallKind::Idempotent && now - attempt.startedAt > m_route->targetLatency * LateResponseFactor;
     if (isLateResponse) {
-        return "no answer in twice the target latency";
+        return "no response within twice the target latency";
     }
     if (m_firstByteAt && now - std::max(m_lastByteAt, attempt.startedAt) > MaxStreamGap) {
-        return "the stream has stopped";
+        return "the stream has stalled";
     }
     return {};
 }
@@ -348,7 +349,8 @@
         finish(attempt.head.status, "served", {});
         return;
     }
-    // A status that promises "not run" is passed on only where it is true or harmless.
+    // Callers may retry after a status that implies "not executed". For a non-repeatable
+    // request that may have run it is replaced by 502.
     if (impliesNotExecuted(attempt.head.status) && !m_route->isRepeatable()) {
         replyLocally(502, "upstream_refused_without_promise", {});
         return;
--- a/carawaylatch/proxy/fleet.cpp
+++ b/carawaylatch/proxy/fleet.cpp
@@ -1,4 +1,4 @@
-// Lookup in a route table. Tables hold tens of routes, so a scan is as fast as an index.
+// Lookups in a route table. Tables hold tens of routes, for which a linear scan is as fast as an index.
 #include "carawaylatch/proxy/fleet.h"
 
 #include <algorithm>
--- a/carawaylatch/proxy/fleet.h
+++ b/carawaylatch/proxy/fleet.h
@@ -1,9 +1,9 @@
-// What traffic is decided on: routes, pools, customers and upstreams, as an
-// immutable snapshot that the control thread publishes.
+// Routing data: routes, pools, customers and upstreams, as an immutable snapshot
+// that the control thread publishes.
 //
-// RouteTable is one accepted configuration, whole; a router never mixes two.
-// FleetView adds what is known of upstreams, which change far more often, and
-// shares the table by pointer.
+// A RouteTable holds one accepted configuration; a router never mixes two. FleetView
+// adds the state of upstreams, which changes far more often, and shares the table by
+// pointer.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,10 @@
 namespace carawaylatch::proxy
 {
 
-// What may be repeated.
+// How often a call may run.
 enum class CallKind {
     Idempotent, // may run any number of times
-    AtMostOnce, // an upstream may get it once
+    AtMostOnce, // never sent again once an upstream may have run it
     Stream, // a series of events; at most once unless the route allows resuming
 };
 constexpr std::size_t CallKindCount = static_cast<std::size_t>(CallKind::Stream) + 1;
@@ -43,12 +43,12 @@
     std::string host;
     std::string pathPrefix; // begins and ends with a slash
     CallKind kind = CallKind::AtMostOnce;
-    base::Duration timeout = base::seconds{30}; // longest time a request may be kept
-    base::Duration targetLatency = base::seconds{1}; // to the answer, or to the first event of a stream
+    base::Duration timeout = base::seconds{30}; // upper bound of the time that a request may take
+    base::Duration targetLatency = base::seconds{1}; // until the response, or until the first event of a stream
     std::uint32_t priority = 0; // zero is the most urgent
-    std::uint32_t maxAttempts = 1; // upstreams that one request may be sent to
+    std::uint32_t maxAttempts = 1; // per request, without attempts that did not run it
     bool isPublic = false; // needs no key
-    bool isResumable = false; // a stream may go on at another upstream
+    bool isResumable = false; // a stream may be resumed at another upstream
     std::vector<PoolShare> pools; // at least one
 
     // True if a request may run more than once.
@@ -58,21 +58,21 @@
     }
 };
 
-// What a pool of model engines has in common.
+// Capacity of each engine of a pool.
 struct EngineCapacity
 {
-    std::uint64_t cacheTokens = 0; // memory of one engine for running and kept prompts; zero: not told
-    std::uint32_t slots = 0; // requests that one engine runs at once; zero: not told
+    std::uint64_t cacheTokens = 0; // KV cache size, shared by running requests and cached prefixes; zero: unknown
+    std::uint32_t slots = 0; // concurrent requests; zero: unknown
 };
 
 struct Pool
 {
     base::PoolName name;
-    std::uint32_t maxConnections = 0; // of one upstream, from all routers; zero: not told
-    std::optional<EngineCapacity> engine; // nothing for plain services
+    std::uint32_t maxConnections = 0; // of one upstream, from all routers; zero: unknown
+    std::optional<EngineCapacity> engine; // empty for plain services
 };
 
-// A store of kept prompt state that engines read from and write to.
+// A store of KV cache entries that engines read and write.
 struct CacheStore
 {
     base::Endpoint endpoint;
@@ -82,11 +82,11 @@
 struct Customer
 {
     base::CustomerId id;
-    std::optional<std::uint32_t> priority; // goes before the route's
-    bool isIsolated = false; // shares no kept prompt state with others
+    std::optional<std::uint32_t> priority; // ranks above the route's priority
+    bool isIsolated = false; // shares no KV cache with other customers
 };
 
-// What a caller may send.
+// Limits on caller input.
 struct CallerLimits
 {
     std::uint32_t maxHeadBytes = 16'384;
@@ -103,12 +103,12 @@
     std::vector<Pool> pools;
     std::vector<CacheStore> cacheStores;
     std::vector<Customer> customers;
-    std::unordered_map<std::string, std::size_t> keys; // key to index into customers
+    std::unordered_map<std::string, std::size_t> keys; // API key to index in `customers`
     CallerLimits limits;
-    bool needsKeys = false; // the configuration names customers
+    bool needsKeys = false; // the configuration lists customers
 
-    // Returns the route of the host whose prefix is the longest that begins the
-    // path, or nothing. A query or fragment in `target` is not part of the path.
+    // Returns the host's route with the longest path prefix that matches, or nullptr.
+    // A query or fragment in `target` is not part of the path.
     [[nodiscard]] const Route *match(std::string_view host, std::string_view target) const;
     [[nodiscard]] const Customer *customerOf(const std::string &key) const;
     [[nodiscard]] const Pool *pool(const base::PoolName &name) const;
@@ -116,7 +116,7 @@
 
 enum class UpstreamPhase {
     Ready,
-    Draining, // takes no new request
+    Draining, // takes no new requests
 };
 
 struct Upstream
@@ -127,28 +127,28 @@
     base::FailureDomain domain;
     std::uint32_t slots = 0;
     UpstreamPhase phase = UpstreamPhase::Ready;
-    std::uint64_t startTimeMs = 0; // Unix time of its start; another value is another life
+    std::uint64_t startTimeMs = 0; // Unix time of its start; a different value means that it restarted
     std::map<base::ModelId, base::WeightsVersion> models;
 };
 
-// The weights that a model is to have.
+// The weights version that a model should run.
 struct WeightsTarget
 {
     struct Announcement
     {
         base::WeightsVersion version;
-        base::TimePoint seenAt; // when this router learned of it
+        base::TimePoint seenAt; // when this router first saw it
     };
-    static constexpr std::size_t MaxAnnouncements = 16; // more are not named within any bound of time
+    static constexpr std::size_t MaxAnnouncements = 16; // older ones are dropped; fewer versions are announced within one limit
 
     base::WeightsVersion version; // the newest
-    std::vector<Announcement> announcements; // oldest first, the last one is the newest version's
+    std::vector<Announcement> announcements; // oldest first; the last one is `version`
 
     void announce(base::WeightsVersion newest, base::TimePoint seenAt);
-    // The oldest version that may still be used when each version must be in use
-    // everywhere within `limit` of its naming; zero: any.
+    // The oldest version that may still be used if each version must be in use
+    // everywhere within `limit` of its announcement; zero: any.
     [[nodiscard]] base::WeightsVersion oldestAllowed(base::TimePoint now, base::Duration limit) const;
-    // When the first version above these weights was named; nothing if they are the newest.
+    // When the first newer version was announced; nothing if there is none.
     [[nodiscard]] std::optional<base::TimePoint> supersededAt(base::WeightsVersion weights) const;
 };
 
@@ -157,11 +157,11 @@
     std::shared_ptr<const RouteTable> table; // nullptr before the first configuration
     std::vector<Upstream> upstreams; // ordered by id
     std::map<base::ModelId, WeightsTarget> targets;
-    std::set<base::UpstreamId> reloading; // changing weights, or about to: gets no new request
-    std::set<base::Endpoint> unavailableCacheStores; // did not answer of late
-    std::uint32_t routers = 1; // that share budgets; at least one
-    std::vector<base::Endpoint> routerEndpoints; // where routers take load reports; of all that ever started
-    std::uint64_t sequence = 0; // of this snapshot in this process
+    std::set<base::UpstreamId> reloading; // loading weights, or about to; get no new requests
+    std::set<base::Endpoint> unavailableCacheStores; // did not respond recently
+    std::uint32_t routers = 1; // that share retry budgets and connection limits; at least one
+    std::vector<base::Endpoint> routerEndpoints; // where routers receive load reports; includes routers that have stopped
+    std::uint64_t sequence = 0; // increases with each snapshot of this process
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/trafficplane.cpp
+++ b/carawaylatch/proxy/trafficplane.cpp
@@ -1,6 +1,6 @@
-// Wiring of the traffic thread. One steady timer drives the timer service; it is
-// armed for the earliest deadline, rounded up to TimerGranularity so that a busy loop
-// is not woken for each of many deadlines that lie close together.
+// Event loop, listeners and shared state of the traffic thread. One steady timer
+// drives the timer service. It is armed for the earliest deadline plus
+// TimerGranularity, so that deadlines close together share one wake-up.
 #include "carawaylatch/proxy/trafficplane.h"
 
 #include <boost/asio/post.hpp>
@@ -17,18 +17,18 @@
 {
 
 constexpr base::Duration TimerGranularity = base::milliseconds{2}; // far below every timeout of a request
-constexpr base::Duration TickInterval = base::milliseconds{50}; // waiting requests are looked at, and the log flushed
-constexpr std::size_t MaxIdlePerUpstream = 64; // idle ones to one upstream, where it tells no bound
+constexpr base::Duration TickInterval = base::milliseconds{50}; // queued requests are retried, and the log is flushed
+constexpr std::size_t MaxIdlePerUpstream = 64; // upper bound; also used where the pool sets none
 
 Reply plainReply(unsigned status, std::string body)
 {
     return Reply{status, {}, {{"Content-Type", "text/plain; version=0.0.4"}}, std::move(body)};
 }
 
-// In the text form of Prometheus; the last bucket has no upper edge.
+// Appends a histogram in the Prometheus text format; the last bucket has no upper edge.
 void appendHistogram(std::string &out, std::string_view name, std::string_view kind, const telemetry::LatencyCounts &counts)
 {
-    constexpr std::size_t BucketStep = 4; // each bucket shown is twice the one before; finer ones stay in the process
+    constexpr std::size_t BucketStep = 4; // merges fine buckets, so that each exported edge is twice the previous one
     const std::string start = "carawaylatch_gateway_" + std::string(name);
     std::uint64_t below = 0;
     for (std::size_t i = 0; i + 1 < counts.counts.size(); ++i) {
@@ -133,7 +133,7 @@
         if (ec == boost::asio::error::operation_aborted) {
             return;
         }
-        // Out of descriptors, as a rule: those that end make room.
+        // Usually out of descriptors; waits until other connections have closed.
         constexpr base::Duration AcceptPause = base::milliseconds{20};
         listener.pause.expires_after(AcceptPause);
         listener.pause.async_wait([this, &listener](const boost::system::error_code &error) {
@@ -172,7 +172,7 @@
 void TrafficPlane::onReport(const LoadReport &report)
 {
     if (m_tracker.applyReport(report, now())) {
-        schedulePlacement(); // there may be room at an upstream
+        schedulePlacement(); // an upstream may have capacity again
     }
 }
 
@@ -181,11 +181,11 @@
     m_observer.onRouterUnreachable(peer);
 }
 
-// A router takes its part of the fleet's budget, counted with one router more than
-// are known, so that one which was just added does not exceed it.
+// Divides the fleet's retry reserve by one router more than are known, so that a router
+// that was just added does not exceed it.
 void TrafficPlane::applyBudgets()
 {
-    constexpr double UsedShare = 0.85; // of the budget; the rest covers requests counted late
+    constexpr double UsedShare = 0.85; // of the budget; the rest is a margin for requests counted late
     const relay::RetryBudgetOptions options{m_settings.retryShare * UsedShare,
                                             static_cast<std::uint32_t>(m_settings.retryReserve * UsedShare / (m_view->routers + 1))};
     if (!m_view->table) {
@@ -255,7 +255,7 @@
         }
     }
     for (const auto &connection : chosen) {
-        connection->close(); // which takes it out of m_idleConnections
+        connection->close(); // removes it from m_idleConnections
     }
 }
 
@@ -276,7 +276,7 @@
 
 base::TimerService &TrafficPlane::timers()
 {
-    // A subscription may be the earliest deadline: look after the caller has made it.
+    // The caller may add the earliest deadline, so the timer is armed again after the caller returns.
     if (!m_isArmPosted) {
         m_isArmPosted = true;
         boost::asio::post(m_loop, [this] {
@@ -294,7 +294,7 @@
         return;
     }
     if (*deadline >= m_armedFor) {
-        return; // the timer under way comes first
+        return; // the pending timer fires first
     }
     m_armedFor = *deadline;
     const base::Duration wait = std::max<base::Duration>(*deadline - now(), base::Duration{}) + TimerGranularity;
@@ -557,8 +557,8 @@
     }
 }
 
-// A router's part of the connections that an upstream accepts from all of them, counted
-// with one router more than are known; requests under way have the other half.
+// This router's share of the connections that an upstream accepts from all routers, divided
+// by one router more than are known. Half of it is left to requests in progress.
 std::size_t TrafficPlane::maxIdleConnections(const base::UpstreamId &upstream)
 {
     const UpstreamRecord *record = m_tracker.find(upstream);
--- a/carawaylatch/proxy/trafficplane.h
+++ b/carawaylatch/proxy/trafficplane.h
@@ -1,9 +1,9 @@
-// The traffic thread: accepts callers, keeps connections to upstreams, and holds
-// the state that exchanges share.
+// The traffic thread: accepts callers, pools connections to upstreams, and owns the
+// state that exchanges share.
 //
-// Everything here runs on one thread with one event loop. The control thread
-// posts snapshots through adopt(); what traffic learns goes back through
-// TrafficObserver, called on the traffic thread.
+// Everything here runs on one thread with one event loop. The control thread posts
+// snapshots through adopt(). Observations are reported back through TrafficObserver,
+// which is called on the traffic thread.
 #pragma once
 
 #include <array>
@@ -41,21 +41,21 @@
 struct TrafficSettings
 {
     base::FailureDomain domain;
-    base::Endpoint callers; // where callers connect
-    base::Endpoint operators; // where readiness and metrics are asked for
-    base::Endpoint metrics; // where metrics alone are asked for; port zero: nowhere
-    base::Endpoint peers; // where other routers send load reports; port zero: none are exchanged
-    std::string routerId; // names this router in reports
-    double retryShare = 0.2; // sends beyond the first, for each request of a pool, over all routers
-    std::uint32_t retryReserve = 50; // such sends in ten seconds beside the share, over all routers
-    base::Duration maxTableAge{}; // requests with a key are refused beyond it; zero: no limit
-    base::Duration readyTableAge = base::seconds{3}; // not ready beyond it
+    base::Endpoint callers; // listens for callers
+    base::Endpoint operators; // serves readiness and metrics
+    base::Endpoint metrics; // serves metrics; port zero: disabled
+    base::Endpoint peers; // receives load reports of other routers; port zero: disabled
+    std::string routerId; // identifies this router in reports
+    double retryShare = 0.2; // retries per request of a pool, over all routers
+    std::uint32_t retryReserve = 50; // retries in ten seconds in addition to the share, over all routers
+    base::Duration maxTableAge{}; // requests with a key are refused if the table is older; zero: no limit
+    base::Duration readyTableAge = base::seconds{3}; // not ready if the table is older
     base::Duration connectTimeout = base::milliseconds{400}; // several round trips between failure domains
-    std::uint64_t maxBufferedBodyBytes = 32'000'000; // request bodies in memory; beyond it callers are refused
+    std::uint64_t maxBufferedBodyBytes = 32'000'000; // request bodies in memory; requests are refused above it
     PlacementTuning placement;
 };
 
-// Counts since the start, read by the metrics page.
+// Counters since the start of the process, exposed as metrics.
 struct TrafficCounts
 {
     std::uint64_t requests = 0;
@@ -65,49 +65,49 @@
     std::uint64_t cancelled = 0;
     std::uint64_t rejected = 0;
     std::uint64_t attempts = 0;
-    std::uint64_t connections = 0; // made to upstreams
-    std::uint64_t reads = 0; // wake-ups of the loop with bytes of upstreams
+    std::uint64_t connections = 0; // connection attempts to upstreams
+    std::uint64_t reads = 0; // reads of response body bytes from upstreams
     std::uint64_t mismatchedResponses = 0;
     std::uint64_t resumed = 0;
-    std::array<telemetry::LatencyCounts, CallKindCount> firstByte{}; // of served requests, by CallKind
-    std::array<telemetry::LatencyCounts, CallKindCount> total{}; // likewise
+    std::array<telemetry::LatencyCounts, CallKindCount> firstByte{}; // latency of served requests, by CallKind
+    std::array<telemetry::LatencyCounts, CallKindCount> total{}; // latency of served requests, by CallKind
 };
 
-// What traffic tells the control thread.
+// Receives observations of the traffic thread for the control thread.
 class TrafficObserver
 {
 public:
     virtual ~TrafficObserver() = default;
-    // An answer told the weights of an upstream.
+    // A response reported a weights version that differs from the one known of the upstream.
     virtual void onWeightsSeen(const base::UpstreamId &upstream, base::WeightsVersion weights) = 0;
-    // Another router has not been reached for a long time.
+    // Another router has not responded for PeerExchange::UnreachableTimeout.
     virtual void onRouterUnreachable(const base::Endpoint &peers) = 0;
 };
 
 class TrafficPlane : private LoadReportSource
 {
 public:
-    // All references outlive the plane. `tableAge` tells how long ago the configuration
-    // was last confirmed, on a clock that counts suspension.
+    // All references must outlive the plane. `tableAge` returns the time since the
+    // configuration was last confirmed, on a clock that includes time suspended.
     TrafficPlane(boost::asio::io_context &loop, const base::Clock &clock, const TrafficSettings &settings, const Dialect &dialect, TrafficObserver &observer,
                  telemetry::DecisionLog &log, std::function<base::Duration()> tableAge);
     ~TrafficPlane() override;
 
-    // Binds both addresses. Unavailable if one is taken.
+    // Binds all addresses. Unavailable if one is in use.
     [[nodiscard]] base::Result<void> listen();
-    // Where callers connect; tells the port where the settings leave it to the system.
+    // The endpoint for callers, with the actual port if the settings leave it to the system.
     [[nodiscard]] base::Endpoint callersEndpoint() const;
     void adopt(std::shared_ptr<const FleetView> view);
     void applySettings(const TrafficSettings &settings);
-    // Not ready from now on; connections close after the request under way.
+    // Reports not ready from now on; connections close after the request in progress.
     void beginStop();
-    // The balancer sends no more: new connections and new requests are refused from now on.
+    // The load balancer no longer sends traffic: refuses new connections and requests from now on.
     void beginLeaving();
     [[nodiscard]] bool isLeaving() const;
-    // Closes what is idle; returns the number of requests under way.
+    // Closes idle connections; returns the number of requests in progress.
     std::size_t closeIdle();
-    // Ends every connection and listener. The loop has to run on until its handlers
-    // are done, before the plane is destroyed.
+    // Closes all connections and listeners. The loop must run until their handlers have
+    // completed before the plane is destroyed.
     void closeAll();
     [[nodiscard]] std::size_t inflight() const;
     [[nodiscard]] bool isStopping() const;
@@ -129,19 +129,19 @@
     [[nodiscard]] base::Duration tableAge() const;
     [[nodiscard]] relay::RetryBudget &budget(const base::PoolName &pool);
     [[nodiscard]] WaitQueue &queue(const base::PoolName &pool);
-    // Requests that wait at a pool are placed after this call returns.
+    // Schedules an attempt to place the queued requests of all pools; does not run it inline.
     void schedulePlacement();
     void logRejected(std::string_view id, std::string_view host, std::string_view reason, unsigned status);
-    // An exchange begins or ends, with the bytes of its request's body.
+    // An exchange starts or ends; `bodyBytes` is the size of its request body.
     void onExchangeStarted(std::size_t bodyBytes);
     void onExchangeEnded(std::size_t bodyBytes);
-    // True if request bodies take as much memory as they may.
+    // True if buffered request bodies exceed their memory limit.
     [[nodiscard]] bool isBodyBufferFull() const;
     void removeCaller(const std::shared_ptr<CallerConnection> &connection);
-    // Answers readiness and metrics on the operators' port; false for a caller's request.
+    // Replies to readiness and metrics requests; returns false for any other request.
     bool handleLocalPath(CallerConnection &connection, const HttpRequestHead &head);
 
-    // Returns a kept connection, or nothing. A request that may run only once takes
+    // Returns an idle connection, or nullptr. A request that must not be repeated gets
     // none that the upstream may be about to close.
     [[nodiscard]] std::shared_ptr<UpstreamConnection> takeIdleConnection(const Upstream &upstream, bool isRepeatable);
     void addIdleConnection(std::shared_ptr<UpstreamConnection> connection);
@@ -174,13 +174,13 @@
     std::function<base::Duration()> m_tableAge;
     base::TimerService m_timers;
     boost::asio::steady_timer m_timer;
-    base::TimePoint m_armedFor = base::TimePoint::max(); // deadline of the timer under way
+    base::TimePoint m_armedFor = base::TimePoint::max(); // deadline of the pending timer
     bool m_isArmPosted = false;
     std::shared_ptr<const FleetView> m_view;
     UpstreamTracker m_tracker;
     std::map<base::PoolName, relay::RetryBudget> m_budgets;
     std::map<base::PoolName, WaitQueue> m_queues;
-    std::map<base::UpstreamId, std::deque<std::shared_ptr<UpstreamConnection>>> m_idleConnections; // newest last
+    std::map<base::UpstreamId, std::deque<std::shared_ptr<UpstreamConnection>>> m_idleConnections; // most recently used last
     std::set<std::shared_ptr<CallerConnection>> m_callers;
     std::unique_ptr<Listener> m_callersListener;
     std::unique_ptr<Listener> m_operatorsListener;
@@ -190,12 +190,12 @@
     base::TimerService::Subscription m_reportTick;
     base::Random m_random;
     TrafficCounts m_counts;
-    std::size_t m_bodyBytes = 0; // of requests under way
+    std::size_t m_bodyBytes = 0; // of requests in progress
     std::size_t m_inflight = 0;
     bool m_isStopping = false;
     bool m_isLeaving = false;
     bool m_isPlacementScheduled = false;
-    std::string m_notReadyReason = "starting"; // as last logged; empty: ready
+    std::string m_notReadyReason = "starting"; // last logged value; empty: ready
 };
 
 } // namespace carawaylatch::proxy
--- a/carawaylatch/proxy/waitqueue.cpp
+++ b/carawaylatch/proxy/waitqueue.cpp
@@ -1,4 +1,4 @@
-// Order and estimate of waitqueue.h.
+// Queue order, wait estimate and retry times of waitqueue.h.
 #include "carawaylatch/proxy/waitqueue.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr double MinRate = 0.2; // ends a second; below it nothing can be said of a wait
+constexpr double MinRate = 0.2; // completions per second; at lower rates a wait can't be estimated
 
 } // namespace
 
--- a/carawaylatch/proxy/waitqueue.h
+++ b/carawaylatch/proxy/waitqueue.h
@@ -1,10 +1,9 @@
-// Requests that wait for room at a pool, most urgent first.
+// Queue of requests that wait for capacity of a pool, most urgent first.
 //
-// The load it answers: more requests than the upstreams of a pool can run. A
-// request waits only while it can still be answered in time: the queue estimates
-// its wait from the rate at which requests of the pool have ended of late, and a
-// request whose estimate is beyond its patience is refused at once with the time
-// at which there is likely to be room. Among equals the first to come goes first.
+// Handles overload of a pool. A request waits only while it can still be answered in
+// time: the queue estimates its wait from the pool's recent completion rate, and a
+// request with too long an estimate is refused at once with a Retry-After time at
+// which capacity is likely. Requests of equal urgency are served in order of arrival.
 #pragma once
 
 #include <cstdint>
@@ -20,37 +19,38 @@
 
 class Exchange;
 
-// Rate at which things end, over about the last second.
+// Rate of completions, exponentially averaged over about one second.
 class CompletionRate
 {
 public:
     void record(base::TimePoint now);
-    // Ends a second; zero if none was noted for a while.
+    // Completions per second; decays to zero while none is recorded.
     [[nodiscard]] double perSecond(base::TimePoint now) const;
 
 private:
-    static constexpr double TimeConstantSeconds = 1.0; // long enough to smooth single requests, short enough for a burst
-    double m_weight = 0; // decaying count
+    static constexpr double TimeConstantSeconds = 1.0; // smooths single requests, but follows a burst
+    double m_weight = 0; // exponentially decaying count
     base::TimePoint m_updatedAt;
 };
 
-// When callers that are refused should come back.
+// Computes the retry times of refused callers.
 //
-// The load it answers: many callers refused within a moment, who would all come
-// back together and be refused again. Each is told a time of its own, one end of a
-// request after that of the caller before it.
+// Many callers that are refused at the same time would all retry together and be
+// refused again. Each one therefore gets its own retry time, one completion interval
+// after the previous caller's.
 class RetrySchedule
 {
 public:
-    static constexpr base::Duration MinDelay = base::milliseconds{400}; // where nothing better is known
-    static constexpr base::Duration MaxDelay = base::seconds{2}; // callers give up on much longer ones
+    static constexpr base::Duration MinDelay = base::milliseconds{400}; // also used when the expected wait is unknown
+    static constexpr base::Duration MaxDelay = base::seconds{2}; // callers give up if told to wait much longer
 
-    // Returns how long the next refused caller should stay away. `expectedWait` is how
-    // long room takes to appear, `completionsPerSecond` the rate at which requests end; zero: unknown.
+    // Returns the delay after which the next refused caller should retry. `expectedWait` is
+    // the estimated time until capacity is available, `completionsPerSecond` the rate of
+    // completions; zero: unknown.
     [[nodiscard]] base::Duration next(base::TimePoint now, std::optional<base::Duration> expectedWait, double completionsPerSecond);
 
 private:
-    base::TimePoint m_last; // told to the caller before
+    base::TimePoint m_last; // retry time of the previous caller
 };
 
 class WaitQueue
@@ -58,7 +58,7 @@
 public:
     using Key = std::pair<std::uint32_t, std::uint64_t>; // urgency, order of arrival
 
-    // Returns the expected wait of a request of this urgency; nothing if requests of the pool don't end.
+    // Returns the expected wait of a request of this urgency; nothing if the completion rate is too low for an estimate.
     [[nodiscard]] std::optional<base::Duration> expectedWait(std::uint32_t urgency, base::TimePoint now) const;
     Key add(std::uint32_t urgency, std::shared_ptr<Exchange> exchange);
     void remove(const Key &key);
@@ -66,7 +66,7 @@
     [[nodiscard]] bool isEmpty() const;
     [[nodiscard]] std::size_t size() const;
     [[nodiscard]] CompletionRate &completionRate();
-    // How long a caller that is refused now should stay away.
+    // Delay after which a caller that is refused now should retry.
     [[nodiscard]] base::Duration retryDelay(std::uint32_t urgency, base::TimePoint now);
 
 private:
