--- a/carawaylatch/proxy/testing/decisionstest.cpp
+++ b/carawaylatch/proxy/testing/decisionstest.cpp
@@ -1,4 +1,4 @@
-// Decisions of the traffic plane: attempt rules, events, routes, placement, queue.
+// Tests of the traffic plane's decision logic: retry rules, events, routes, placement, queue.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -34,7 +34,7 @@
 
 } // namespace
 
-// Every kind of call, every end of an attempt, every history of up to four sends.
+// Checks every call kind and attempt end against every history of up to three sent attempts.
 class AttemptRulesTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(AttemptRulesTest);
@@ -76,16 +76,16 @@
         const NextStep step = nextStep(route, end, history);
         const bool mayHaveRun = history.sent > history.notExecuted;
         if (step == NextStep::Retry) {
-            CPPUNIT_ASSERT_MESSAGE("a call that must not repeat is never sent again after it may have run", route.isRepeatable() || !mayHaveRun);
+            CPPUNIT_ASSERT_MESSAGE("a non-repeatable call is never sent again after it may have run", route.isRepeatable() || !mayHaveRun);
             CPPUNIT_ASSERT(history.hasTimeLeft);
             CPPUNIT_ASSERT(end == AttemptEnd::NotSent || history.hasBudget);
             CPPUNIT_ASSERT(end == AttemptEnd::NotSent || history.sent - history.notExecuted < route.maxAttempts);
         }
         if (step == NextStep::RefuseNotExecuted) {
-            CPPUNIT_ASSERT_MESSAGE("'not run' is true", !mayHaveRun);
+            CPPUNIT_ASSERT_MESSAGE("'not executed' is reported only if no attempt can have run", !mayHaveRun);
         }
         if (history.hasResponseStarted) {
-            CPPUNIT_ASSERT_MESSAGE("an answer under way is never replaced by another one",
+            CPPUNIT_ASSERT_MESSAGE("a response that has started is never replaced by another one",
                                    step == NextStep::Forward || step == NextStep::Abort || step == NextStep::Retry);
             CPPUNIT_ASSERT(step != NextStep::Forward || end == AttemptEnd::Answered);
         }
@@ -141,7 +141,7 @@
         }
     }
 
-    // A break at any byte, then a second upstream that starts at or before the next event.
+    // The first upstream fails at any byte; the second one resumes at or before the next event.
     void testResumeAfterBreakAtEveryByte()
     {
         const std::string text = events(1, 5);
@@ -194,7 +194,7 @@
         CPPUNIT_ASSERT(table.match("c", "/x/") == nullptr);
     }
 
-    // With the newest naming alone, versions in quick succession let the oldest weights run on.
+    // If only the newest announcement counted, versions in quick succession would keep the oldest weights in use.
     void testOldestAllowedFollowsEachAnnouncement()
     {
         const base::Duration limit = base::seconds{6};
@@ -302,7 +302,7 @@
         for (std::uint64_t prompt = 1; prompt < 50; ++prompt) {
             CPPUNIT_ASSERT_EQUAL(std::string("e3"), placeNow(query(prompt)).record->upstream.id.value());
         }
-        // An engine that has the named weights is back, whatever the list of changing ones says.
+        // An engine that already has the announced weights is usable even if still listed as reloading.
         m_view.upstreams[1].models[base::ModelId("m")] = base::WeightsVersion{2};
         m_tracker.adopt(m_view, Start);
         CPPUNIT_ASSERT_EQUAL(std::string("e2"), placeNow(query(1)).record->upstream.id.value());
@@ -371,7 +371,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("s1"), placeNow(later).record->upstream.id.value());
     }
 
-    // Silence counts only while requests are under way, and reading a prompt is none.
+    // An upstream counts as silent only while requests are outstanding, and not during the prefill of their prompts.
     void testSilentUpstreamIsAvoided()
     {
         UpstreamRecord *record = m_tracker.find(base::UpstreamId("e1"));
@@ -390,7 +390,7 @@
         }
     }
 
-    // Many prompts on three stores: each keeps a part, and the loss of one moves its part alone.
+    // Prompts are spread over three stores; the loss of one store moves only its own prompts.
     void testPromptsAreSpreadOverCacheStores()
     {
         CPPUNIT_ASSERT(selectCacheStore(1, m_view) == nullptr);
@@ -438,7 +438,7 @@
         PrefixPlacements placements;
         placements.onPromptSent(1, 7, Start);
         const base::TimePoint read = Start + PrefixPlacements::PrefillTime;
-        CPPUNIT_ASSERT_MESSAGE("still reading", !placements.findHolder(1, read - base::milliseconds{1}, any));
+        CPPUNIT_ASSERT_MESSAGE("prefill not complete", !placements.findHolder(1, read - base::milliseconds{1}, any));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, *placements.findHolder(1, read, any));
         CPPUNIT_ASSERT_MESSAGE("evicted", !placements.findHolder(1, Start + PrefixPlacements::RetentionTime, any));
         CPPUNIT_ASSERT(placements.isLikelyCached(1, 7, Start) && !placements.isLikelyCached(1, 7, Start + PrefixPlacements::RetentionTime));
@@ -458,7 +458,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, *placements.findHolder(1, later, [](std::uint64_t upstream) {
             return upstream == 3;
         }));
-        CPPUNIT_ASSERT_MESSAGE("the first gave way", !placements.isLikelyCached(1, 1, later) && placements.isLikelyCached(1, 2, later));
+        CPPUNIT_ASSERT_MESSAGE("the least recently used one is replaced", !placements.isLikelyCached(1, 1, later) && placements.isLikelyCached(1, 2, later));
     }
 
     void testKeysAreBounded()
@@ -470,7 +470,8 @@
         CPPUNIT_ASSERT(!placements.contains(1) && placements.contains(PrefixPlacements::MaxKeys + 1));
     }
 
-    // Two engines and a store: read first, saved once, then passed on between the engines.
+    // Two engines and a store: the first engine computes the prefix and saves it once, the second
+    // one fetches it from the first.
     void testTransferPlan()
     {
         auto table = std::make_shared<RouteTable>();
@@ -495,18 +496,18 @@
         };
         CPPUNIT_ASSERT(planFor(first, Start).fetchFrom == store && planFor(first, Start).saveTo == store);
         tracker.onPromptSent(kvCacheKey(5, base::WeightsVersion{4}), first, Start);
-        CPPUNIT_ASSERT_MESSAGE("not read yet", planFor(second, Start).fetchFrom == store && !planFor(second, Start).saveTo);
+        CPPUNIT_ASSERT_MESSAGE("prefill not complete", planFor(second, Start).fetchFrom == store && !planFor(second, Start).saveTo);
         const base::TimePoint later = Start + base::seconds{1};
         CPPUNIT_ASSERT(planFor(second, later).fetchFrom == first.upstream.endpoint);
         CPPUNIT_ASSERT_MESSAGE("never from itself", planFor(first, later).fetchFrom == store);
         first.backoffUntil = later + base::seconds{1};
-        CPPUNIT_ASSERT_MESSAGE("not from one that fails", planFor(second, later).fetchFrom == store);
+        CPPUNIT_ASSERT_MESSAGE("never from an upstream in backoff", planFor(second, later).fetchFrom == store);
         first.backoffUntil = later;
         second.weights = base::WeightsVersion{5};
-        CPPUNIT_ASSERT_MESSAGE("never what other weights made", planFor(second, later).fetchFrom == store && planFor(second, later).saveTo == store);
+        CPPUNIT_ASSERT_MESSAGE("never a KV cache of other weights", planFor(second, later).fetchFrom == store && planFor(second, later).saveTo == store);
         second.weights = {};
         CPPUNIT_ASSERT_MESSAGE("nothing while the weights are unknown", !planFor(second, later).fetchFrom);
-        CPPUNIT_ASSERT_MESSAGE("short parts are read", !planKvTransfer(5, 100, first, view, tracker, later).fetchFrom);
+        CPPUNIT_ASSERT_MESSAGE("short prefixes are recomputed", !planKvTransfer(5, 100, first, view, tracker, later).fetchFrom);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PrefixPlacementsTest);
@@ -532,7 +533,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, queue.size());
     }
 
-    // Ten ends a second: nine ahead and itself take a second, whatever waits behind.
+    // At ten completions per second, a request with nine ahead of it waits one second, whatever is queued behind it.
     void testExpectedWait()
     {
         WaitQueue queue;
@@ -550,8 +551,9 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, wait, 0.1);
     }
 
-    // Sixty callers refused within 60 ms by a pool that ends 20 requests a second: each
-    // returns an end later than the one before, none is sent away for longer than two seconds.
+    // Sixty callers are refused within 60 ms by a pool that completes 20 requests per second:
+    // each retries one completion interval after the previous one, and none waits longer than
+    // two seconds.
     void testRefusedCallersRetryOneAtATime()
     {
         RetrySchedule returns;
@@ -566,10 +568,10 @@
             }
             before = at;
         }
-        CPPUNIT_ASSERT_MESSAGE("the schedule is full", before >= Start + RetrySchedule::MaxDelay);
+        CPPUNIT_ASSERT_MESSAGE("the schedule reaches MaxDelay", before >= Start + RetrySchedule::MaxDelay);
         const base::TimePoint later = Start + base::seconds{10};
-        CPPUNIT_ASSERT_MESSAGE("later it is empty again", returns.next(later, std::nullopt, 20) == RetrySchedule::MinDelay);
-        CPPUNIT_ASSERT_MESSAGE("nothing ends: nothing to wait for in turn", returns.next(later, std::nullopt, 0) == RetrySchedule::MinDelay);
+        CPPUNIT_ASSERT_MESSAGE("the schedule is empty again later", returns.next(later, std::nullopt, 20) == RetrySchedule::MinDelay);
+        CPPUNIT_ASSERT_MESSAGE("no interval between retries without completions", returns.next(later, std::nullopt, 0) == RetrySchedule::MinDelay);
         CPPUNIT_ASSERT(returns.next(later, base::seconds{1}, 0) == base::seconds{1});
     }
 };
--- a/carawaylatch/proxy/testing/httpparsertest.cpp
+++ b/carawaylatch/proxy/testing/httpparsertest.cpp
@@ -1,4 +1,4 @@
-// Parsers of messages: whole, in pieces, malformed, and with bytes that follow.
+// Tests of the HTTP/1.1 parsers with complete, split and malformed messages, and with trailing bytes.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -59,7 +59,7 @@
         }
     }
 
-    // A response with a length was refused while the parser had no limit for bodies.
+    // Guards against a response with Content-Length being rejected, as Beast does if the body limit is boost::none.
     void testResponseWithLength()
     {
         HttpResponseParser parser;
--- a/carawaylatch/proxy/testing/loadreporttest.cpp
+++ b/carawaylatch/proxy/testing/loadreporttest.cpp
@@ -1,4 +1,4 @@
-// Load reports between routers: their bytes, and the sums made of them.
+// Tests of load reports between routers: their encoding, and the sums over peers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -67,7 +67,7 @@
         report.placements = {{9, 7}};
         const std::string bytes = encodeLoadReport(report);
         for (std::size_t n = 0; n < bytes.size(); ++n) {
-            CPPUNIT_ASSERT_MESSAGE("cut at " + std::to_string(n), !decodeLoadReport(std::string_view(bytes).substr(0, n)).has_value());
+            CPPUNIT_ASSERT_MESSAGE("truncated at " + std::to_string(n), !decodeLoadReport(std::string_view(bytes).substr(0, n)).has_value());
         }
         CPPUNIT_ASSERT_MESSAGE("bytes beyond the rows", !decodeLoadReport(bytes + 'x').has_value());
         for (std::size_t i = 0; i < bytes.size(); ++i) {
@@ -102,7 +102,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // The sums equal those of a table of all rows that is added up anew each time.
+    // The incrementally updated sums equal those recomputed from all rows.
     void testSumsMatchReferenceModel()
     {
         struct Row
@@ -161,7 +161,7 @@
         CPPUNIT_ASSERT_EQUAL(3U, load.at(5).requests);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, load.expire(Start + PeerLoad::PeerTimeout + base::milliseconds{1}));
         CPPUNIT_ASSERT_EQUAL(0U, load.at(5).requests);
-        CPPUNIT_ASSERT_MESSAGE("changes alone don't tell the whole", !load.apply({1, 1, false, {{5, 1, 0, 0}}, {}}, Start));
+        CPPUNIT_ASSERT_MESSAGE("changes are rejected before a full report", !load.apply({1, 1, false, {{5, 1, 0, 0}}, {}}, Start));
     }
 
     void testPeersAreBounded()
--- a/carawaylatch/proxy/testing/peerexchangetest.cpp
+++ b/carawaylatch/proxy/testing/peerexchangetest.cpp
@@ -1,4 +1,4 @@
-// The connections that carry load reports between routers.
+// Tests of the connections that carry load reports between routers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fcntl.h>
@@ -18,7 +18,7 @@
 namespace carawaylatch::proxy::testing
 {
 
-// Exchanges on loopback addresses of their own, ticked by hand.
+// Exchanges on separate loopback ports; the tests call tick() themselves.
 class PeerExchangeTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(PeerExchangeTest);
@@ -83,7 +83,7 @@
             exchange->setRouters(m_routers);
         }
     }
-    // Ticks all exchanges until the condition holds; false after two seconds.
+    // Calls tick() on all exchanges until the condition holds; returns false after `limit`.
     template <typename Condition>
     bool tickUntil(Condition condition, std::chrono::milliseconds limit = std::chrono::milliseconds{2000})
     {
@@ -165,7 +165,7 @@
         }
         m_sources[0]->full.loads = {{41, 1, 2, 3}};
         connectAll();
-        CPPUNIT_ASSERT_MESSAGE("the whole comes first", tickUntil([this] {
+        CPPUNIT_ASSERT_MESSAGE("the full report comes first", tickUntil([this] {
                                    return hasReceived(1, 41) && hasReceived(2, 41);
                                }));
         CPPUNIT_ASSERT(m_sources[1]->received.front().isFullReport);
@@ -175,7 +175,7 @@
         }));
         CPPUNIT_ASSERT(!m_sources[1]->received.back().isFullReport);
         const std::size_t heard = m_sources[1]->received.size();
-        CPPUNIT_ASSERT_MESSAGE("a sign of life where nothing changes", tickUntil([this, heard] {
+        CPPUNIT_ASSERT_MESSAGE("heartbeats while nothing changes", tickUntil([this, heard] {
                                    return m_sources[1]->received.size() > heard + 2;
                                }));
     }
@@ -205,7 +205,7 @@
             std::chrono::milliseconds{5000}));
     }
 
-    // A peer that takes connections and answers nothing; the other one goes on.
+    // One peer accepts connections but never responds; reports to the other one must still arrive.
     void testUnresponsivePeerDoesNotBlockOthers()
     {
         Tcp::acceptor silent(m_loop, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), m_routers[2].port));
@@ -243,15 +243,15 @@
         addExchange(m_routers[1]);
         connectAll();
         m_sources[1]->full.loads = {{7, 1, 1, 1}};
-        CPPUNIT_ASSERT_MESSAGE("sound peers are heard afterwards", tickUntil(
-                                                                       [this] {
-                                                                           return hasReceived(0, 7);
-                                                                       },
-                                                                       std::chrono::milliseconds{5000}));
+        CPPUNIT_ASSERT_MESSAGE("reports of valid peers are received afterwards", tickUntil(
+                                                                                     [this] {
+                                                                                         return hasReceived(0, 7);
+                                                                                     },
+                                                                                     std::chrono::milliseconds{5000}));
     }
 
-    // Nobody listens at the second address, and the third takes connections but answers
-    // nothing, as a suspended process does; time passes in steps of ten seconds.
+    // Nothing listens on the second address, and the third accepts connections but never
+    // responds, like a suspended process. The clock advances in steps of ten seconds.
     void testUnreachablePeer()
     {
         const Tcp::acceptor silent(m_loop, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), m_routers[2].port));
@@ -270,12 +270,12 @@
         };
         pass(PeerExchange::UnreachableTimeout);
         CPPUNIT_ASSERT(source.gone.empty());
-        pass(step * 5); // the silent one counts from its first missing answer
+        pass(step * 5); // for the silent peer the time counts from its first missing response
         const std::set<base::Endpoint> gone(source.gone.begin(), source.gone.end());
         CPPUNIT_ASSERT(gone == std::set<base::Endpoint>(m_routers.begin() + 1, m_routers.end()));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("each told once", std::size_t{2}, source.gone.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("each is reported once", std::size_t{2}, source.gone.size());
         pass(PeerExchange::UnreachableTimeout + step);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("and again", std::size_t{4}, source.gone.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("and again after UnreachableTimeout", std::size_t{4}, source.gone.size());
     }
 
     void testDisabledWithoutAddress()
@@ -284,7 +284,7 @@
         m_exchanges[0]->setRouters(m_routers);
         m_sources[0]->next.loads = {{7, 1, 1, 1}};
         m_exchanges[0]->tick();
-        CPPUNIT_ASSERT_MESSAGE("changes are taken all the same", m_sources[0]->next.loads.empty());
+        CPPUNIT_ASSERT_MESSAGE("changes are taken even if the exchange is disabled", m_sources[0]->next.loads.empty());
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PeerExchangeTest);
--- a/carawaylatch/proxy/testing/sharedplacementtest.cpp
+++ b/carawaylatch/proxy/testing/sharedplacementtest.cpp
@@ -1,4 +1,4 @@
-// What placement makes of other routers' load reports.
+// Tests of placement with the load reports of other routers.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -19,7 +19,7 @@
 
 } // namespace
 
-// Two routers in front of four engines of one model.
+// Two routers in front of four engines of one model and one plain service.
 class SharedPlacementTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(SharedPlacementTest);
@@ -53,7 +53,7 @@
     {
         return place(query, m_view, m_trackers[router], m_tuning).record;
     }
-    // What router `from` did since the last call reaches the other one.
+    // Delivers the changes of router `from` since the last call to the other router.
     void report(int from)
     {
         LoadReport changes = m_trackers[from].takeChanges();
@@ -97,7 +97,7 @@
     void testLoadAtAnotherRouterIsAvoided()
     {
         UpstreamRecord *owner = placeAt(0, query(3));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("both routers know the same home", owner->upstream.id, placeAt(1, query(3))->upstream.id);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("both routers choose the same owner", owner->upstream.id, placeAt(1, query(3))->upstream.id);
         m_trackers[0].onAttemptStarted(*owner, AttemptLoad{9100, 30'000}, Start);
         report(0);
         CPPUNIT_ASSERT(owner->upstream.id != placeAt(1, query(3))->upstream.id);
@@ -139,7 +139,7 @@
         CPPUNIT_ASSERT_EQUAL(4 * static_cast<int>(m_tuning.serviceQueueFactor), placed);
     }
 
-    // Without reports a router takes its own part for that of each router.
+    // Without reports, a router assumes that every router has the same load as itself.
     void testEstimateWithoutReports()
     {
         m_view.routers = 4;
@@ -152,7 +152,7 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(2 * 5000, m_trackers[0].totalLoad(record, 2, Start).prefillTokens, 0.1);
     }
 
-    // A burst of prompts that share nothing, at both routers in turn.
+    // A burst of prompts without shared prefixes, sent to both routers in turn.
     void testBurstSpreadsEvenly()
     {
         std::map<base::UpstreamId, int> prompts;
