--- a/carawaylatch/gateway/controlplane.cpp
+++ b/carawaylatch/gateway/controlplane.cpp
@@ -280,7 +280,7 @@
     return std::string(RouterPrefix) + m_settings.router.value();
 }
 
-void ControlPlane::onRouterGone(const base::Endpoint &peers)
+void ControlPlane::onRouterUnreachable(const base::Endpoint &peers)
 {
     m_unreachableRouters.insert(peers);
 }
--- a/carawaylatch/gateway/controlplane.h
+++ b/carawaylatch/gateway/controlplane.h
@@ -65,7 +65,7 @@
     // Call it on the control thread when the router with this load report address has been
     // unreachable for long. Its object is removed; a router that was only disconnected
     // writes it again.
-    void onRouterGone(const base::Endpoint &peers);
+    void onRouterUnreachable(const base::Endpoint &peers);
 
 private:
     // A list of which some pages have been read. An overloaded store rejects some calls, so
--- a/carawaylatch/gateway/testing/controlplanetest.cpp
+++ b/carawaylatch/gateway/testing/controlplanetest.cpp
@@ -444,9 +444,9 @@
             },
             base::seconds{5}));
         // Both routers report it; the second removal finds no object.
-        cluster.routers[0]->plane.onRouterGone(gone);
-        cluster.routers[1]->plane.onRouterGone(gone);
-        cluster.routers[1]->plane.onRouterGone(base::Endpoint{"10.0.0.8", 7});
+        cluster.routers[0]->plane.onRouterUnreachable(gone);
+        cluster.routers[1]->plane.onRouterUnreachable(gone);
+        cluster.routers[1]->plane.onRouterUnreachable(base::Endpoint{"10.0.0.8", 7});
         CPPUNIT_ASSERT(runUntil(
             [&seesRouters] {
                 return seesRouters(2);
--- a/carawaylatch/proxy/httpmessage.cpp
+++ b/carawaylatch/proxy/httpmessage.cpp
@@ -1,4 +1,4 @@
-// Field rules of HTTP/1.1 (RFC 9110 and RFC 9112) that a forwarding process needs.
+// Field rules of HTTP/1.1 (RFC 9110 and RFC 9112) that apply to a proxy.
 #include "carawaylatch/proxy/httpmessage.h"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 namespace
 {
 
-// Fields of one connection, and those of framing, which each hop sets itself.
-constexpr std::array<std::string_view, 10> ConnectionFields{
+// Hop-by-hop fields and framing fields, which each hop sets itself.
+constexpr std::array<std::string_view, 10> HopByHopFields{
     "connection", "keep-alive",        "proxy-connection", "proxy-authenticate", "proxy-authorization", "te",
     "trailer",    "transfer-encoding", "upgrade",          "content-length"};
 
@@ -22,7 +22,7 @@
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
 
-// True if a Connection field lists the name as one of its options.
+// True if a Connection field lists the name as an option.
 bool isNamedByConnection(const HttpFields &fields, std::string_view name)
 {
     for (const HttpField &field : fields) {
@@ -69,10 +69,10 @@
     HttpFields out;
     out.reserve(fields.size());
     for (const HttpField &field : fields) {
-        const bool isConnectionField = std::any_of(ConnectionFields.begin(), ConnectionFields.end(), [&field](std::string_view name) {
+        const bool isHopByHop = std::any_of(HopByHopFields.begin(), HopByHopFields.end(), [&field](std::string_view name) {
             return equalsIgnoringCase(field.name, name);
         });
-        if (!isConnectionField && !isNamedByConnection(fields, field.name)) {
+        if (!isHopByHop && !isNamedByConnection(fields, field.name)) {
             out.push_back(field);
         }
     }
--- a/carawaylatch/proxy/upstreamconnection.cpp
+++ b/carawaylatch/proxy/upstreamconnection.cpp
@@ -1,4 +1,4 @@
-// Framing decides what an answer is; the echoed request id decides whose it is.
+// Framing delimits responses; the echoed request id matches them to requests.
 #include "carawaylatch/proxy/upstreamconnection.h"
 
 #include <boost/asio/buffer.hpp>
@@ -14,19 +14,19 @@
 namespace
 {
 
-// An upstream that acknowledges nothing for so long is cut off: above the pauses of a busy path.
-constexpr base::Duration UpstreamSilence = base::milliseconds{1500};
-// An idle connection is sure to be open this long where the upstream tells no time.
-constexpr base::Duration UntoldKeepAlive = base::milliseconds{800};
-// Share of the told idle time that is used, so that a request doesn't cross the close.
-constexpr double UsedKeepAliveShare = 0.7;
+// An upstream that acknowledges nothing for this long is unreachable; longer than the delays of a congested path.
+constexpr base::Duration UpstreamAckTimeout = base::milliseconds{1500};
+// Time for which an idle connection is expected to stay open if the upstream announces none.
+constexpr base::Duration DefaultKeepAlive = base::milliseconds{800};
+// Share of the announced idle time that is used, so that a request does not race with the close.
+constexpr double KeepAliveReuseShare = 0.7;
 
 } // namespace
 
-UpstreamConnection::UpstreamConnection(TrafficPlane &plane, base::UpstreamId upstream, std::uint64_t bornMs)
+UpstreamConnection::UpstreamConnection(TrafficPlane &plane, base::UpstreamId upstream, std::uint64_t startTimeMs)
     : m_plane(plane)
     , m_upstream(std::move(upstream))
-    , m_bornMs(bornMs)
+    , m_startTimeMs(startTimeMs)
     , m_socket(plane.executor())
 {
 }
@@ -36,9 +36,9 @@
     return m_upstream;
 }
 
-std::uint64_t UpstreamConnection::bornMs() const
+std::uint64_t UpstreamConnection::startTimeMs() const
 {
-    return m_bornMs;
+    return m_startTimeMs;
 }
 
 bool UpstreamConnection::isReused() const
@@ -46,9 +46,9 @@
     return m_isReused;
 }
 
-base::TimePoint UpstreamConnection::keptUntil() const
+base::TimePoint UpstreamConnection::reusableUntil() const
 {
-    return m_keptUntil;
+    return m_reusableUntil;
 }
 
 void UpstreamConnection::connect(const base::Endpoint &endpoint, base::Duration timeout, std::function<void(std::string_view)> done)
@@ -65,7 +65,7 @@
     m_connectTimer = m_plane.timers().after(m_plane.now(), timeout, [weak = weak_from_this(), callback](base::TimePoint) {
         if (const auto self = weak.lock(); self && !self->m_isClosed) {
             self->close();
-            (*callback)("no connection in time");
+            (*callback)("connect timed out");
         }
     });
     m_socket.async_connect(Tcp::endpoint(address, endpoint.port), [self = shared_from_this(), callback](const boost::system::error_code &error) {
@@ -78,13 +78,13 @@
             (*callback)(error.message());
             return;
         }
-        setSocketOptions(self->m_socket, UpstreamSilence);
+        setSocketOptions(self->m_socket, UpstreamAckTimeout);
         (*callback)({});
     });
 }
 
 void UpstreamConnection::send(std::string head, std::shared_ptr<const std::string> body, std::string requestId, bool isHeadRequest,
-                              std::weak_ptr<AnswerListener> listener)
+                              std::weak_ptr<ResponseListener> listener)
 {
     m_head = std::move(head);
     m_body = std::move(body);
@@ -93,8 +93,8 @@
     m_listener = std::move(listener);
     m_parser.emplace(isHeadRequest);
     m_hasSeenHead = false;
-    m_isForeign = false;
-    m_foreignAnswers = 0;
+    m_isMismatched = false;
+    m_mismatchedResponses = 0;
     m_isPaused = false;
     m_isWriting = true;
     const std::array<boost::asio::const_buffer, 2> buffers{boost::asio::buffer(m_head), boost::asio::buffer(*m_body)};
@@ -104,7 +104,8 @@
         if (ec && !self->m_isClosed && self->m_parser && !self->m_hasSeenHead && !self->m_isReading) {
             self->fail(ec.message());
         }
-        // Otherwise the read under way tells: an upstream may answer and close before it has read all.
+        // Otherwise the pending read reports the outcome: an upstream may respond and close before it has
+        // read the whole request.
     });
     read();
 }
@@ -132,10 +133,10 @@
     m_listener.reset();
     boost::system::error_code ignored;
     m_socket.close(ignored);
-    m_plane.dropKept(*this);
+    m_plane.removeIdleConnection(*this);
 }
 
-std::shared_ptr<AnswerListener> UpstreamConnection::listener() const
+std::shared_ptr<ResponseListener> UpstreamConnection::listener() const
 {
     return m_listener.lock();
 }
@@ -155,8 +156,8 @@
             self->onRead(n);
             return;
         }
-        if (ec == boost::asio::error::eof && self->m_parser && self->m_hasSeenHead && self->m_parser->feedEnd() && !self->m_isForeign) {
-            self->finishAnswer();
+        if (ec == boost::asio::error::eof && self->m_parser && self->m_hasSeenHead && self->m_parser->feedEof() && !self->m_isMismatched) {
+            self->finishResponse();
             return;
         }
         self->fail(ec.message());
@@ -166,7 +167,7 @@
 void UpstreamConnection::onRead(std::size_t n)
 {
     if (!m_parser) {
-        close(); // bytes that no request waits for
+        close(); // unsolicited bytes
         return;
     }
     m_input.append(m_chunk.data(), n);
@@ -185,16 +186,16 @@
             return;
         }
         m_input.erase(0, used.value());
-        if (m_parser->isHeadDone() && !m_hasSeenHead && !m_isForeign) {
+        if (m_parser->isHeadComplete() && !m_hasSeenHead && !m_isMismatched) {
             consumeHead();
         }
         if (m_isClosed || !m_parser) {
             return;
         }
         std::string bytes = m_parser->takeBody();
-        if (!bytes.empty() && !m_isForeign) {
+        if (!bytes.empty() && !m_isMismatched) {
             if (const auto it = listener()) {
-                it->onAnswerBytes(std::move(bytes));
+                it->onResponseBody(std::move(bytes));
             }
         }
         if (m_isClosed || !m_parser) {
@@ -203,12 +204,12 @@
         if (!m_parser->isComplete()) {
             return; // more bytes are needed
         }
-        if (m_isForeign || (m_parser->head().status < 200 && !m_hasSeenHead)) {
-            m_isForeign = false;
+        if (m_isMismatched || (m_parser->head().status < 200 && !m_hasSeenHead)) {
+            m_isMismatched = false;
             m_parser.emplace(m_isHeadRequest);
             continue;
         }
-        finishAnswer();
+        finishResponse();
         return;
     }
 }
@@ -217,49 +218,49 @@
 {
     const HttpResponseHead &head = m_parser->head();
     if (head.status < 200) {
-        return; // an interim answer; the final one follows
+        return; // an interim response; the final one follows
     }
-    const UpstreamAnswer answer = m_plane.dialect().readAnswer(head);
-    // Without an id only the first answer of a connection is surely ours.
-    if (answer.requestId.empty() && (m_isReused || m_foreignAnswers > 0)) {
-        fail("an answer that names no request");
+    const UpstreamResponse response = m_plane.dialect().parseResponse(head);
+    // Without an id, only the first response of a connection certainly belongs to this request.
+    if (response.requestId.empty() && (m_isReused || m_mismatchedResponses > 0)) {
+        fail("response without a request id on a reused connection");
         return;
     }
-    if (!answer.requestId.empty() && answer.requestId != m_requestId) {
-        ++m_plane.counts().foreignAnswers;
-        if (++m_foreignAnswers > MaxForeignAnswers) {
-            fail("answers of other requests");
+    if (!response.requestId.empty() && response.requestId != m_requestId) {
+        ++m_plane.counts().mismatchedResponses;
+        if (++m_mismatchedResponses > MaxMismatchedResponses) {
+            fail("too many responses to other requests");
             return;
         }
-        m_isForeign = true;
+        m_isMismatched = true;
         return;
     }
     m_hasSeenHead = true;
-    if (answer.keepAlive) {
-        m_keepAlive = *answer.keepAlive;
+    if (response.keepAlive) {
+        m_keepAlive = *response.keepAlive;
     }
     if (const auto it = listener()) {
-        it->onAnswerHead(head, answer);
+        it->onResponseHead(head, response);
     }
 }
 
-void UpstreamConnection::finishAnswer()
+void UpstreamConnection::finishResponse()
 {
-    const bool isKept = m_parser->keepsAlive() && !m_isWriting && m_input.empty() && m_foreignAnswers == 0;
+    const bool isReusable = m_parser->keepsAlive() && !m_isWriting && m_input.empty() && m_mismatchedResponses == 0;
     const auto it = listener();
     m_parser.reset();
     m_listener.reset();
     m_isReused = true;
-    const base::Duration kept = m_keepAlive > base::Duration{} ? base::fromSeconds(base::toSeconds(m_keepAlive) * UsedKeepAliveShare) : UntoldKeepAlive;
-    m_keptUntil = m_plane.now() + kept;
-    if (isKept) {
+    const base::Duration reuseTime = m_keepAlive > base::Duration{} ? base::fromSeconds(base::toSeconds(m_keepAlive) * KeepAliveReuseShare) : DefaultKeepAlive;
+    m_reusableUntil = m_plane.now() + reuseTime;
+    if (isReusable) {
         m_isPaused = false;
-        m_plane.keep(shared_from_this());
+        m_plane.addIdleConnection(shared_from_this());
     } else {
         close();
     }
     if (it) {
-        it->onAnswerEnd();
+        it->onResponseEnd();
     }
 }
 
@@ -269,7 +270,7 @@
     m_parser.reset();
     close();
     if (it) {
-        it->onBroken(problem);
+        it->onResponseError(problem);
     }
 }
 
--- /dev/null
+++ b/carawaylatch/proxy/upstreamtracker.cpp
@@ -0,0 +1,257 @@
+// Load accounting of upstreamtracker.h.
+//
+// The load of other routers is the load reported in a response minus this router's own
+// load. It decays linearly to zero over MaxSampleAge, after which a sample is outdated.
+#include "carawaylatch/proxy/upstreamtracker.h"
+
+#include <algorithm>
+#include <limits>
+#include <utility>
+
+#include "carawaylatch/base/hash.h"
+
+namespace carawaylatch::proxy
+{
+
+namespace
+{
+
+// Weight of the newest attempt in the failure share, which then covers about ten attempts.
+constexpr double FailureWeight = 0.1;
+// Backoff after the first failed connection; doubles up to MaxBackoff.
+constexpr base::Duration InitialBackoff = base::milliseconds{250};
+// A crashed upstream is retried at this interval, which bounds how late its recovery is detected.
+constexpr base::Duration MaxBackoff = base::seconds{2};
+
+PeerUpstreamLoad ownLoad(const UpstreamRecord &record)
+{
+    constexpr std::uint64_t MaxFieldValue = std::numeric_limits<std::uint32_t>::max();
+    return {record.idHash, record.inflight, static_cast<std::uint32_t>(std::min(record.prefillTokens, MaxFieldValue)),
+            static_cast<std::uint32_t>(std::min(record.inflightTokens, MaxFieldValue))};
+}
+
+} // namespace
+
+double UpstreamRecord::load(base::TimePoint now) const
+{
+    const base::Duration age = now - sampledAt;
+    const double decay = age >= MaxSampleAge ? 0.0 : 1.0 - base::toSeconds(age) / base::toSeconds(MaxSampleAge);
+    return inflight + otherRoutersLoad * decay;
+}
+
+bool UpstreamRecord::isBackedUp(base::TimePoint now) const
+{
+    constexpr std::uint32_t MaxWaiting = 1; // a request that waits for the next step is not queued
+    constexpr base::Duration MaxBackedUpAge = base::milliseconds{300}; // about the interval at which an engine completes requests
+    return waiting > MaxWaiting && now - sampledAt < MaxBackedUpAge;
+}
+
+bool UpstreamRecord::isSilent(base::TimePoint now, double prefillMillisecondsPerToken) const
+{
+    // Longer than a load of weights, which stalls an engine for about 600 ms.
+    constexpr base::Duration MaxSilence = base::milliseconds{800};
+    // Prompts of other routers are processed before and between this router's.
+    constexpr double PrefillMargin = 3;
+    const base::Duration prefillTime = base::fromSeconds(static_cast<double>(prefillTokens) * prefillMillisecondsPerToken * PrefillMargin / 1000);
+    return inflight > 0 && now - silentSince > MaxSilence + prefillTime;
+}
+
+void UpstreamTracker::adopt(const FleetView &view, base::TimePoint now)
+{
+    for (auto &[id, record] : m_records) {
+        record.isListed = false;
+    }
+    for (const Upstream &upstream : view.upstreams) {
+        UpstreamRecord &record = m_records[upstream.id];
+        if (record.upstream.startTimeMs != upstream.startTimeMs || record.upstream.endpoint != upstream.endpoint) {
+            record.failureShare = 0;
+            record.consecutiveConnectFailures = 0;
+            record.backoffUntil = now;
+            record.otherRoutersLoad = 0;
+            record.weights = {};
+        }
+        record.upstream = upstream;
+        record.idHash = base::hash64(upstream.id.value());
+        record.isListed = true;
+        for (const auto &[model, weights] : upstream.models) {
+            record.weights = std::max(record.weights, weights);
+        }
+    }
+    std::erase_if(m_records, [](const auto &it) {
+        return !it.second.isListed && it.second.inflight == 0 && it.second.isReported;
+    });
+    m_members.clear();
+    m_byIdHash.clear();
+    for (auto &[id, record] : m_records) {
+        if (record.isListed) {
+            m_byIdHash.emplace(record.idHash, &record);
+            m_members[record.upstream.pool].push_back(&record);
+        }
+    }
+}
+
+UpstreamRecord *UpstreamTracker::find(const base::UpstreamId &id)
+{
+    const auto it = m_records.find(id);
+    return it == m_records.end() ? nullptr : &it->second;
+}
+
+const std::vector<UpstreamRecord *> &UpstreamTracker::members(const base::PoolName &pool) const
+{
+    const auto it = m_members.find(pool);
+    return it == m_members.end() ? m_noMembers : it->second;
+}
+
+void UpstreamTracker::onBytesReceived(UpstreamRecord &record, base::TimePoint now)
+{
+    record.silentSince = now;
+}
+
+void UpstreamTracker::onAttemptStarted(UpstreamRecord &record, const AttemptLoad &load, base::TimePoint now)
+{
+    if (record.inflight == 0) {
+        record.silentSince = now;
+    }
+    ++record.inflight;
+    record.inflightTokens += load.memoryTokens;
+    record.prefillTokens += load.prefillTokens;
+    markUnreported(record);
+}
+
+void UpstreamTracker::onFirstOutput(UpstreamRecord &record, const AttemptLoad &load)
+{
+    record.prefillTokens -= load.prefillTokens;
+    markUnreported(record);
+}
+
+void UpstreamTracker::onAttemptEnded(UpstreamRecord &record, const AttemptLoad &load, bool hasStarted, AttemptEnd end, base::TimePoint now)
+{
+    --record.inflight;
+    record.inflightTokens -= load.memoryTokens;
+    if (!hasStarted) {
+        record.prefillTokens -= load.prefillTokens;
+    }
+    markUnreported(record);
+    if (end == AttemptEnd::NotExecuted) {
+        return; // does not indicate a fault of the upstream
+    }
+    const bool isFailure = end != AttemptEnd::Answered;
+    record.failureShare += FailureWeight * ((isFailure ? 1.0 : 0.0) - record.failureShare);
+    if (end != AttemptEnd::NotSent) {
+        record.consecutiveConnectFailures = 0;
+        return;
+    }
+    const std::uint32_t doublings = std::min<std::uint32_t>(record.consecutiveConnectFailures, 4);
+    record.backoffUntil = now + std::min<base::Duration>(InitialBackoff * (1U << doublings), MaxBackoff);
+    ++record.consecutiveConnectFailures;
+}
+
+void UpstreamTracker::onLoadSample(UpstreamRecord &record, const LoadSample &sample, base::TimePoint now)
+{
+    const std::uint32_t total = sample.running + sample.waiting;
+    record.otherRoutersLoad = total > record.inflight ? total - record.inflight : 0;
+    record.waiting = sample.waiting;
+    record.sampledAt = now;
+}
+
+void UpstreamTracker::onPromptSent(std::uint64_t cacheKey, const UpstreamRecord &record, base::TimePoint now)
+{
+    if (m_newPlacements.size() < MaxReportRows) {
+        m_newPlacements.push_back({cacheKey, record.idHash});
+    }
+    m_placements.onPromptSent(cacheKey, record.idHash, now);
+}
+
+const PrefixPlacements &UpstreamTracker::placements() const
+{
+    return m_placements;
+}
+
+const UpstreamRecord *UpstreamTracker::findKvSource(std::uint64_t cacheKey, const UpstreamRecord &destination, base::TimePoint now) const
+{
+    const auto isUsable = [this, &destination, now](std::uint64_t key) {
+        const auto it = m_byIdHash.find(key);
+        return it != m_byIdHash.end() && it->second != &destination && it->second->upstream.pool == destination.upstream.pool
+               && it->second->upstream.phase == UpstreamPhase::Ready && now >= it->second->backoffUntil;
+    };
+    const auto key = m_placements.findHolder(cacheKey, now, isUsable);
+    return key ? m_byIdHash.at(*key) : nullptr;
+}
+
+bool UpstreamTracker::applyReport(const LoadReport &report, base::TimePoint now)
+{
+    if (!m_peers.apply(report, now)) {
+        return false;
+    }
+    for (const PrefixPlacement &placement : report.placements) {
+        m_placements.onPromptSent(placement.cacheKey, placement.upstream, now);
+    }
+    return true;
+}
+
+std::size_t UpstreamTracker::removeSilentPeers(base::TimePoint now)
+{
+    return m_peers.expire(now);
+}
+
+std::size_t UpstreamTracker::peers() const
+{
+    return m_peers.peers();
+}
+
+void UpstreamTracker::markUnreported(UpstreamRecord &record)
+{
+    if (record.isReported) {
+        record.isReported = false;
+        m_unreported.push_back(&record);
+    }
+}
+
+LoadReport UpstreamTracker::takeChanges()
+{
+    LoadReport report;
+    while (!m_unreported.empty() && report.loads.size() < MaxReportRows) {
+        UpstreamRecord &record = *m_unreported.back();
+        m_unreported.pop_back();
+        record.isReported = true;
+        report.loads.push_back(ownLoad(record));
+    }
+    // A prompt that was sent twice since the last call is listed once.
+    report.placements = std::exchange(m_newPlacements, {});
+    std::sort(report.placements.begin(), report.placements.end());
+    report.placements.erase(std::unique(report.placements.begin(), report.placements.end()), report.placements.end());
+    return report;
+}
+
+LoadReport UpstreamTracker::fullReport() const
+{
+    LoadReport report;
+    report.isFullReport = true;
+    for (const auto &[id, record] : m_records) {
+        if (record.inflight > 0 && report.loads.size() < MaxReportRows) {
+            report.loads.push_back(ownLoad(record));
+        }
+    }
+    return report;
+}
+
+TotalLoad UpstreamTracker::totalLoad(const UpstreamRecord &record, std::uint32_t routers, base::TimePoint now) const
+{
+    TotalLoad load;
+    const std::size_t others = routers > 0 ? routers - 1 : 0;
+    if (m_peers.peers() * 2 >= others) {
+        const PeerUpstreamLoad peers = m_peers.at(record.idHash);
+        load.requests = static_cast<double>(record.inflight) + peers.requests;
+        load.prefillTokens = static_cast<double>(record.prefillTokens) + peers.prefillTokens;
+        load.memoryTokens = static_cast<double>(record.inflightTokens) + peers.memoryTokens;
+        return load;
+    }
+    load.requests = record.load(now);
+    // Each router sees only its own prefill load; the routers' shares are about equal.
+    load.prefillTokens = static_cast<double>(record.prefillTokens) * routers;
+    // Assumes that other routers' requests are as large as this router's own.
+    load.memoryTokens = record.inflight == 0 ? 0 : load.requests * static_cast<double>(record.inflightTokens) / record.inflight;
+    return load;
+}
+
+} // namespace carawaylatch::proxy
