--- a/carawaylatch/router.h
+++ b/carawaylatch/router.h
@@ -58,7 +58,7 @@
 //     carawaylatch/membership/memberlist.h who is alive
 //     carawaylatch/store/objectstore.h  the interface that an embedder implements
 //
-// examples/placement.cpp embeds the strategy alone, examples/orderguard.cpp the
+// examples/placement.cpp embeds the strategy alone, examples/orderexecutor.cpp the
 // order desk alone. To build against an installed tree:
 //
 //     find_package(carawaylatch REQUIRED)
--- a/scripts/check.d/install.sh
+++ b/scripts/check.d/install.sh
@@ -9,7 +9,7 @@
 cmake --install "$build" --prefix "$folder/usr" >"$folder/install.log" || { cat "$folder/install.log"; exit 1; }
 cmake -G Ninja -S examples -B "$folder/examples" -DCMAKE_PREFIX_PATH="$folder/usr" -DCMAKE_CXX_COMPILER_LAUNCHER=ccache >"$folder/cmake.log" || { cat "$folder/cmake.log"; exit 1; }
 cmake --build "$folder/examples" >"$folder/build.log" || { cat "$folder/build.log"; exit 1; }
-for name in placement orderguard; do
+for name in placement orderexecutor; do
     echo "-- $name"
     "$folder/examples/$name"
 done
--- a/tools/common/commandline.cpp
+++ b/tools/common/commandline.cpp
@@ -39,7 +39,7 @@
     if (flag == nullptr) {
         return fail(ErrorKind::InvalidArgument, "unknown flag --" + std::string(text.substr(0, equals)) + "; --help lists all flags");
     }
-    std::size_t taken = 1;
+    std::size_t consumed = 1;
     std::string value = "true";
     if (equals != std::string_view::npos) {
         value = text.substr(equals + 1);
@@ -48,13 +48,13 @@
             return fail(ErrorKind::InvalidArgument, "--" + name + " needs a value; write --" + name + "=VALUE");
         }
         value = arguments[1];
-        taken = 2;
+        consumed = 2;
     }
     std::string error;
     if (!flag->ParseFrom(value, &error)) {
         return fail(ErrorKind::InvalidArgument, "--" + name + ": '" + value + "' is not a value of this flag; --help shows what it takes");
     }
-    return taken;
+    return consumed;
 }
 
 } // namespace
@@ -75,23 +75,23 @@
 
 base::Result<std::vector<std::string>> parseCommandLine(std::span<const char *const> arguments)
 {
-    std::vector<std::string> words;
+    std::vector<std::string> operands;
     std::size_t i = 0;
     while (i < arguments.size()) {
         const std::string_view argument = arguments[i];
         if (!argument.starts_with("--")) {
-            words.emplace_back(argument);
+            operands.emplace_back(argument);
             ++i;
             continue;
         }
         if (argument == "--") {
-            words.insert(words.end(), arguments.begin() + static_cast<std::ptrdiff_t>(i) + 1, arguments.end());
+            operands.insert(operands.end(), arguments.begin() + static_cast<std::ptrdiff_t>(i) + 1, arguments.end());
             break;
         }
-        BOOST_OUTCOME_TRY(taken, parseFlag(arguments.subspan(i)));
-        i += taken;
+        BOOST_OUTCOME_TRY(consumed, parseFlag(arguments.subspan(i)));
+        i += consumed;
     }
-    return words;
+    return operands;
 }
 
 std::string flagsHelp(std::string_view folder)
--- a/tools/ctl/applycommand.cpp
+++ b/tools/ctl/applycommand.cpp
@@ -27,23 +27,23 @@
 }
 
 // Returns how many of the router and its live peers have the revision in force, and of how many.
-struct Spread
+struct RolloutStatus
 {
     std::size_t inForce = 0;
     std::size_t routers = 0;
 };
 
-base::Result<Spread> readSpread(RouterClient &router, base::Revision revision)
+base::Result<RolloutStatus> readRolloutStatus(RouterClient &router, base::Revision revision)
 {
     BOOST_OUTCOME_TRY(text, router.status());
     const auto json = nlohmann::json::parse(text, nullptr, false);
     if (!json.is_object() || !json.contains("router") || !json.contains("peers")) {
         return base::fail(base::ErrorKind::Internal, "the router's status can't be read; use tools and routers of the same version");
     }
-    Spread spread;
+    RolloutStatus rollout;
     const auto count = [&](const nlohmann::json &row) {
-        ++spread.routers;
-        spread.inForce += row.value("revision", std::uint64_t{0}) >= revision.value ? 1 : 0;
+        ++rollout.routers;
+        rollout.inForce += row.value("revision", std::uint64_t{0}) >= revision.value ? 1 : 0;
     };
     count(json["router"]);
     for (const auto &it : json["peers"]) {
@@ -51,31 +51,32 @@
             count(it);
         }
     }
-    return spread;
+    return rollout;
 }
 
-base::Result<Spread> waitForRouters(CommandContext &context, base::Revision revision)
+base::Result<RolloutStatus> waitForRouters(CommandContext &context, base::Revision revision)
 {
     const base::SteadyClock clock;
     const auto end = clock.now() + context.options.wait;
     for (;;) {
-        BOOST_OUTCOME_TRY(spread, readSpread(context.router, revision));
-        if (spread.inForce == spread.routers) {
-            return spread;
+        BOOST_OUTCOME_TRY(rollout, readRolloutStatus(context.router, revision));
+        if (rollout.inForce == rollout.routers) {
+            return rollout;
         }
         if (clock.now() >= end) {
             return base::fail(base::ErrorKind::Overloaded, "accepted as revision " + std::to_string(revision.value) + ", in force at "
-                                                               + std::to_string(spread.inForce) + " of " + std::to_string(spread.routers)
+                                                               + std::to_string(rollout.inForce) + " of " + std::to_string(rollout.routers)
                                                                + " routers when the wait ended; 'status' shows which lag");
         }
         std::this_thread::sleep_for(PollInterval);
     }
 }
 
-void print(CommandContext &context, const config::RowSet &before, const config::Edit &edit, const config::Accepted &accepted, const Spread &spread)
+void printResult(CommandContext &context, const config::RowSet &before, const config::Edit &edit, const config::Accepted &accepted,
+                 const RolloutStatus &rollout)
 {
     const bool isDryRun = context.options.applyMode == ApplyMode::DryRun;
-    if (context.options.output == OutputForm::Json) {
+    if (context.options.output == OutputFormat::Json) {
         const nlohmann::ordered_json json{{"accepted", !isDryRun},
                                           {"revision", accepted.revision.value},
                                           {"changed_rows", accepted.changedRows},
@@ -91,14 +92,14 @@
     } else {
         context.out << "accepted as revision " << accepted.revision.value << ", " << accepted.changedRows << " rows changed\n";
     }
-    if (spread.routers > 0) {
-        context.out << "in force at " << spread.inForce << " of " << spread.routers << " routers\n";
+    if (rollout.routers > 0) {
+        context.out << "in force at " << rollout.inForce << " of " << rollout.routers << " routers\n";
     }
 }
 
 base::Result<void> runApply(CommandContext &context)
 {
-    if (context.words.empty() && context.options.removals.empty()) {
+    if (context.operands.empty() && context.options.removals.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, "nothing to apply; name a file or use --remove");
     }
     config::HeadStore store(context.objects);
@@ -113,12 +114,12 @@
     const bool isDryRun = context.options.applyMode == ApplyMode::DryRun;
     BOOST_OUTCOME_TRY(accepted, isDryRun ? store.dryRun(edit) : store.apply(edit));
     const bool isNew = accepted.changedRows > 0 && !isDryRun;
-    Spread spread;
+    RolloutStatus rollout;
     if (isNew && context.options.wait > base::Duration{}) {
         BOOST_OUTCOME_TRY(reached, waitForRouters(context, accepted.revision));
-        spread = reached;
+        rollout = reached;
     }
-    print(context, stored.rows, edit, accepted, spread);
+    printResult(context, stored.rows, edit, accepted, rollout);
     return base::ok();
 }
 
--- a/tools/ctl/checkcommand.cpp
+++ b/tools/ctl/checkcommand.cpp
@@ -14,9 +14,9 @@
 
 base::Result<void> runCheck(CommandContext &context)
 {
-    BOOST_OUTCOME_TRY(rows, readTableFiles(context.words));
-    BOOST_OUTCOME_TRY(tables, config::toTables(rows, context.words.size() == 1 ? context.words.front() : "tables"));
-    if (context.options.output == OutputForm::Json) {
+    BOOST_OUTCOME_TRY(rows, readTableFiles(context.operands));
+    BOOST_OUTCOME_TRY(tables, config::toTables(rows, context.operands.size() == 1 ? context.operands.front() : "tables"));
+    if (context.options.output == OutputFormat::Json) {
         const nlohmann::ordered_json json{
             {"valid", true}, {"customers", tables.customers.size()}, {"pools", tables.pools.size()}, {"routes", tables.routes.size()}};
         context.out << json.dump() << '\n';
--- a/tools/ctl/command.cpp
+++ b/tools/ctl/command.cpp
@@ -18,10 +18,10 @@
 
 base::Result<void> runCommand(CommandContext &context)
 {
-    if (context.words.empty()) {
+    if (context.operands.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, "no command; --help lists all commands");
     }
-    const auto name = context.words.front();
+    const auto name = context.operands.front();
     const auto commands = allCommands();
     const auto it = std::find_if(commands.begin(), commands.end(), [&](const Command *command) {
         return command->name == name;
@@ -29,9 +29,9 @@
     if (it == commands.end()) {
         return base::fail(base::ErrorKind::InvalidArgument, "unknown command '" + name + "'; --help lists all commands");
     }
-    context.words.erase(context.words.begin());
-    if (context.words.size() < (*it)->minWords || context.words.size() > (*it)->maxWords) {
-        return base::fail(base::ErrorKind::InvalidArgument, "write: carawaylatchctl " + name + " " + std::string((*it)->words));
+    context.operands.erase(context.operands.begin());
+    if (context.operands.size() < (*it)->minOperands || context.operands.size() > (*it)->maxOperands) {
+        return base::fail(base::ErrorKind::InvalidArgument, "write: carawaylatchctl " + name + " " + std::string((*it)->operands));
     }
     return (*it)->run(context);
 }
--- a/tools/ctl/command.h
+++ b/tools/ctl/command.h
@@ -22,7 +22,7 @@
 // Most files that one command takes.
 constexpr std::size_t MaxFiles = 100;
 
-enum class OutputForm {
+enum class OutputFormat {
     Text,
     Json,
 };
@@ -40,7 +40,7 @@
 // Flags of the command line that commands read.
 struct CommandOptions
 {
-    OutputForm output = OutputForm::Text;
+    OutputFormat output = OutputFormat::Text;
     ApplyMode applyMode = ApplyMode::Accept;
     TableScope scope = TableScope::NamedRows;
     std::string author;
@@ -57,7 +57,7 @@
 struct CommandContext
 {
     const CommandOptions &options;
-    std::vector<std::string> words; // after the command's name
+    std::vector<std::string> operands; // after the command's name
     store::ObjectStore &objects;
     RouterClient &router;
     std::ostream &out;
@@ -66,10 +66,10 @@
 struct Command
 {
     std::string_view name;
-    std::string_view words; // such as "FILE..."
+    std::string_view operands; // such as "FILE..."
     std::string_view help; // one line
-    std::size_t minWords = 0;
-    std::size_t maxWords = 0;
+    std::size_t minOperands = 0;
+    std::size_t maxOperands = 0;
     base::Result<void> (*run)(CommandContext &context) = nullptr;
 };
 
--- a/tools/ctl/diffcommand.cpp
+++ b/tools/ctl/diffcommand.cpp
@@ -18,7 +18,7 @@
     config::HeadStore store(context.objects);
     BOOST_OUTCOME_TRY(stored, store.load());
     BOOST_OUTCOME_TRY(changes, changesFor(context, stored.rows));
-    if (context.options.output == OutputForm::Json) {
+    if (context.options.output == OutputFormat::Json) {
         const nlohmann::ordered_json json{{"revision", stored.rows.revision.value}, {"changes", changesJson(stored.rows, changes)}};
         context.out << json.dump(2) << '\n';
         return base::ok();
--- a/tools/ctl/draincommand.cpp
+++ b/tools/ctl/draincommand.cpp
@@ -11,27 +11,27 @@
 namespace
 {
 
-base::Result<void> print(CommandContext &context, const base::Result<std::string> &answer, std::string_view text)
+base::Result<void> printResult(CommandContext &context, const base::Result<std::string> &response, std::string_view text)
 {
-    if (!answer) {
-        return answer.error();
+    if (!response) {
+        return response.error();
     }
-    if (context.options.output == OutputForm::Json) {
-        context.out << answer.value() << '\n';
+    if (context.options.output == OutputFormat::Json) {
+        context.out << response.value() << '\n';
     } else {
-        context.out << context.words.front() << text << '\n';
+        context.out << context.operands.front() << text << '\n';
     }
     return base::ok();
 }
 
 base::Result<void> runDrain(CommandContext &context)
 {
-    return print(context, context.router.drain(context.words.front()), " is leaving: no new work within 3 seconds; what it runs is finished");
+    return printResult(context, context.router.drain(context.operands.front()), " is leaving: no new work within 3 seconds; what it runs is finished");
 }
 
 base::Result<void> runUndrain(CommandContext &context)
 {
-    return print(context, context.router.undrain(context.words.front()), " takes work again");
+    return printResult(context, context.router.undrain(context.operands.front()), " takes work again");
 }
 
 } // namespace
--- a/tools/ctl/getcommand.cpp
+++ b/tools/ctl/getcommand.cpp
@@ -16,7 +16,7 @@
 {
     config::HeadStore store(context.objects);
     BOOST_OUTCOME_TRY(stored, store.load());
-    if (context.options.output == OutputForm::Text) {
+    if (context.options.output == OutputFormat::Text) {
         context.out << "; revision " << stored.rows.revision.value << "\n" << config::formatRows(stored.rows);
         return base::ok();
     }
--- a/tools/ctl/historycommand.cpp
+++ b/tools/ctl/historycommand.cpp
@@ -44,7 +44,7 @@
 {
     config::HeadStore store(context.objects);
     BOOST_OUTCOME_TRY(edits, store.history(context.options.historyLimit));
-    if (context.options.output == OutputForm::Json) {
+    if (context.options.output == OutputFormat::Json) {
         auto array = nlohmann::ordered_json::array();
         for (const auto &it : edits) {
             array.push_back(editJson(it));
--- a/tools/ctl/main.cpp
+++ b/tools/ctl/main.cpp
@@ -49,7 +49,7 @@
 {
     std::cout << "carawaylatchctl [flags] COMMAND: checks, applies and shows the configuration of carawaylatch\n\n";
     for (const auto *it : allCommands()) {
-        const std::string usage = std::string(it->name) + " " + std::string(it->words);
+        const std::string usage = std::string(it->name) + " " + std::string(it->operands);
         std::cout << "  " << usage << std::string(usage.size() < 18 ? 18 - usage.size() : 1, ' ') << it->help << '\n';
     }
     std::cout << '\n' << tools::flagsHelp("tools/ctl/");
@@ -77,7 +77,7 @@
     if (output != "text" && output != "json") {
         return base::fail(base::ErrorKind::InvalidArgument, "--output: write text or json");
     }
-    options.output = output == "json" ? OutputForm::Json : OutputForm::Text;
+    options.output = output == "json" ? OutputFormat::Json : OutputFormat::Text;
     options.applyMode = absl::GetFlag(FLAGS_dry_run) ? ApplyMode::DryRun : ApplyMode::Accept;
     options.scope = absl::GetFlag(FLAGS_whole) ? TableScope::Whole : TableScope::NamedRows;
     options.author = authorName();
@@ -95,22 +95,22 @@
     return options;
 }
 
-base::Result<void> runWords(std::vector<std::string> words)
+base::Result<void> runOperands(std::vector<std::string> operands)
 {
     BOOST_OUTCOME_TRY(options, optionsFromFlags());
     BOOST_OUTCOME_TRY(platform, tools::parseEndpointFlag("platform", absl::GetFlag(FLAGS_platform)));
     BOOST_OUTCOME_TRY(router, tools::parseEndpointFlag("router", absl::GetFlag(FLAGS_router)));
     store::HttpObjectStore objects(platform, base::FailureDomain(absl::GetFlag(FLAGS_failure_domain)), base::milliseconds{absl::GetFlag(FLAGS_timeout_ms)});
     const auto client = makeHttpRouterClient(router);
-    CommandContext context{options, std::move(words), objects, *client, std::cout};
+    CommandContext context{options, std::move(operands), objects, *client, std::cout};
     return runCommand(context);
 }
 
 int run(std::span<const char *const> arguments)
 {
-    auto words = tools::parseCommandLine(arguments);
-    if (!words) {
-        return fail(words.error());
+    auto operands = tools::parseCommandLine(arguments);
+    if (!operands) {
+        return fail(operands.error());
     }
     if (absl::GetFlag(FLAGS_help)) {
         printHelp();
@@ -120,7 +120,7 @@
         std::cout << "carawaylatchctl 0.1.0\n";
         return 0;
     }
-    const auto done = runWords(std::move(words).value());
+    const auto done = runOperands(std::move(operands).value());
     return done ? 0 : fail(done.error());
 }
 
--- a/tools/ctl/pagecommands.cpp
+++ b/tools/ctl/pagecommands.cpp
@@ -24,7 +24,7 @@
 
 base::Result<void> runDigest(CommandContext &context)
 {
-    context.out << config::keyDigest(context.words.front()) << '\n';
+    context.out << config::keyDigest(context.operands.front()) << '\n';
     return base::ok();
 }
 
--- a/tools/ctl/routerclient.cpp
+++ b/tools/ctl/routerclient.cpp
@@ -43,7 +43,7 @@
 {
 public:
     explicit HttpRouterClient(const base::Endpoint &router)
-        : m_where(router.address + ":" + std::to_string(router.port))
+        : m_address(router.address + ":" + std::to_string(router.port))
         , m_client(router.address, router.port)
     {
         m_client.set_connection_timeout(base::seconds{2});
@@ -65,7 +65,7 @@
         return result(m_client.Post("/v1/undrain", json{{"upstream", upstream}}.dump(), "application/json"));
     }
 
-    base::Result<std::string> explain(const ExplainCall &call) override
+    base::Result<std::string> explain(const ExplainRequest &call) override
     {
         httplib::Headers headers{{"Authorization", "Bearer " + call.customerKey}};
         if (!call.trafficClass.empty()) {
@@ -75,19 +75,19 @@
     }
 
 private:
-    base::Result<std::string> result(const httplib::Result &answer) const
+    base::Result<std::string> result(const httplib::Result &response) const
     {
-        if (!answer) {
-            return base::fail(base::ErrorKind::Unavailable, "router " + m_where + " was not reached (" + httplib::to_string(answer.error())
+        if (!response) {
+            return base::fail(base::ErrorKind::Unavailable, "router " + m_address + " was not reached (" + httplib::to_string(response.error())
                                                                 + "); check --router, which takes the operators' port, and try again");
         }
-        if (answer->status != StatusOk) {
-            return base::fail(kindOf(answer->status), "router " + m_where + ": " + errorMessage(answer->body));
+        if (response->status != StatusOk) {
+            return base::fail(kindOf(response->status), "router " + m_address + ": " + errorMessage(response->body));
         }
-        return answer->body;
+        return response->body;
     }
 
-    std::string m_where;
+    std::string m_address;
     httplib::Client m_client;
 };
 
--- a/tools/ctl/routerclient.h
+++ b/tools/ctl/routerclient.h
@@ -12,7 +12,7 @@
 {
 
 // A call of POST /v1/explain: a caller's request.
-struct ExplainCall
+struct ExplainRequest
 {
     std::string customerKey;
     std::string trafficClass; // empty for the default
@@ -27,7 +27,7 @@
     [[nodiscard]] virtual base::Result<std::string> status() = 0;
     [[nodiscard]] virtual base::Result<std::string> drain(std::string_view upstream) = 0;
     [[nodiscard]] virtual base::Result<std::string> undrain(std::string_view upstream) = 0;
-    [[nodiscard]] virtual base::Result<std::string> explain(const ExplainCall &call) = 0;
+    [[nodiscard]] virtual base::Result<std::string> explain(const ExplainRequest &call) = 0;
 };
 
 // Returns a client of one router over HTTP.
--- a/tools/ctl/statuscommand.cpp
+++ b/tools/ctl/statuscommand.cpp
@@ -101,7 +101,7 @@
 base::Result<void> runStatus(CommandContext &context)
 {
     BOOST_OUTCOME_TRY(text, context.router.status());
-    if (context.options.output == OutputForm::Json) {
+    if (context.options.output == OutputFormat::Json) {
         context.out << text << '\n';
         return base::ok();
     }
--- a/tools/ctl/tablefiles.cpp
+++ b/tools/ctl/tablefiles.cpp
@@ -57,7 +57,7 @@
 
 base::Result<std::vector<config::RowChange>> changesFor(const CommandContext &context, const config::RowSet &current)
 {
-    BOOST_OUTCOME_TRY(wanted, readTableFiles(context.words));
+    BOOST_OUTCOME_TRY(wanted, readTableFiles(context.operands));
     const auto scope = context.options.scope == TableScope::Whole ? config::FileScope::Whole : config::FileScope::Rows;
     auto changes = config::changesBetween(current, wanted, scope);
     for (const auto &label : context.options.removals) {
--- a/tools/ctl/testing/ctltest.cpp
+++ b/tools/ctl/testing/ctltest.cpp
@@ -43,33 +43,33 @@
         report.router.revision = revision;
         report.peers.push_back({.id = base::RouterId("router-2"), .domain = {}, .revision = revision});
         report.upstreams.push_back({.id = base::UpstreamId("engine-1"), .pool = {}, .domain = {}, .endpoint = {}, .state = telemetry::UpstreamState::Leaving});
-        return answer(telemetry::renderStatusJson(report));
+        return respond(telemetry::renderStatusJson(report));
     }
     base::Result<std::string> drain(std::string_view upstream) override
     {
         if (upstream != "engine-1") {
             return base::fail(base::ErrorKind::Forbidden, "no upstream " + std::string(upstream) + "; 'status' lists all");
         }
-        return answer("{}");
+        return respond("{}");
     }
     base::Result<std::string> undrain(std::string_view upstream) override
     {
         return drain(upstream);
     }
-    base::Result<std::string> explain(const ExplainCall &call) override
+    base::Result<std::string> explain(const ExplainRequest &call) override
     {
         lastExplain = call;
         telemetry::ExplainReport report;
         report.chosen = base::UpstreamId("engine-1");
-        return answer(telemetry::renderExplainJson(report));
+        return respond(telemetry::renderExplainJson(report));
     }
 
     bool isReachable = true;
     base::Revision revision;
-    ExplainCall lastExplain;
+    ExplainRequest lastExplain;
 
 private:
-    base::Result<std::string> answer(std::string body) const
+    base::Result<std::string> respond(std::string body) const
     {
         if (!isReachable) {
             return base::fail(base::ErrorKind::Unavailable, "router was not reached; check --router");
@@ -87,7 +87,7 @@
     CPPUNIT_TEST(testApplyGetDiffHistory);
     CPPUNIT_TEST(testDryRunWritesNothing);
     CPPUNIT_TEST(testRemoveAndWhole);
-    CPPUNIT_TEST(testRacingEditOfTheSameRowIsRefused);
+    CPPUNIT_TEST(testConflictingEditIsRefused);
     CPPUNIT_TEST(testPlatformDown);
     CPPUNIT_TEST(testWaitForRouters);
     CPPUNIT_TEST(testRouterCommands);
@@ -112,7 +112,7 @@
     {
         struct Row
         {
-            std::vector<std::string> words;
+            std::vector<std::string> operands;
             ExitCode code;
             std::string message;
         };
@@ -135,7 +135,7 @@
             {{"drain", "engine-1"}, ExitCode::Done, ""},
         };
         for (const auto &row : rows) {
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.words.empty() ? "none" : row.words.front() + m_message, static_cast<int>(row.code), run(row.words));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.operands.empty() ? "none" : row.operands.front() + m_message, static_cast<int>(row.code), run(row.operands));
             CPPUNIT_ASSERT_MESSAGE(row.message + " is not in: " + m_message, m_message.find(row.message) != std::string::npos);
         }
     }
@@ -185,7 +185,7 @@
         CPPUNIT_ASSERT_MESSAGE(m_text, m_text.find("[pool readers] removed") != std::string::npos);
     }
 
-    void testRacingEditOfTheSameRowIsRefused()
+    void testConflictingEditIsRefused()
     {
         CPPUNIT_ASSERT_EQUAL(0, run({"apply", file("all.ini")}));
         CPPUNIT_ASSERT_EQUAL(0, run({"get"}));
@@ -243,7 +243,7 @@
     void testEveryCommandHasHelpAndJson()
     {
         CPPUNIT_ASSERT_EQUAL(0, run({"apply", file("all.ini")}));
-        m_options.output = OutputForm::Json;
+        m_options.output = OutputFormat::Json;
         for (const auto *command : allCommands()) {
             CPPUNIT_ASSERT_MESSAGE(std::string(command->name), !command->help.empty());
         }
@@ -270,7 +270,7 @@
 
 private:
     // Runs a command; returns its exit code and keeps text and message.
-    int run(std::vector<std::string> words)
+    int run(std::vector<std::string> operands)
     {
         std::ostringstream out;
         ++m_options.editSeed;
@@ -278,7 +278,7 @@
         if (m_isPlatformDown) {
             down.inject(store::StoreFault::Down);
         }
-        CommandContext context{m_options, std::move(words), down, m_router, out};
+        CommandContext context{m_options, std::move(operands), down, m_router, out};
         const auto done = runCommand(context);
         m_text = out.str();
         m_message = done ? "" : done.error().message;
--- a/tools/load/caller.cpp
+++ b/tools/load/loadclient.cpp
@@ -4,7 +4,7 @@
 // arrives; the times of the tokens are taken there. Of a refused call the body
 // is kept and its error read. httplib reports a body that ended early as a read
 // error, which is what tells an aborted transfer from a clean end.
-#include "tools/load/caller.h"
+#include "tools/load/loadclient.h"
 
 #include <httplib.h>
 #include <nlohmann/json.hpp>
@@ -72,12 +72,12 @@
         result.status = status;
         if (status != StatusOk && status != 0) {
             const auto error = parseErrorBody(m_errorBody);
-            result.end = CallEnd::Refused;
+            result.end = CallOutcome::Refused;
             result.errorType = error.type;
             result.retryAfter = error.retryAfter;
             return result;
         }
-        result.end = CallEnd::Streamed;
+        result.end = CallOutcome::Streamed;
         result.verdict = m_verifier.finish(end);
         result.errorType = m_verifier.errorType();
         result.usage = m_verifier.usage();
@@ -128,10 +128,10 @@
 
 } // namespace
 
-class Caller::Clients
+class LoadClient::Connections
 {
 public:
-    explicit Clients(const CallerOptions &options)
+    explicit Connections(const LoadClientOptions &options)
     {
         for (const auto &it : options.targets) {
             auto client = std::make_unique<httplib::Client>(it.address, it.port);
@@ -146,14 +146,14 @@
     std::vector<std::unique_ptr<httplib::Client>> clients;
 };
 
-Caller::Caller(const CallerOptions &options)
-    : m_clients(std::make_unique<Clients>(options))
+LoadClient::LoadClient(const LoadClientOptions &options)
+    : m_connections(std::make_unique<Connections>(options))
 {
 }
 
-Caller::~Caller() = default;
+LoadClient::~LoadClient() = default;
 
-CompletionResult Caller::complete(std::size_t target, const CompletionCall &call)
+CompletionResult LoadClient::complete(std::size_t target, const CompletionRequest &call)
 {
     httplib::Request request;
     request.method = "POST";
@@ -175,39 +175,39 @@
         receiver.receive(status, std::string_view(data, n));
         return true;
     };
-    const auto answer = m_clients->clients.at(target)->send(request);
-    if (!answer && answer.error() == httplib::Error::Connection) {
+    const auto result = m_connections->clients.at(target)->send(request);
+    if (!result && result.error() == httplib::Error::Connection) {
         return {};
     }
-    return receiver.result(status, answer ? TransferEnd::Clean : TransferEnd::Broken);
+    return receiver.result(status, result ? TransferEnd::Clean : TransferEnd::Broken);
 }
 
-OrderAnswer Caller::order(std::size_t target, const OrderCall &call)
+OrderResponse LoadClient::order(std::size_t target, const OrderRequest &call)
 {
-    OrderAnswer answer;
-    answer.key = call.orderKey;
-    answer.target = target;
-    answer.sentAt = now();
+    OrderResponse result;
+    result.key = call.orderKey;
+    result.target = target;
+    result.sentAt = now();
     auto headers = headersOf(call.bearerKey);
     headers.erase("Content-Type");
     headers.emplace("Idempotency-Key", call.orderKey);
-    const auto response = m_clients->clients.at(target)->Post("/v1/services/" + call.route + "/orders", headers, call.body, "application/json");
-    answer.answeredAt = now();
+    const auto response = m_connections->clients.at(target)->Post("/v1/services/" + call.route + "/orders", headers, call.body, "application/json");
+    result.receivedAt = now();
     if (!response) {
-        answer.outcome = response.error() == httplib::Error::Connection ? "not_reached" : "unclear";
-        return answer;
+        result.outcome = response.error() == httplib::Error::Connection ? "not_reached" : "unclear";
+        return result;
     }
-    answer.status = response->status;
-    answer.isReplayed = response->get_header_value("X-Order-Replayed") == "true";
-    answer.outcome = response->get_header_value("X-Order-Outcome");
-    if (answer.status != StatusOk) {
-        answer.errorType = parseErrorBody(response->body).type;
+    result.status = response->status;
+    result.isReplayed = response->get_header_value("X-Order-Replayed") == "true";
+    result.outcome = response->get_header_value("X-Order-Outcome");
+    if (result.status != StatusOk) {
+        result.errorType = parseErrorBody(response->body).type;
     }
-    if (answer.outcome.empty()) {
-        answer.outcome = "refused";
+    if (result.outcome.empty()) {
+        result.outcome = "refused";
     }
-    answer.isForeign = answer.outcome == "done" && isForeignOrder(response->body, call.orderKey);
-    return answer;
+    result.isForeign = result.outcome == "done" && isForeignOrder(response->body, call.orderKey);
+    return result;
 }
 
 } // namespace carawaylatch::load
--- a/tools/load/caller.h
+++ b/tools/load/loadclient.h
@@ -18,13 +18,13 @@
 namespace carawaylatch::load
 {
 
-struct CallerOptions
+struct LoadClientOptions
 {
     std::vector<base::Endpoint> targets;
     base::Duration timeout = base::seconds{60}; // of a connection without any byte
 };
 
-struct CompletionCall
+struct CompletionRequest
 {
     std::string key; // bearer key
     std::string model;
@@ -35,7 +35,7 @@
     std::string requestId;
 };
 
-enum class CallEnd {
+enum class CallOutcome {
     Streamed, // status 200; the verdict tells more
     Refused, // an error status; the body names the code
     NotReached, // no connection: nothing was sent
@@ -43,7 +43,7 @@
 
 struct CompletionResult
 {
-    CallEnd end = CallEnd::NotReached;
+    CallOutcome end = CallOutcome::NotReached;
     StreamVerdict verdict = StreamVerdict::Aborted; // of a streamed answer
     int status = 0;
     std::string errorType; // of a refusal or an explicit error
@@ -53,7 +53,7 @@
     std::vector<base::Duration> gaps; // between tokens
 };
 
-struct OrderCall
+struct OrderRequest
 {
     std::string bearerKey;
     std::string route;
@@ -63,7 +63,7 @@
 
 // One answer to an order; `outcome` is X-Order-Outcome, or "refused", "unclear"
 // (sent without an answer) or "not_reached" where there is none.
-struct OrderAnswer
+struct OrderResponse
 {
     std::string key;
     std::size_t target = 0;
@@ -73,23 +73,23 @@
     bool isReplayed = false;
     bool isForeign = false; // the body names another order
     base::TimePoint sentAt;
-    base::TimePoint answeredAt;
+    base::TimePoint receivedAt;
 };
 
-class Caller
+class LoadClient
 {
 public:
-    explicit Caller(const CallerOptions &options);
-    ~Caller();
-    Caller(const Caller &) = delete;
-    Caller &operator=(const Caller &) = delete;
+    explicit LoadClient(const LoadClientOptions &options);
+    ~LoadClient();
+    LoadClient(const LoadClient &) = delete;
+    LoadClient &operator=(const LoadClient &) = delete;
 
-    [[nodiscard]] CompletionResult complete(std::size_t target, const CompletionCall &call);
-    [[nodiscard]] OrderAnswer order(std::size_t target, const OrderCall &call);
+    [[nodiscard]] CompletionResult complete(std::size_t target, const CompletionRequest &call);
+    [[nodiscard]] OrderResponse order(std::size_t target, const OrderRequest &call);
 
 private:
-    class Clients;
-    std::unique_ptr<Clients> m_clients;
+    class Connections;
+    std::unique_ptr<Connections> m_connections;
 };
 
 } // namespace carawaylatch::load
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -10,7 +10,7 @@
 
 #include "carawaylatch/config/valuetext.h"
 #include "tools/common/commandline.h"
-#include "tools/load/judge.h"
+#include "tools/load/orderverifier.h"
 #include "tools/load/runner.h"
 
 ABSL_FLAG(std::string, target, "127.0.0.1:8080", "callers' ports of the routers, ADDR:PORT,...");
@@ -82,7 +82,7 @@
     return options;
 }
 
-base::Result<void> judge(Report &report)
+base::Result<void> verifyReport(Report &report)
 {
     BOOST_OUTCOME_TRY(services, endpointsOf("judge", absl::GetFlag(FLAGS_judge)));
     std::vector<JournalEntry> journal;
@@ -90,9 +90,9 @@
         BOOST_OUTCOME_TRY(entries, fetchJournal(it));
         journal.insert(journal.end(), entries.begin(), entries.end());
     }
-    report.judgedServices = services.size();
+    report.verifiedServices = services.size();
     if (!services.empty()) {
-        report.judgement = judgeOrders(report.orders, journal);
+        report.verification = verifyOrders(report.orders, journal);
     }
     return base::ok();
 }
@@ -105,9 +105,9 @@
 
 int run(std::span<const char *const> arguments)
 {
-    const auto words = tools::parseCommandLine(arguments);
-    if (!words) {
-        return fail(words.error());
+    const auto operands = tools::parseCommandLine(arguments);
+    if (!operands) {
+        return fail(operands.error());
     }
     if (absl::GetFlag(FLAGS_help)) {
         std::cout << "carawaylatch-load [flags]: replays a workload against routers and judges the answers\n" << tools::flagsHelp("tools/load/");
@@ -117,16 +117,16 @@
         std::cout << "carawaylatch-load 0.1.0\n";
         return 0;
     }
-    if (!words.value().empty()) {
-        return fail(base::fail(base::ErrorKind::InvalidArgument, "unexpected word '" + words.value().front() + "'; --help shows the flags"));
+    if (!operands.value().empty()) {
+        return fail(base::fail(base::ErrorKind::InvalidArgument, "unexpected word '" + operands.value().front() + "'; --help shows the flags"));
     }
     const auto options = optionsFromFlags();
     if (!options) {
         return fail(options.error());
     }
     auto report = runLoad(options.value());
-    if (const auto judged = judge(report); !judged) {
-        return fail(judged.error());
+    if (const auto verified = verifyReport(report); !verified) {
+        return fail(verified.error());
     }
     std::cout << renderText(report);
     if (const auto path = absl::GetFlag(FLAGS_report); !path.empty()) {
@@ -136,7 +136,7 @@
             return fail(base::fail(base::ErrorKind::InvalidArgument, "can't write the report " + path + "; choose a file in a folder that exists"));
         }
     }
-    if (report.brokenPromises() > 0) {
+    if (report.totalViolations() > 0) {
         return static_cast<int>(ExitCode::Refused);
     }
     return static_cast<int>(report.requests > 0 && report.notReached == report.requests ? ExitCode::Unreachable : ExitCode::Done);
--- a/tools/load/judge.cpp
+++ b/tools/load/orderverifier.cpp
@@ -9,7 +9,7 @@
 //
 // A router may send the key to the service with the customer's name in front;
 // both forms are taken as the same order.
-#include "tools/load/judge.h"
+#include "tools/load/orderverifier.h"
 
 #include <httplib.h>
 #include <nlohmann/json.hpp>
@@ -23,15 +23,15 @@
 namespace
 {
 
-using AnswersByKey = std::map<std::string, std::vector<const OrderAnswer *>, std::less<>>;
+using ResponsesByKey = std::map<std::string, std::vector<const OrderResponse *>, std::less<>>;
 
-std::map<std::string, std::uint64_t> countRuns(const AnswersByKey &answers, std::span<const JournalEntry> journal)
+std::map<std::string, std::uint64_t> countRuns(const ResponsesByKey &responses, std::span<const JournalEntry> journal)
 {
     std::map<std::string, std::uint64_t> runs;
     for (const auto &it : journal) {
         const auto slash = it.key.rfind('/');
         const auto key = slash == std::string::npos ? it.key : it.key.substr(slash + 1);
-        if (answers.contains(key)) {
+        if (responses.contains(key)) {
             ++runs[key];
         }
     }
@@ -44,15 +44,15 @@
     False,
 };
 
-NotRunVerdict judgeNotRun(const std::vector<const OrderAnswer *> &answers)
+NotRunVerdict verifyNotRun(const std::vector<const OrderResponse *> &responses)
 {
     auto verdict = NotRunVerdict::Absent;
-    for (const auto *it : answers) {
+    for (const auto *it : responses) {
         if (it->outcome != "not_run") {
             continue;
         }
-        const bool isLast = std::all_of(answers.begin(), answers.end(), [it](const auto *other) {
-            return other == it || other->answeredAt <= it->answeredAt;
+        const bool isLast = std::all_of(responses.begin(), responses.end(), [it](const auto *other) {
+            return other == it || other->receivedAt <= it->receivedAt;
         });
         if (isLast) {
             return NotRunVerdict::False;
@@ -64,51 +64,51 @@
 
 } // namespace
 
-Judgement judgeOrders(std::span<const OrderAnswer> answers, std::span<const JournalEntry> journal)
+OrderVerification verifyOrders(std::span<const OrderResponse> responses, std::span<const JournalEntry> journal)
 {
-    AnswersByKey byKey;
-    for (const auto &it : answers) {
+    ResponsesByKey byKey;
+    for (const auto &it : responses) {
         byKey[it.key].push_back(&it);
     }
     const auto runs = countRuns(byKey, journal);
-    Judgement judgement;
-    judgement.ordersJudged = byKey.size();
+    OrderVerification verification;
+    verification.ordersVerified = byKey.size();
     for (const auto &[key, list] : byKey) {
         const auto found = runs.find(key);
         const std::uint64_t n = found == runs.end() ? 0 : found->second;
         const bool isDone = std::any_of(list.begin(), list.end(), [](const auto *it) {
             return it->outcome == "done";
         });
-        judgement.ranOnce += n == 1 ? 1 : 0;
+        verification.ranOnce += n == 1 ? 1 : 0;
         if (n > 1) {
-            judgement.ranTwice.push_back(key);
+            verification.ranTwice.push_back(key);
         }
         if (n == 0 && isDone) {
-            judgement.doneWithoutRun.push_back(key);
+            verification.doneWithoutRun.push_back(key);
         }
         if (n > 0) {
-            const auto verdict = judgeNotRun(list);
-            judgement.ambiguous += verdict == NotRunVerdict::Ambiguous ? 1 : 0;
+            const auto verdict = verifyNotRun(list);
+            verification.ambiguous += verdict == NotRunVerdict::Ambiguous ? 1 : 0;
             if (verdict == NotRunVerdict::False) {
-                judgement.notRunButRan.push_back(key);
+                verification.notRunButRan.push_back(key);
             }
         }
     }
-    return judgement;
+    return verification;
 }
 
 base::Result<std::vector<JournalEntry>> fetchJournal(const base::Endpoint &service)
 {
     httplib::Client client(service.address, service.port);
     client.set_connection_timeout(base::seconds{2});
-    const auto answer = client.Get("/journal");
-    const auto where = service.address + ":" + std::to_string(service.port);
-    if (!answer || answer->status != 200) {
-        return base::fail(base::ErrorKind::Unavailable, "no journal from the service " + where + "; check --judge");
+    const auto response = client.Get("/journal");
+    const auto address = service.address + ":" + std::to_string(service.port);
+    if (!response || response->status != 200) {
+        return base::fail(base::ErrorKind::Unavailable, "no journal from the service " + address + "; check --judge");
     }
-    const auto body = nlohmann::json::parse(answer->body, nullptr, false);
+    const auto body = nlohmann::json::parse(response->body, nullptr, false);
     if (!body.is_object() || !body.contains("items")) {
-        return base::fail(base::ErrorKind::Unavailable, where + " answers no journal; --judge takes service stand-ins");
+        return base::fail(base::ErrorKind::Unavailable, address + " answers no journal; --judge takes service stand-ins");
     }
     std::vector<JournalEntry> entries;
     for (const auto &it : body["items"]) {
--- a/tools/load/judge.h
+++ b/tools/load/orderverifier.h
@@ -8,7 +8,7 @@
 
 #include "carawaylatch/base/error.h"
 #include "carawaylatch/base/ids.h"
-#include "tools/load/caller.h"
+#include "tools/load/loadclient.h"
 
 namespace carawaylatch::load
 {
@@ -21,9 +21,9 @@
     std::string path;
 };
 
-struct Judgement
+struct OrderVerification
 {
-    std::uint64_t ordersJudged = 0;
+    std::uint64_t ordersVerified = 0;
     std::uint64_t ranOnce = 0;
     std::vector<std::string> ranTwice; // keys; breaks a promise
     std::vector<std::string> notRunButRan; // keys; breaks a promise
@@ -32,14 +32,14 @@
     // key was open or sent later, so that the answer may have been true.
     std::uint64_t ambiguous = 0;
 
-    [[nodiscard]] std::uint64_t broken() const
+    [[nodiscard]] std::uint64_t violations() const
     {
         return ranTwice.size() + notRunButRan.size() + doneWithoutRun.size();
     }
 };
 
 // Judges all answers of a run against the journals of all services.
-[[nodiscard]] Judgement judgeOrders(std::span<const OrderAnswer> answers, std::span<const JournalEntry> journal);
+[[nodiscard]] OrderVerification verifyOrders(std::span<const OrderResponse> responses, std::span<const JournalEntry> journal);
 
 // Reads GET /journal of a service stand-in.
 [[nodiscard]] base::Result<std::vector<JournalEntry>> fetchJournal(const base::Endpoint &service);
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -55,14 +55,14 @@
     return counts;
 }
 
-std::uint64_t foreignOrders(const Report &report)
+std::uint64_t foreignOrderCount(const Report &report)
 {
     return static_cast<std::uint64_t>(std::count_if(report.orders.begin(), report.orders.end(), [](const auto &it) {
         return it.isForeign;
     }));
 }
 
-ordered_json timesJson(std::vector<base::Duration> &values)
+ordered_json latenciesJson(std::vector<base::Duration> &values)
 {
     return {{"count", values.size()},
             {"p50", milliseconds(quantile(values, 0.5))},
@@ -81,17 +81,17 @@
                          {"type", it.errorType},
                          {"replayed", it.isReplayed},
                          {"sent_ms", milliseconds(it.sentAt.time_since_epoch())},
-                         {"answered_ms", milliseconds(it.answeredAt.time_since_epoch())}});
+                         {"answered_ms", milliseconds(it.receivedAt.time_since_epoch())}});
     }
-    return {{"answers", ordersByOutcome(report)}, {"foreign", foreignOrders(report)}, {"items", std::move(items)}};
+    return {{"answers", ordersByOutcome(report)}, {"foreign", foreignOrderCount(report)}, {"items", std::move(items)}};
 }
 
-ordered_json judgementJson(const Report &report)
+ordered_json verificationJson(const Report &report)
 {
-    const auto &judgement = report.judgement;
-    return {{"services", report.judgedServices}, {"orders", judgement.ordersJudged},          {"ran_once", judgement.ranOnce},
-            {"ran_twice", judgement.ranTwice},   {"not_run_but_ran", judgement.notRunButRan}, {"done_without_run", judgement.doneWithoutRun},
-            {"ambiguous", judgement.ambiguous}};
+    const auto &verification = report.verification;
+    return {{"services", report.verifiedServices}, {"orders", verification.ordersVerified},        {"ran_once", verification.ranOnce},
+            {"ran_twice", verification.ranTwice},  {"not_run_but_ran", verification.notRunButRan}, {"done_without_run", verification.doneWithoutRun},
+            {"ambiguous", verification.ambiguous}};
 }
 
 void printCounts(std::ostream &out, const char *title, const std::map<std::string, std::uint64_t> &counts)
@@ -106,7 +106,7 @@
     out << '\n';
 }
 
-void printTimes(std::ostream &out, const char *title, std::vector<base::Duration> &values)
+void printLatencies(std::ostream &out, const char *title, std::vector<base::Duration> &values)
 {
     if (!values.empty()) {
         out << title << std::fixed << std::setprecision(1) << "  p50 " << milliseconds(quantile(values, 0.5)) << " ms  p95 "
@@ -140,17 +140,17 @@
     cachedTokens += other.cachedTokens;
     completionTokens += other.completionTokens;
     for (std::size_t i = 0; i < ClassCount; ++i) {
-        append(times.at(i).firstToken, std::move(other.times.at(i).firstToken));
-        append(times.at(i).gaps, std::move(other.times.at(i).gaps));
+        append(latencies.at(i).firstToken, std::move(other.latencies.at(i).firstToken));
+        append(latencies.at(i).gaps, std::move(other.latencies.at(i).gaps));
     }
     append(orders, std::move(other.orders));
 }
 
-std::uint64_t Report::brokenPromises() const
+std::uint64_t Report::totalViolations() const
 {
-    std::uint64_t n = judgement.broken() + foreignOrders(*this);
+    std::uint64_t n = verification.violations() + foreignOrderCount(*this);
     for (std::size_t i = 0; i < VerdictCount; ++i) {
-        n += breaksPromise(static_cast<StreamVerdict>(i)) ? verdicts.at(i) : 0;
+        n += isViolation(static_cast<StreamVerdict>(i)) ? verdicts.at(i) : 0;
     }
     return n;
 }
@@ -164,7 +164,7 @@
     out << "streams";
     for (std::size_t i = 0; i < VerdictCount; ++i) {
         const auto verdict = static_cast<StreamVerdict>(i);
-        if (report.verdicts.at(i) > 0 || breaksPromise(verdict)) {
+        if (report.verdicts.at(i) > 0 || isViolation(verdict)) {
             out << "  " << streamVerdictName(verdict) << ' ' << report.verdicts.at(i);
         }
     }
@@ -174,17 +174,17 @@
     out << "prompt tokens " << report.promptTokens << "  cached " << report.cachedTokens << "  hit rate " << std::setprecision(3) << hitRate(report) << '\n';
     for (std::size_t i = 0; i < ClassCount; ++i) {
         const std::string name = ClassNames.at(i);
-        printTimes(out, ("first token, " + name).c_str(), report.times.at(i).firstToken);
-        printTimes(out, ("between tokens, " + name).c_str(), report.times.at(i).gaps);
+        printLatencies(out, ("first token, " + name).c_str(), report.latencies.at(i).firstToken);
+        printLatencies(out, ("between tokens, " + name).c_str(), report.latencies.at(i).gaps);
     }
     printCounts(out, "order answers", ordersByOutcome(report));
-    if (report.judgedServices > 0) {
-        const auto &judgement = report.judgement;
-        out << "orders judged " << judgement.ordersJudged << "  ran once " << judgement.ranOnce << "  ran twice " << judgement.ranTwice.size()
-            << "  \"not run\" that ran " << judgement.notRunButRan.size() << "  \"done\" without a run " << judgement.doneWithoutRun.size() << "  ambiguous "
-            << judgement.ambiguous << '\n';
+    if (report.verifiedServices > 0) {
+        const auto &verification = report.verification;
+        out << "orders judged " << verification.ordersVerified << "  ran once " << verification.ranOnce << "  ran twice " << verification.ranTwice.size()
+            << "  \"not run\" that ran " << verification.notRunButRan.size() << "  \"done\" without a run " << verification.doneWithoutRun.size()
+            << "  ambiguous " << verification.ambiguous << '\n';
     }
-    out << "foreign order answers " << foreignOrders(report) << "\nbroken promises " << report.brokenPromises() << '\n';
+    out << "foreign order answers " << foreignOrderCount(report) << "\nbroken promises " << report.totalViolations() << '\n';
     return out.str();
 }
 
@@ -196,7 +196,8 @@
     }
     ordered_json classes;
     for (std::size_t i = 0; i < ClassCount; ++i) {
-        classes[ClassNames.at(i)] = {{"first_token_ms", timesJson(report.times.at(i).firstToken)}, {"token_gap_ms", timesJson(report.times.at(i).gaps)}};
+        classes[ClassNames.at(i)] = {{"first_token_ms", latenciesJson(report.latencies.at(i).firstToken)},
+                                     {"token_gap_ms", latenciesJson(report.latencies.at(i).gaps)}};
     }
     const ordered_json json{{"workload", report.workload},
                             {"seed", report.seed},
@@ -213,8 +214,8 @@
                             {"hit_rate", hitRate(report)},
                             {"classes", classes},
                             {"orders", ordersJson(report)},
-                            {"judgement", judgementJson(report)},
-                            {"broken_promises", report.brokenPromises()}};
+                            {"judgement", verificationJson(report)},
+                            {"broken_promises", report.totalViolations()}};
     return json.dump(2, ' ', false, ordered_json::error_handler_t::replace);
 }
 
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "carawaylatch/base/time.h"
-#include "tools/load/judge.h"
+#include "tools/load/orderverifier.h"
 
 namespace carawaylatch::load
 {
 
 // Exact times of one class.
-struct ClassTimes
+struct ClassLatencies
 {
     std::vector<base::Duration> firstToken;
     std::vector<base::Duration> gaps;
@@ -36,14 +36,14 @@
     std::uint64_t promptTokens = 0;
     std::uint64_t cachedTokens = 0;
     std::uint64_t completionTokens = 0;
-    std::array<ClassTimes, ClassCount> times;
+    std::array<ClassLatencies, ClassCount> latencies;
     base::Duration elapsed{};
-    std::vector<OrderAnswer> orders;
-    std::uint64_t judgedServices = 0;
-    Judgement judgement;
+    std::vector<OrderResponse> orders;
+    std::uint64_t verifiedServices = 0;
+    OrderVerification verification;
 
     void merge(Report &&other);
-    [[nodiscard]] std::uint64_t brokenPromises() const;
+    [[nodiscard]] std::uint64_t totalViolations() const;
 };
 
 // Returns the value below which `share` of the values lie; zero without any. Sorts the values.
--- a/tools/load/runner.cpp
+++ b/tools/load/runner.cpp
@@ -20,21 +20,21 @@
 namespace
 {
 
-constexpr int MaxTries = 4;
-constexpr base::Duration LongestPause = base::seconds{2};
-constexpr base::Duration UnreachedPause = base::milliseconds{50};
+constexpr int MaxAttempts = 4;
+constexpr base::Duration MaxPause = base::seconds{2};
+constexpr base::Duration RetryPause = base::milliseconds{50};
 constexpr std::uint64_t DuplicatePercent = 30;
 constexpr std::uint64_t RepeatPercent = 20;
 
 void pauseFor(base::Duration duration)
 {
-    std::this_thread::sleep_for(std::min(duration, LongestPause));
+    std::this_thread::sleep_for(std::min(duration, MaxPause));
 }
 
-class Run
+class LoadRun
 {
 public:
-    explicit Run(const RunOptions &options)
+    explicit LoadRun(const RunOptions &options)
         : m_options(options)
         , m_workload(options.workload, options.keys.size(), options.requests, options.seed, options.drawSeed)
     {
@@ -46,7 +46,7 @@
         std::vector<std::thread> threads;
         for (std::size_t i = 0; i < m_options.concurrency; ++i) {
             threads.emplace_back([this, i] {
-                work(i);
+                runWorker(i);
             });
         }
         for (auto &it : threads) {
@@ -72,32 +72,32 @@
     };
 
     // Spreads the orders evenly over the completions.
-    Task take()
+    Task nextTask()
     {
         const std::lock_guard lock(m_mutex);
         const auto all = m_options.requests + m_options.orders;
         Task task;
-        if (m_taken == all) {
+        if (m_tasksStarted == all) {
             return task;
         }
-        ++m_taken;
-        if (m_ordersTaken * all < m_taken * m_options.orders && m_ordersTaken < m_options.orders) {
+        ++m_tasksStarted;
+        if (m_ordersStarted * all < m_tasksStarted * m_options.orders && m_ordersStarted < m_options.orders) {
             task.kind = Task::Kind::Order;
-            task.number = m_ordersTaken++;
+            task.number = m_ordersStarted++;
         } else {
             task.kind = Task::Kind::Completion;
-            task.number = m_taken;
+            task.number = m_tasksStarted;
             task.request = m_workload.next();
         }
         return task;
     }
 
-    void work(std::size_t worker)
+    void runWorker(std::size_t worker)
     {
-        Caller caller(m_options.caller);
+        LoadClient caller(m_options.caller);
         base::Random random(base::combineHashes(m_options.seed, worker));
         Report report;
-        for (auto task = take(); task.kind != Task::Kind::None; task = take()) {
+        for (auto task = nextTask(); task.kind != Task::Kind::None; task = nextTask()) {
             if (task.kind == Task::Kind::Order) {
                 runOrder(caller, random, task.number, report);
             } else {
@@ -109,39 +109,39 @@
         m_report.merge(std::move(report));
     }
 
-    void runCompletion(Caller &caller, base::Random &random, const Task &task, Report &report)
+    void runCompletion(LoadClient &caller, base::Random &random, const Task &task, Report &report)
     {
-        CompletionCall call{.key = m_options.keys.at(task.request.customer),
-                            .model = m_options.model,
-                            .prompt = task.request.prompt,
-                            .maxTokens = task.request.maxTokens,
-                            .trafficClass = task.request.trafficClass,
-                            .deadline = m_options.deadline,
-                            .requestId = m_options.runId + "-" + std::to_string(task.number)};
+        CompletionRequest call{.key = m_options.keys.at(task.request.customer),
+                               .model = m_options.model,
+                               .prompt = task.request.prompt,
+                               .maxTokens = task.request.maxTokens,
+                               .trafficClass = task.request.trafficClass,
+                               .deadline = m_options.deadline,
+                               .requestId = m_options.runId + "-" + std::to_string(task.number)};
         ++report.requests;
         const auto targets = m_options.caller.targets.size();
         auto target = random.below(targets);
         CompletionResult result;
-        for (int tries = 0; tries < MaxTries; ++tries) {
-            report.retries += tries > 0 ? 1 : 0;
+        for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
+            report.retries += attempt > 0 ? 1 : 0;
             result = caller.complete(target, call);
-            const bool mayRepeat = result.end == CallEnd::NotReached || (result.end == CallEnd::Refused && result.retryAfter);
-            if (!mayRepeat || tries + 1 == MaxTries) {
+            const bool isRetryable = result.end == CallOutcome::NotReached || (result.end == CallOutcome::Refused && result.retryAfter);
+            if (!isRetryable || attempt + 1 == MaxAttempts) {
                 break;
             }
-            pauseFor(result.end == CallEnd::NotReached ? UnreachedPause : *result.retryAfter);
+            pauseFor(result.end == CallOutcome::NotReached ? RetryPause : *result.retryAfter);
             target = (target + 1) % targets;
         }
-        account(task.request.trafficClass, std::move(result), report);
+        recordResult(task.request.trafficClass, std::move(result), report);
     }
 
-    static void account(base::TrafficClass trafficClass, CompletionResult &&result, Report &report)
+    static void recordResult(base::TrafficClass trafficClass, CompletionResult &&result, Report &report)
     {
-        if (result.end == CallEnd::NotReached) {
+        if (result.end == CallOutcome::NotReached) {
             ++report.notReached;
             return;
         }
-        if (result.end == CallEnd::Refused) {
+        if (result.end == CallOutcome::Refused) {
             ++report.refusals[result.errorType];
             return;
         }
@@ -155,56 +155,56 @@
         report.promptTokens += result.usage.promptTokens;
         report.cachedTokens += result.usage.cachedTokens;
         report.completionTokens += result.usage.completionTokens;
-        auto &times = report.times.at(static_cast<std::size_t>(trafficClass));
-        times.firstToken.push_back(result.firstToken);
-        times.gaps.insert(times.gaps.end(), result.gaps.begin(), result.gaps.end());
+        auto &latencies = report.latencies.at(static_cast<std::size_t>(trafficClass));
+        latencies.firstToken.push_back(result.firstToken);
+        latencies.gaps.insert(latencies.gaps.end(), result.gaps.begin(), result.gaps.end());
     }
 
-    void runOrder(Caller &caller, base::Random &random, std::size_t number, Report &report)
+    void runOrder(LoadClient &caller, base::Random &random, std::size_t number, Report &report)
     {
-        const OrderCall call{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
-                             .route = m_options.orderRoute,
-                             .orderKey = m_options.runId + "-order-" + std::to_string(number),
-                             .body = "{\"number\":" + std::to_string(number) + "}"};
+        const OrderRequest call{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
+                                .route = m_options.orderRoute,
+                                .orderKey = m_options.runId + "-order-" + std::to_string(number),
+                                .body = "{\"number\":" + std::to_string(number) + "}"};
         const auto targets = m_options.caller.targets.size();
         const auto target = random.below(targets);
         const auto other = (target + 1) % targets;
-        OrderAnswer twin;
+        OrderResponse duplicateResponse;
         std::thread duplicate;
         if (random.below(100) < DuplicatePercent) {
             duplicate = std::thread([&] {
-                Caller second(m_options.caller);
-                twin = second.order(other, call);
+                LoadClient duplicateClient(m_options.caller);
+                duplicateResponse = duplicateClient.order(other, call);
             });
         }
         sendOrder(caller, target, call, number, report);
         if (duplicate.joinable()) {
             duplicate.join();
-            report.orders.push_back(twin);
+            report.orders.push_back(duplicateResponse);
         }
         if (random.below(100) < RepeatPercent) {
             report.orders.push_back(caller.order(other, call));
         }
     }
 
-    void sendOrder(Caller &caller, std::size_t target, const OrderCall &call, std::size_t number, Report &report)
+    void sendOrder(LoadClient &caller, std::size_t target, const OrderRequest &call, std::size_t number, Report &report)
     {
-        for (int tries = 0; tries < MaxTries; ++tries) {
-            report.orders.push_back(caller.order((target + static_cast<std::size_t>(tries)) % m_options.caller.targets.size(), call));
+        for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
+            report.orders.push_back(caller.order((target + static_cast<std::size_t>(attempt)) % m_options.caller.targets.size(), call));
             const auto &outcome = report.orders.back().outcome;
             const bool isSettled = outcome == "done" || outcome == "unknown" || (outcome == "not_run" && number % 2 == 1);
             if (isSettled) {
                 return;
             }
-            pauseFor(UnreachedPause);
+            pauseFor(RetryPause);
         }
     }
 
     const RunOptions &m_options;
     std::mutex m_mutex; // guards all below
     Workload m_workload;
-    std::size_t m_taken = 0;
-    std::size_t m_ordersTaken = 0;
+    std::size_t m_tasksStarted = 0;
+    std::size_t m_ordersStarted = 0;
     Report m_report;
 };
 
@@ -212,7 +212,7 @@
 
 Report runLoad(const RunOptions &options)
 {
-    return Run(options).run();
+    return LoadRun(options).run();
 }
 
 } // namespace carawaylatch::load
--- a/tools/load/runner.h
+++ b/tools/load/runner.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/load/caller.h"
+#include "tools/load/loadclient.h"
 #include "tools/load/report.h"
 #include "tools/load/workload.h"
 
@@ -14,7 +14,7 @@
 
 struct RunOptions
 {
-    CallerOptions caller;
+    LoadClientOptions caller;
     std::vector<std::string> keys; // bearer keys, one for each customer
     std::string model;
     WorkloadKind workload = WorkloadKind::Groupement;
--- a/tools/load/answerevents.cpp
+++ b/tools/load/streamevents.cpp
@@ -4,7 +4,7 @@
 // of pieces. Only `data:` lines matter in this interface; comments and blank
 // lines are passed over. A payload that can't be read is an event too: the
 // verifier counts it against the router.
-#include "tools/load/answerevents.h"
+#include "tools/load/streamevents.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tools/load/streamverifier.cpp
+++ b/tools/load/streamverifier.cpp
@@ -30,9 +30,9 @@
     return Names.at(static_cast<std::size_t>(verdict));
 }
 
-bool breaksPromise(StreamVerdict verdict)
+bool isViolation(StreamVerdict verdict)
 {
-    return verdict >= StreamVerdict::CutQuietly;
+    return verdict >= StreamVerdict::TruncatedSilently;
 }
 
 std::string expectedToken(std::string_view prompt, std::uint64_t index)
@@ -47,24 +47,24 @@
 {
 }
 
-void StreamVerifier::note(StreamVerdict verdict)
+void StreamVerifier::recordViolation(StreamVerdict verdict)
 {
-    if (m_fault == StreamVerdict::Complete) {
-        m_fault = verdict;
+    if (m_violation == StreamVerdict::Complete) {
+        m_violation = verdict;
     }
 }
 
 void StreamVerifier::addToken(const StreamEvent &event)
 {
-    if (m_sawLast || event.index < m_nextIndex) {
-        note(StreamVerdict::Repeated);
+    if (m_hasLast || event.index < m_nextIndex) {
+        recordViolation(StreamVerdict::Repeated);
         return;
     }
     if (event.index > m_nextIndex) {
-        note(StreamVerdict::Gap);
+        recordViolation(StreamVerdict::Gap);
     }
     if (event.text != expectedToken(m_prompt, event.index)) {
-        note(StreamVerdict::ForeignToken);
+        recordViolation(StreamVerdict::ForeignToken);
     }
     m_nextIndex = event.index + 1;
 }
@@ -72,10 +72,10 @@
 void StreamVerifier::addLast(const StreamEvent &event)
 {
     m_usage = event.usage;
-    if (m_sawLast || event.tokenCount != m_nextIndex) {
-        note(StreamVerdict::WrongCount);
+    if (m_hasLast || event.tokenCount != m_nextIndex) {
+        recordViolation(StreamVerdict::WrongCount);
     }
-    m_sawLast = true;
+    m_hasLast = true;
 }
 
 void StreamVerifier::add(const StreamEvent &event)
@@ -91,26 +91,26 @@
         m_errorType = event.text;
         break;
     case StreamEvent::Kind::Done:
-        m_sawDone = true;
+        m_hasDone = true;
         break;
     case StreamEvent::Kind::Malformed:
-        note(StreamVerdict::Malformed);
+        recordViolation(StreamVerdict::Malformed);
         break;
     }
 }
 
 StreamVerdict StreamVerifier::finish(TransferEnd end) const
 {
-    if (m_fault != StreamVerdict::Complete) {
-        return m_fault;
+    if (m_violation != StreamVerdict::Complete) {
+        return m_violation;
     }
     if (!m_errorType.empty()) {
         return StreamVerdict::ExplicitError;
     }
-    if (m_sawLast && m_sawDone) {
+    if (m_hasLast && m_hasDone) {
         return StreamVerdict::Complete;
     }
-    return end == TransferEnd::Broken ? StreamVerdict::Aborted : StreamVerdict::CutQuietly;
+    return end == TransferEnd::Broken ? StreamVerdict::Aborted : StreamVerdict::TruncatedSilently;
 }
 
 } // namespace carawaylatch::load
--- a/tools/load/streamverifier.h
+++ b/tools/load/streamverifier.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "tools/load/answerevents.h"
+#include "tools/load/streamevents.h"
 
 namespace carawaylatch::load
 {
@@ -20,7 +20,7 @@
     ExplicitError, // the router said that it failed
     Aborted, // the transfer broke where the caller could see it
     // All below break a promise.
-    CutQuietly, // a clean end without [DONE]
+    TruncatedSilently, // a clean end without [DONE]
     Gap, // a token index was left out
     Repeated, // a token index came twice or out of order
     ForeignToken, // a token of another prompt
@@ -29,7 +29,7 @@
 };
 
 [[nodiscard]] std::string_view streamVerdictName(StreamVerdict verdict);
-[[nodiscard]] bool breaksPromise(StreamVerdict verdict);
+[[nodiscard]] bool isViolation(StreamVerdict verdict);
 
 // Returns the text of token `index` of the stand-in engine's answer to a prompt.
 [[nodiscard]] std::string expectedToken(std::string_view prompt, std::uint64_t index);
@@ -64,15 +64,15 @@
 private:
     void addToken(const StreamEvent &event);
     void addLast(const StreamEvent &event);
-    void note(StreamVerdict verdict);
+    void recordViolation(StreamVerdict verdict);
 
     std::string_view m_prompt;
     std::uint64_t m_nextIndex = 0;
     StreamUsage m_usage;
     std::string m_errorType;
-    StreamVerdict m_fault = StreamVerdict::Complete; // the first broken promise
-    bool m_sawLast = false;
-    bool m_sawDone = false;
+    StreamVerdict m_violation = StreamVerdict::Complete; // the first broken promise
+    bool m_hasLast = false;
+    bool m_hasDone = false;
 };
 
 } // namespace carawaylatch::load
--- a/tools/load/testing/streamverifiertest.cpp
+++ b/tools/load/testing/streamverifiertest.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "tools/load/judge.h"
+#include "tools/load/orderverifier.h"
 #include "tools/load/workload.h"
 
 namespace carawaylatch::load::testing
@@ -51,10 +51,10 @@
     return {
         {"whole", {token(0), token(1), last(2), "[DONE]"}, clean, V::Complete},
         {"no token", {last(0), "[DONE]"}, clean, V::Complete},
-        {"clean end without last event", {token(0), token(1)}, clean, V::CutQuietly},
-        {"clean end without [DONE]", {token(0), last(1)}, clean, V::CutQuietly},
-        {"[DONE] without last event", {token(0), "[DONE]"}, clean, V::CutQuietly},
-        {"nothing at all", {}, clean, V::CutQuietly},
+        {"clean end without last event", {token(0), token(1)}, clean, V::TruncatedSilently},
+        {"clean end without [DONE]", {token(0), last(1)}, clean, V::TruncatedSilently},
+        {"[DONE] without last event", {token(0), "[DONE]"}, clean, V::TruncatedSilently},
+        {"nothing at all", {}, clean, V::TruncatedSilently},
         {"broken transfer", {token(0)}, broken, V::Aborted},
         {"explicit error", {token(0), ErrorPayload}, broken, V::ExplicitError},
         {"error, then a clean end", {ErrorPayload}, clean, V::ExplicitError},
@@ -72,40 +72,40 @@
     };
 }
 
-OrderAnswer answer(const std::string &key, const std::string &outcome, int sentAt, int answeredAt)
+OrderResponse response(const std::string &key, const std::string &outcome, int sentAt, int receivedAt)
 {
-    OrderAnswer result;
+    OrderResponse result;
     result.key = key;
     result.outcome = outcome;
     result.sentAt = base::TimePoint{base::seconds{sentAt}};
-    result.answeredAt = base::TimePoint{base::seconds{answeredAt}};
+    result.receivedAt = base::TimePoint{base::seconds{receivedAt}};
     return result;
 }
 
 struct OrderRow
 {
     std::string name;
-    std::vector<OrderAnswer> answers;
+    std::vector<OrderResponse> responses;
     std::uint64_t runs;
     std::uint64_t twice;
-    std::uint64_t falseNotRun;
-    std::uint64_t withoutRun;
+    std::uint64_t notRunButRan;
+    std::uint64_t doneWithoutRun;
     std::uint64_t ambiguous;
 };
 
 std::vector<OrderRow> orderRows()
 {
     return {
-        {"done once", {answer("k", "done", 1, 2), answer("k", "done", 3, 4)}, 1, 0, 0, 0, 0},
-        {"ran twice", {answer("k", "done", 1, 2)}, 2, 1, 0, 0, 0},
-        {"ran twice behind unknown", {answer("k", "unknown", 1, 2)}, 2, 1, 0, 0, 0},
-        {"unknown and ran", {answer("k", "unknown", 1, 2)}, 1, 0, 0, 0, 0},
-        {"true not run", {answer("k", "not_run", 1, 2)}, 0, 0, 0, 0, 0},
-        {"false not run", {answer("k", "not_run", 1, 2)}, 1, 0, 1, 0, 0},
-        {"not run after done", {answer("k", "done", 1, 2), answer("k", "not_run", 3, 4)}, 1, 0, 1, 0, 0},
-        {"sent again after not run", {answer("k", "not_run", 1, 2), answer("k", "done", 3, 4)}, 1, 0, 0, 0, 1},
-        {"open beside not run", {answer("k", "not_run", 1, 2), answer("k", "done", 1, 3)}, 1, 0, 0, 0, 1},
-        {"done without run", {answer("k", "done", 1, 2)}, 0, 0, 0, 1, 0},
+        {"done once", {response("k", "done", 1, 2), response("k", "done", 3, 4)}, 1, 0, 0, 0, 0},
+        {"ran twice", {response("k", "done", 1, 2)}, 2, 1, 0, 0, 0},
+        {"ran twice behind unknown", {response("k", "unknown", 1, 2)}, 2, 1, 0, 0, 0},
+        {"unknown and ran", {response("k", "unknown", 1, 2)}, 1, 0, 0, 0, 0},
+        {"true not run", {response("k", "not_run", 1, 2)}, 0, 0, 0, 0, 0},
+        {"false not run", {response("k", "not_run", 1, 2)}, 1, 0, 1, 0, 0},
+        {"not run after done", {response("k", "done", 1, 2), response("k", "not_run", 3, 4)}, 1, 0, 1, 0, 0},
+        {"sent again after not run", {response("k", "not_run", 1, 2), response("k", "done", 3, 4)}, 1, 0, 0, 0, 1},
+        {"open beside not run", {response("k", "not_run", 1, 2), response("k", "done", 1, 3)}, 1, 0, 0, 0, 1},
+        {"done without run", {response("k", "done", 1, 2)}, 0, 0, 0, 1, 0},
     };
 }
 
@@ -115,10 +115,10 @@
 {
     CPPUNIT_TEST_SUITE(StreamVerifierTest);
     CPPUNIT_TEST(testVerdicts);
-    CPPUNIT_TEST(testSplitterTakesAnyPieces);
+    CPPUNIT_TEST(testSplitterAcceptsAnyChunking);
     CPPUNIT_TEST(testUsage);
-    CPPUNIT_TEST(testOrders);
-    CPPUNIT_TEST(testWorkloadRepeatsUnderASeed);
+    CPPUNIT_TEST(testOrderVerdicts);
+    CPPUNIT_TEST(testWorkloadIsDeterministic);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -133,7 +133,7 @@
         }
     }
 
-    void testSplitterTakesAnyPieces()
+    void testSplitterAcceptsAnyChunking()
     {
         const std::string bytes = ": comment\n\ndata: one\r\n\r\ndata:two\n\nevent: x\ndata: [DONE]\n\ndata: unfinished";
         const std::vector<std::string> expected{"one", "two", "[DONE]"};
@@ -157,22 +157,22 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, verifier.usage().cachedTokens);
     }
 
-    void testOrders()
+    void testOrderVerdicts()
     {
         for (const auto &row : orderRows()) {
             std::vector<JournalEntry> journal{{"other-key", "1", "/"}};
             for (std::uint64_t i = 0; i < row.runs; ++i) {
                 journal.push_back({i == 0 ? "customer/k" : "k", std::to_string(i), "/"});
             }
-            const auto judgement = judgeOrders(row.answers, journal);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.twice, std::uint64_t{judgement.ranTwice.size()});
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.falseNotRun, std::uint64_t{judgement.notRunButRan.size()});
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.withoutRun, std::uint64_t{judgement.doneWithoutRun.size()});
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.ambiguous, judgement.ambiguous);
+            const auto verification = verifyOrders(row.responses, journal);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.twice, std::uint64_t{verification.ranTwice.size()});
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.notRunButRan, std::uint64_t{verification.notRunButRan.size()});
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.doneWithoutRun, std::uint64_t{verification.doneWithoutRun.size()});
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(row.name, row.ambiguous, verification.ambiguous);
         }
     }
 
-    void testWorkloadRepeatsUnderASeed()
+    void testWorkloadIsDeterministic()
     {
         for (const auto kind : {WorkloadKind::Groupement, WorkloadKind::Brasa}) {
             Workload first(kind, 8, 40, 7, 7);
--- a/tools/load/workload.cpp
+++ b/tools/load/workload.cpp
@@ -30,8 +30,8 @@
 constexpr std::size_t ContractsPerCustomer = 12;
 constexpr std::size_t Clauses = 400;
 constexpr std::size_t PanelsPerCustomer = 20;
-constexpr std::size_t LongestHistory = 14; // panel events
-constexpr std::size_t ShortestHistory = 4;
+constexpr std::size_t MaxHistoryEvents = 14; // panel events
+constexpr std::size_t MinHistoryEvents = 4;
 
 void appendText(std::string &out, TextKind kind, std::uint64_t number, std::uint64_t seed)
 {
@@ -75,7 +75,7 @@
 {
 }
 
-std::size_t Workload::drawSkewed(std::size_t n)
+std::size_t Workload::drawZipf(std::size_t n)
 {
     double sum = 0;
     for (std::size_t i = 1; i <= n; ++i) {
@@ -93,38 +93,38 @@
 LoadRequest Workload::next()
 {
     auto request = m_kind == WorkloadKind::Groupement ? nextGroupement() : nextBrasa();
-    ++m_made;
+    ++m_generated;
     return request;
 }
 
 LoadRequest Workload::nextGroupement()
 {
-    const std::size_t shift = m_made * 2 > m_requests ? 1 : 0;
+    const std::size_t shift = m_generated * 2 > m_requests ? 1 : 0;
     LoadRequest request;
-    request.customer = drawSkewed(m_customers);
-    const auto contract = (drawSkewed(ContractsPerCustomer) + shift * ContractsPerCustomer / 2) % ContractsPerCustomer;
+    request.customer = drawZipf(m_customers);
+    const auto contract = (drawZipf(ContractsPerCustomer) + shift * ContractsPerCustomer / 2) % ContractsPerCustomer;
     // A contract is written on one template, the hot templates carry most contracts.
     const auto templateNumber = (contract + shift) % Templates;
     appendText(request.prompt, Template, templateNumber, m_seed);
     appendText(request.prompt, Contract, request.customer * ContractsPerCustomer + contract, m_seed);
     appendText(request.prompt, Clause, m_random.below(Clauses), m_seed);
-    const bool isLetter = m_random.below(10) < 3;
-    request.trafficClass = isLetter ? base::TrafficClass::Batch : base::TrafficClass::Interactive;
-    request.maxTokens = static_cast<std::uint32_t>(isLetter ? 40 + m_random.below(40) : 12 + m_random.below(20));
+    const bool isBatch = m_random.below(10) < 3;
+    request.trafficClass = isBatch ? base::TrafficClass::Batch : base::TrafficClass::Interactive;
+    request.maxTokens = static_cast<std::uint32_t>(isBatch ? 40 + m_random.below(40) : 12 + m_random.below(20));
     return request;
 }
 
 LoadRequest Workload::nextBrasa()
 {
-    const std::size_t shift = m_made * 2 > m_requests ? PanelsPerCustomer / 2 : 0;
+    const std::size_t shift = m_generated * 2 > m_requests ? PanelsPerCustomer / 2 : 0;
     LoadRequest request;
-    request.customer = drawSkewed(m_customers);
-    const auto panel = request.customer * PanelsPerCustomer + (drawSkewed(PanelsPerCustomer) + shift) % PanelsPerCustomer;
+    request.customer = drawZipf(m_customers);
+    const auto panel = request.customer * PanelsPerCustomer + (drawZipf(PanelsPerCustomer) + shift) % PanelsPerCustomer;
     // The history grows over the run, so that each prompt extends an earlier one.
-    const auto progress = m_made * (LongestHistory - ShortestHistory) / std::max<std::size_t>(m_requests, 1);
-    const auto events = ShortestHistory + progress;
+    const auto progress = m_generated * (MaxHistoryEvents - MinHistoryEvents) / std::max<std::size_t>(m_requests, 1);
+    const auto events = MinHistoryEvents + progress;
     for (std::size_t i = 0; i < events; ++i) {
-        appendText(request.prompt, PanelEvent, panel * LongestHistory + i, m_seed);
+        appendText(request.prompt, PanelEvent, panel * MaxHistoryEvents + i, m_seed);
     }
     appendText(request.prompt, Question, m_random.next(), m_seed);
     request.trafficClass = m_random.below(10) < 1 ? base::TrafficClass::Batch : base::TrafficClass::Interactive;
--- a/tools/load/workload.h
+++ b/tools/load/workload.h
@@ -44,7 +44,7 @@
     [[nodiscard]] LoadRequest next();
 
 private:
-    [[nodiscard]] std::size_t drawSkewed(std::size_t n);
+    [[nodiscard]] std::size_t drawZipf(std::size_t n);
     [[nodiscard]] LoadRequest nextGroupement();
     [[nodiscard]] LoadRequest nextBrasa();
 
@@ -52,7 +52,7 @@
     std::size_t m_customers;
     std::size_t m_requests;
     std::uint64_t m_seed;
-    std::size_t m_made = 0;
+    std::size_t m_generated = 0;
     base::Random m_random;
 };
 
