--- a/bench/admissionbench.cpp
+++ b/bench/admissionbench.cpp
@@ -25,8 +25,8 @@
 
 constexpr base::TimePoint Start = base::TimePoint{base::hours{1}};
 const base::SteadyClock Clock;
-constexpr std::int64_t CustomersToday = 8;
-constexpr std::int64_t CustomersDesigned = 640;
+constexpr std::int64_t CurrentCustomers = 8;
+constexpr std::int64_t DesignCustomers = 640;
 
 base::CustomerId customerName(std::int64_t i)
 {
@@ -70,8 +70,8 @@
         benchmark::DoNotOptimize(ticket);
     }
 }
-BENCHMARK(admitRelease)->Name("EnterLeave")->RangeMultiplier(3)->Range(CustomersToday, CustomersDesigned);
-BENCHMARK(admitRelease)->Name("EnterLeaveThreads")->Arg(CustomersToday)->Arg(CustomersDesigned)->Threads(8)->UseRealTime();
+BENCHMARK(admitRelease)->Name("EnterLeave")->RangeMultiplier(3)->Range(CurrentCustomers, DesignCustomers);
+BENCHMARK(admitRelease)->Name("EnterLeaveThreads")->Arg(CurrentCustomers)->Arg(DesignCustomers)->Threads(8)->UseRealTime();
 
 void queuePushPop(benchmark::State &state)
 {
@@ -92,21 +92,21 @@
         (void)push(static_cast<std::int64_t>(entry->id) % state.range(0));
     }
 }
-BENCHMARK(queuePushPop)->Name("QueuePushPop")->RangeMultiplier(3)->Range(CustomersToday, CustomersDesigned);
+BENCHMARK(queuePushPop)->Name("QueuePushPop")->RangeMultiplier(3)->Range(CurrentCustomers, DesignCustomers);
 
 // Bytes on the wire: names, and eight bytes for the numbers of an entry.
 template <typename Message>
 std::size_t messageBytes(const Message &message)
 {
-    constexpr std::size_t HeadBytes = 64;
-    std::size_t bytes = HeadBytes;
+    constexpr std::size_t HeaderBytes = 64;
+    std::size_t bytes = HeaderBytes;
     for (const auto &it : message.entries) {
         bytes += it.customer.value().size() + 8;
     }
     return bytes;
 }
 
-void reportAnswerApply(benchmark::State &state)
+void exchangeShares(benchmark::State &state)
 {
     admission::Limiter lender(limits("lender"), Start);
     admission::Limiter borrower(limits("borrower"), Start);
@@ -126,7 +126,7 @@
     state.counters["bytes"] = static_cast<double>(bytes);
     state.counters["stateBytes"] = static_cast<double>(lender.memoryBytes() + borrower.memoryBytes()) / 2;
 }
-BENCHMARK(reportAnswerApply)->Name("ReportAnswerApply")->RangeMultiplier(3)->Range(CustomersToday, CustomersDesigned);
+BENCHMARK(exchangeShares)->Name("ReportAnswerApply")->RangeMultiplier(3)->Range(CurrentCustomers, DesignCustomers);
 
 // Brings a stream to its first token.
 std::unique_ptr<relay::StreamAssembler> openStream(relay::Actions &out)
--- a/bench/decisionbench.cpp
+++ b/bench/decisionbench.cpp
@@ -44,9 +44,9 @@
 }
 
 // A router's knowledge of so many upstreams and blocks.
-struct World
+struct RouterFixture
 {
-    World(std::size_t upstreams, std::size_t blocks)
+    RouterFixture(std::size_t upstreams, std::size_t blocks)
         : chains(std::max<std::size_t>(blocks / ChainBlocks / HoldersPerChain, 1))
         , caches({blocks * EntryBytes * 3 / 2, upstreams, base::seconds{3600}})
         , inflight(upstreams)
@@ -102,54 +102,54 @@
     std::unique_ptr<routing::RoutingStrategy> strategy;
 };
 
-World &worldOf(std::int64_t upstreams, std::int64_t blocks)
+RouterFixture &fixtureFor(std::int64_t upstreams, std::int64_t blocks)
 {
-    static std::unique_ptr<World> world;
-    static std::pair<std::int64_t, std::int64_t> shape;
-    if (!world || shape != std::pair{upstreams, blocks}) {
-        world.reset();
-        world = std::make_unique<World>(upstreams, blocks);
-        shape = {upstreams, blocks};
+    static std::unique_ptr<RouterFixture> fixture;
+    static std::pair<std::int64_t, std::int64_t> arguments;
+    if (!fixture || arguments != std::pair{upstreams, blocks}) {
+        fixture.reset();
+        fixture = std::make_unique<RouterFixture>(upstreams, blocks);
+        arguments = {upstreams, blocks};
     }
-    return *world;
+    return *fixture;
 }
 
 void placement(benchmark::State &state)
 {
-    World &world = worldOf(state.range(0), state.range(1));
+    RouterFixture &fixture = fixtureFor(state.range(0), state.range(1));
     std::uint64_t n = 0;
     for (auto _ : state) {
-        const auto chain = chainOf(n = (n + 7919) % world.chains);
+        const auto chain = chainOf(n = (n + 7919) % fixture.chains);
         routing::PlacementRequest request;
-        request.now = world.now;
+        request.now = fixture.now;
         request.pool = base::PoolName{"p"};
         request.chain = chain;
         request.promptTokens = ChainBlocks * 1000 + 100;
-        benchmark::DoNotOptimize(world.strategy->place(request, *world.view));
+        benchmark::DoNotOptimize(fixture.strategy->place(request, *fixture.view));
     }
 }
 
 void indexUpdate(benchmark::State &state)
 {
-    World &world = worldOf(state.range(0), state.range(1));
+    RouterFixture &fixture = fixtureFor(state.range(0), state.range(1));
     base::Random random(2);
     for (auto _ : state) {
-        const auto chain = chainOf(random.below(world.chains));
-        const upstreams::Slot slot{static_cast<std::uint16_t>(random.below(world.view->upstreams.size()))};
-        world.caches.recordPlacement(slot, {1}, chain, world.now);
+        const auto chain = chainOf(random.below(fixture.chains));
+        const upstreams::Slot slot{static_cast<std::uint16_t>(random.below(fixture.view->upstreams.size()))};
+        fixture.caches.recordPlacement(slot, {1}, chain, fixture.now);
     }
     // One update is a chain of ChainBlocks entries.
     state.SetItemsProcessed(static_cast<std::int64_t>(state.iterations() * ChainBlocks));
-    state.counters["bytes_per_entry"] = static_cast<double>(world.caches.bytes()) / static_cast<double>(world.caches.size(world.now));
-    state.counters["entries"] = static_cast<double>(world.caches.size(world.now));
+    state.counters["bytes_per_entry"] = static_cast<double>(fixture.caches.bytes()) / static_cast<double>(fixture.caches.size(fixture.now));
+    state.counters["entries"] = static_cast<double>(fixture.caches.size(fixture.now));
 }
 
 void heatUpdate(benchmark::State &state)
 {
-    World &world = worldOf(9, 10'000);
+    RouterFixture &fixture = fixtureFor(9, 10'000);
     base::Random random(3);
     for (auto _ : state) {
-        world.heat.record(1, chainOf(random.below(world.chains)), ChainBlocks * 1000, 9, world.now);
+        fixture.heat.record(1, chainOf(random.below(fixture.chains)), ChainBlocks * 1000, 9, fixture.now);
     }
 }
 
@@ -164,9 +164,9 @@
 
 void viewBuild(benchmark::State &state)
 {
-    World &world = worldOf(state.range(0), 10'000);
-    upstreams::Registry registry = world.registry;
-    base::TimePoint now = world.now;
+    RouterFixture &fixture = fixtureFor(state.range(0), 10'000);
+    upstreams::Registry registry = fixture.registry;
+    base::TimePoint now = fixture.now;
     for (auto _ : state) {
         now += upstreams::ViewPeriod;
         registry.onTick(now);
@@ -218,7 +218,7 @@
     state.counters["bytes_per_entry"] = static_cast<double>(allocatedBytes) / static_cast<double>(map.size());
 }
 
-void shapes(benchmark::internal::Benchmark *bench)
+void sizeArguments(benchmark::internal::Benchmark *bench)
 {
     for (const std::int64_t upstreams : {9, 100, 1000, 10'000}) {
         for (const std::int64_t blocks : {10'000, 100'000, 1'000'000, 10'000'000}) {
@@ -228,8 +228,8 @@
     bench->ArgNames({"upstreams", "blocks"});
 }
 
-BENCHMARK(placement)->Apply(shapes);
-BENCHMARK(indexUpdate)->Apply(shapes);
+BENCHMARK(placement)->Apply(sizeArguments);
+BENCHMARK(indexUpdate)->Apply(sizeArguments);
 BENCHMARK(heatUpdate);
 BENCHMARK(blockHashChain);
 BENCHMARK(viewBuild)->Arg(9)->Arg(100)->Arg(1000)->Arg(10'000);
--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -35,16 +35,16 @@
 
 using ::carawaylatch::testing::VirtualNetwork;
 
-constexpr std::uint32_t Domains = 12;
+constexpr std::uint32_t DomainCount = 12;
 constexpr std::size_t SealBytes = 32;
-constexpr std::uint32_t Edits = 40;
+constexpr std::uint32_t EditCount = 40;
 constexpr base::Duration EditInterval = base::milliseconds{786}; // 110,000 a day
 constexpr base::Duration Heartbeat = base::milliseconds{500};
-constexpr std::uint32_t Probed = 8; // routers that a router probes in turn
+constexpr std::uint32_t ProbedPeers = 8; // routers that a router probes in turn
 constexpr std::uint32_t GossipFanOut = 5;
-constexpr std::uint32_t Pools = 50;
+constexpr std::uint32_t PoolCount = 50;
 
-enum class Spreading {
+enum class Dissemination {
     Tree,
     Gossip,
 };
@@ -64,13 +64,13 @@
     std::vector<double> times; // milliseconds until in force, for each edit and router
     std::uint64_t updates = 0; // messages with edits, requests included
     std::uint64_t updateBytes = 0;
-    std::uint64_t late = 0; // not in force at the end
+    std::uint64_t behind = 0; // not in force at the end
     double cpuSeconds = 0;
 };
 
 config::Edit makeEdit(std::uint64_t revision)
 {
-    config::Row row{{"pool", "pool-" + std::to_string(revision % Pools)},
+    config::Row row{{"pool", "pool-" + std::to_string(revision % PoolCount)},
                     {},
                     {{"model", "clause-7b", 0}, {"weights_version", std::to_string(revision), 0}, {"max_loads", "3", 0}},
                     0};
@@ -80,10 +80,10 @@
 class Fleet
 {
 public:
-    Fleet(std::uint32_t size, Spreading spreading, const Scenario &scenario)
+    Fleet(std::uint32_t size, Dissemination dissemination, const Scenario &scenario)
         : m_network(absl::GetFlag(FLAGS_seed))
         , m_random(absl::GetFlag(FLAGS_seed))
-        , m_spreading(spreading)
+        , m_dissemination(dissemination)
         , m_size(size)
     {
         m_network.setFaults({scenario.loss, 0, base::milliseconds{1}, base::milliseconds{2}});
@@ -95,7 +95,7 @@
             config::DistributorOptions options;
             options.self = idOf(n);
             options.domain = domainOf(n);
-            options.fanOut = spreading == Spreading::Tree ? options.fanOut : 0;
+            options.fanOut = dissemination == Dissemination::Tree ? options.fanOut : 0;
             m_nodes.push_back(std::make_unique<config::Distributor>(options));
             m_nodes.back()->onMembers(members);
             m_isDead.push_back(size > 4 && m_random.unit() < scenario.dead);
@@ -108,14 +108,14 @@
     {
         const auto start = std::clock();
         m_network.runFor(base::seconds{1});
-        for (std::uint64_t revision = 1; revision <= Edits; ++revision) {
+        for (std::uint64_t revision = 1; revision <= EditCount; ++revision) {
             accept(makeEdit(revision));
             m_network.runFor(EditInterval);
         }
         m_network.runFor(base::seconds{20});
         m_result.cpuSeconds = static_cast<double>(std::clock() - start) / CLOCKS_PER_SEC;
         for (std::uint32_t n = 0; n < m_size; ++n) {
-            m_result.late += !m_isDead[n] && m_nodes[n]->revision().value != Edits ? 1 : 0;
+            m_result.behind += !m_isDead[n] && m_nodes[n]->revision().value != EditCount ? 1 : 0;
         }
         return std::move(m_result);
     }
@@ -127,7 +127,7 @@
     }
     static base::FailureDomain domainOf(std::uint32_t n)
     {
-        return base::FailureDomain("domain-" + std::to_string(n % Domains));
+        return base::FailureDomain("domain-" + std::to_string(n % DomainCount));
     }
     static std::uint32_t numberOf(const base::RouterId &id)
     {
@@ -144,7 +144,7 @@
             if (m_nodes[n]->isWatcher() && !m_isDead[n]) {
                 m_network.at(m_network.now() + base::milliseconds{4}, [this, n] { // watch and read
                     m_nodes[n]->onStored(m_head, m_stored);
-                    act(n);
+                    performActions(n);
                 });
             }
         }
@@ -153,7 +153,7 @@
     void startHeartbeat(std::uint32_t n)
     {
         std::vector<std::uint32_t> probed;
-        for (std::uint32_t i = 0; i < Probed; ++i) {
+        for (std::uint32_t i = 0; i < ProbedPeers; ++i) {
             probed.push_back(static_cast<std::uint32_t>(m_random.below(m_size)));
         }
         const auto phase = base::Duration{static_cast<std::int64_t>(m_random.below(static_cast<std::uint64_t>(Heartbeat.count())))};
@@ -170,10 +170,10 @@
         const auto to = probed[round % probed.size()];
         deliver(n, to, [this, n, to, revision = m_nodes[n]->revision()] {
             m_nodes[to]->onPeerRevision(idOf(n), revision, m_network.now());
-            act(to);
-            deliver(to, n, [this, n, to, answered = m_nodes[to]->revision()] {
-                m_nodes[n]->onPeerRevision(idOf(to), answered, m_network.now());
-                act(n);
+            performActions(to);
+            deliver(to, n, [this, n, to, reply = m_nodes[to]->revision()] {
+                m_nodes[n]->onPeerRevision(idOf(to), reply, m_network.now());
+                performActions(n);
             });
         });
     }
@@ -181,7 +181,7 @@
     void deliver(std::uint32_t from, std::uint32_t to, const VirtualNetwork::Event &event)
     {
         if (!m_isDead[from] && !m_isDead[to]) {
-            m_network.send(from % Domains, to % Domains, event);
+            m_network.send(from % DomainCount, to % DomainCount, event);
         }
     }
 
@@ -191,20 +191,20 @@
         m_result.updateBytes += peer::encodeEnvelope({{base::RouterId("router-1000"), {1ULL << 60U}}, 1'000'000, message}).size() + SealBytes;
     }
 
-    void act(std::uint32_t n)
+    void performActions(std::uint32_t n)
     {
         for (auto &it : m_nodes[n]->takeActions()) {
             if (auto *update = std::get_if<config::SendUpdate>(&it)) {
                 count(update->update);
                 deliver(n, numberOf(update->to), [this, n, to = numberOf(update->to), sent = update->update] {
                     m_nodes[to]->onUpdate(idOf(n), sent, m_network.now());
-                    act(to);
+                    performActions(to);
                 });
             } else if (auto *request = std::get_if<config::SendRequest>(&it)) {
                 count(request->request);
                 deliver(n, numberOf(request->to), [this, n, to = numberOf(request->to), sent = request->request] {
                     m_nodes[to]->onRequest(idOf(n), sent);
-                    act(to);
+                    performActions(to);
                 });
             } else if (std::get_if<config::ConfigInForce>(&it) != nullptr) {
                 onInForce(n);
@@ -217,18 +217,18 @@
         if (m_nodes[n]->revision() == m_head.revision) {
             m_result.times.push_back(base::toSeconds(m_network.now() - m_acceptedAt) * 1'000);
         }
-        if (m_spreading == Spreading::Gossip) {
+        if (m_dissemination == Dissemination::Gossip) {
             const base::Revision before{m_nodes[n]->revision().value - 1};
             for (std::uint32_t i = 0; i < GossipFanOut; ++i) {
                 m_nodes[n]->onRequest(idOf(static_cast<std::uint32_t>(m_random.below(m_size))), {before});
             }
-            act(n);
+            performActions(n);
         }
     }
 
     VirtualNetwork m_network;
     base::Random m_random;
-    Spreading m_spreading;
+    Dissemination m_dissemination;
     std::uint32_t m_size;
     std::vector<std::unique_ptr<config::Distributor>> m_nodes;
     std::vector<bool> m_isDead;
@@ -248,14 +248,14 @@
     return values[n];
 }
 
-void measure(std::uint32_t size, const Scenario &scenario, Spreading spreading)
+void measure(std::uint32_t size, const Scenario &scenario, Dissemination dissemination)
 {
-    auto result = Fleet(size, spreading, scenario).run();
-    const double perEdit = static_cast<double>(result.updates) / Edits / size;
-    const double rate = static_cast<double>(result.updateBytes) / size / (Edits * base::toSeconds(EditInterval));
-    std::printf("| %u | %s | %s | %.2f | %.0f | %.1f | %.1f | %.0f | %llu | %.1f |\n", size, scenario.name, spreading == Spreading::Tree ? "tree" : "gossip",
-                perEdit, rate, quantile(result.times, 0.5), quantile(result.times, 0.99), quantile(result.times, 1),
-                static_cast<unsigned long long>(result.late), result.cpuSeconds * 1e6 / size / Edits);
+    auto result = Fleet(size, dissemination, scenario).run();
+    const double perEdit = static_cast<double>(result.updates) / EditCount / size;
+    const double rate = static_cast<double>(result.updateBytes) / size / (EditCount * base::toSeconds(EditInterval));
+    std::printf("| %u | %s | %s | %.2f | %.0f | %.1f | %.1f | %.0f | %llu | %.1f |\n", size, scenario.name,
+                dissemination == Dissemination::Tree ? "tree" : "gossip", perEdit, rate, quantile(result.times, 0.5), quantile(result.times, 0.99),
+                quantile(result.times, 1), static_cast<unsigned long long>(result.behind), result.cpuSeconds * 1e6 / size / EditCount);
     std::fflush(stdout);
 }
 
@@ -272,8 +272,8 @@
     std::printf("|---|---|---|---|---|---|---|---|---|---|\n");
     for (const auto &size : absl::GetFlag(FLAGS_sizes)) {
         for (const auto &scenario : carawaylatch::bench::Scenarios) {
-            carawaylatch::bench::measure(static_cast<std::uint32_t>(std::stoul(size)), scenario, carawaylatch::bench::Spreading::Tree);
-            carawaylatch::bench::measure(static_cast<std::uint32_t>(std::stoul(size)), scenario, carawaylatch::bench::Spreading::Gossip);
+            carawaylatch::bench::measure(static_cast<std::uint32_t>(std::stoul(size)), scenario, carawaylatch::bench::Dissemination::Tree);
+            carawaylatch::bench::measure(static_cast<std::uint32_t>(std::stoul(size)), scenario, carawaylatch::bench::Dissemination::Gossip);
         }
     }
     return 0;
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -34,11 +34,11 @@
 using ::carawaylatch::testing::VirtualNetwork;
 using membership::MemberState;
 
-constexpr std::uint32_t Domains = 12;
+constexpr std::uint32_t DomainCount = 12;
 constexpr std::size_t SealBytes = 32;
 constexpr base::Duration TickInterval = base::milliseconds{50};
-constexpr base::Duration CutDuration = base::seconds{60};
-constexpr base::Duration Longest = base::seconds{180};
+constexpr base::Duration PartitionDuration = base::seconds{60};
+constexpr base::Duration MaxRunTime = base::seconds{180};
 
 class Fleet
 {
@@ -50,8 +50,13 @@
     {
         std::vector<membership::MemberRecord> records;
         for (std::uint32_t n = 0; n < size; ++n) {
-            records.push_back(
-                {idOf(n), base::FailureDomain("domain-" + std::to_string(n % Domains)), endpointOf(n), {n + 1}, 1'790'000'000'000U + n, 0, MemberState::Alive});
+            records.push_back({idOf(n),
+                               base::FailureDomain("domain-" + std::to_string(n % DomainCount)),
+                               endpointOf(n),
+                               {n + 1},
+                               1'790'000'000'000U + n,
+                               0,
+                               MemberState::Alive});
         }
         for (std::uint32_t n = 0; n < size; ++n) {
             membership::MemberListOptions options;
@@ -72,13 +77,13 @@
     {
         return m_network;
     }
-    void kill(std::uint32_t n)
+    void crash(std::uint32_t n)
     {
         m_isUp[n] = false;
     }
-    void cutDomain(std::uint32_t domain)
+    void partitionDomain(std::uint32_t domain)
     {
-        for (std::uint32_t it = 0; it < Domains; ++it) {
+        for (std::uint32_t it = 0; it < DomainCount; ++it) {
             if (it != domain) {
                 m_network.cut(domain, it);
             }
@@ -89,31 +94,31 @@
         return std::exchange(m_bytes, 0);
     }
     // Runs until all routers that are up see a router in the state; returns the seconds it took.
-    double runUntilSeen(std::uint32_t n, MemberState state)
+    double runUntilObserved(std::uint32_t n, MemberState state)
     {
         const auto start = m_network.now();
-        while (m_network.now() < start + Longest) {
+        while (m_network.now() < start + MaxRunTime) {
             m_network.runFor(base::milliseconds{100});
-            bool isSeen = true;
-            for (std::uint32_t i = 0; i < m_size && isSeen; ++i) {
-                isSeen = !m_isUp[i] || i == n || stateOf(i, n) == state;
+            bool isObserved = true;
+            for (std::uint32_t i = 0; i < m_size && isObserved; ++i) {
+                isObserved = !m_isUp[i] || i == n || stateOf(i, n) == state;
             }
-            if (isSeen) {
+            if (isObserved) {
                 return base::toSeconds(m_network.now() - start);
             }
         }
         return -1;
     }
     // Runs until all tables have the same members again; returns the seconds it took.
-    double runUntilEqual()
+    double runUntilConverged()
     {
         const auto start = m_network.now();
-        while (m_network.now() < start + Longest) {
+        while (m_network.now() < start + MaxRunTime) {
             m_network.runFor(base::milliseconds{500});
-            const bool isEqual = std::all_of(m_lists.begin(), m_lists.end(), [&](const auto &it) {
+            const bool hasConverged = std::all_of(m_lists.begin(), m_lists.end(), [&](const auto &it) {
                 return it->digest() == m_lists.front()->digest() && it->digest().count == m_size;
             });
-            if (isEqual) {
+            if (hasConverged) {
                 return base::toSeconds(m_network.now() - start);
             }
         }
@@ -138,13 +143,13 @@
     {
         if (m_isUp[n]) {
             m_lists[n]->onTick(m_network.now());
-            act(n);
+            performActions(n);
         }
         m_network.at(m_network.now() + TickInterval, [this, n] {
             tick(n);
         });
     }
-    void act(std::uint32_t n)
+    void performActions(std::uint32_t n)
     {
         for (auto &it : m_lists[n]->takeActions()) {
             auto *send = std::get_if<membership::SendMember>(&it);
@@ -158,10 +163,10 @@
                 },
                 send->message);
             m_bytes += peer::encodeEnvelope({{send->to.id, {1ULL << 60U}}, 1'000'000, message}).size() + SealBytes;
-            m_network.send(n % Domains, to % Domains, [this, to, sent = send->message] {
+            m_network.send(n % DomainCount, to % DomainCount, [this, to, sent = send->message] {
                 if (m_isUp[to]) {
                     m_lists[to]->onMessage(sent, m_network.now());
-                    act(to);
+                    performActions(to);
                 }
             });
         }
@@ -174,7 +179,7 @@
     std::uint64_t m_bytes = 0;
 };
 
-struct Steady
+struct SteadyState
 {
     double messages = 0; // sent by a router in a second
     double bytes = 0; // sent and received
@@ -187,7 +192,7 @@
     return 2.0 * static_cast<double>(bytes) / size / std::max(duration, 0.1);
 }
 
-Steady measureSteady(Fleet &fleet, std::uint32_t size)
+SteadyState measureSteady(Fleet &fleet, std::uint32_t size)
 {
     constexpr double Duration = 30;
     fleet.network().runFor(base::seconds{20});
@@ -205,20 +210,20 @@
     {
         Fleet fleet(size);
         const auto steady = measureSteady(fleet, size);
-        fleet.kill(size - 1);
-        const double dead = fleet.runUntilSeen(size - 1, MemberState::Dead);
+        fleet.crash(size - 1);
+        const double dead = fleet.runUntilObserved(size - 1, MemberState::Dead);
         std::printf("| %u | %.1f | %.0f | %.0f | %.1f | %.0f |", size, steady.messages, steady.bytes, steady.cpu, dead, rateOf(fleet.takeBytes(), size, dead));
         std::fflush(stdout);
     }
     Fleet fleet(size);
     fleet.network().runFor(base::seconds{20});
-    fleet.cutDomain(0);
+    fleet.partitionDomain(0);
     (void)fleet.takeBytes();
-    fleet.network().runFor(CutDuration);
-    const double cutRate = rateOf(fleet.takeBytes(), size, base::toSeconds(CutDuration));
+    fleet.network().runFor(PartitionDuration);
+    const double partitionRate = rateOf(fleet.takeBytes(), size, base::toSeconds(PartitionDuration));
     fleet.network().heal();
-    const double heal = fleet.runUntilEqual();
-    std::printf(" %.0f | %.1f | %.0f |\n", cutRate, heal, rateOf(fleet.takeBytes(), size, heal));
+    const double convergence = fleet.runUntilConverged();
+    std::printf(" %.0f | %.1f | %.0f |\n", partitionRate, convergence, rateOf(fleet.takeBytes(), size, convergence));
     std::fflush(stdout);
 }
 
--- a/bench/metricsbench.cpp
+++ b/bench/metricsbench.cpp
@@ -27,7 +27,7 @@
     return customers;
 }
 
-void learn(Metrics &metrics, const std::vector<CustomerId> &customers)
+void configureCustomers(Metrics &metrics, const std::vector<CustomerId> &customers)
 {
     carawaylatch::config::Tables tables;
     for (const auto &it : customers) {
@@ -36,7 +36,7 @@
     metrics.learnTables(tables);
 }
 
-void fill(Metrics &metrics, const std::vector<CustomerId> &customers)
+void recordSamples(Metrics &metrics, const std::vector<CustomerId> &customers)
 {
     for (const auto &it : customers) {
         for (const auto trafficClass : {TrafficClass::Interactive, TrafficClass::Batch}) {
@@ -54,7 +54,7 @@
     static Metrics *shared = nullptr;
     if (state.thread_index() == 0) {
         shared = new Metrics;
-        learn(*shared, customers);
+        configureCustomers(*shared, customers);
     }
     std::size_t i = 0;
     for (auto _ : state) {
@@ -71,8 +71,8 @@
     const auto customers = makeCustomers(state.range(0));
     const auto before = carawaylatch::telemetry::readProcessCost().residentBytes;
     Metrics metrics;
-    learn(metrics, customers);
-    fill(metrics, customers);
+    configureCustomers(metrics, customers);
+    recordSamples(metrics, customers);
     const auto after = carawaylatch::telemetry::readProcessCost().residentBytes;
     std::size_t bytes = 0;
     for (auto _ : state) {
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -48,7 +48,7 @@
     }
 };
 
-class CountedParts : public orders::ServiceConnection, public orders::UpstreamChooser, public orders::RouterLiveness
+class StubDependencies : public orders::ServiceConnection, public orders::UpstreamChooser, public orders::RouterLiveness
 {
 public:
     orders::ClaimantLiveness livenessOf(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
@@ -65,12 +65,12 @@
     }
 };
 
-void countOrders(const char *name, CountingStore &store, orders::OrderRecordStore &claims)
+void countStoreCalls(const char *name, CountingStore &store, orders::OrderRecordStore &claims)
 {
     constexpr std::uint64_t Orders = 500;
     const base::SteadyClock clock;
-    CountedParts parts;
-    orders::OrderExecutor executor(base::RouterId("r1"), {1}, claims, parts, clock);
+    StubDependencies stubs;
+    orders::OrderExecutor executor(base::RouterId("r1"), {1}, claims, stubs, clock);
     for (const char *kind : {"new", "duplicate"}) {
         const std::uint64_t reads = store.reads;
         const std::uint64_t writes = store.writes;
@@ -80,7 +80,7 @@
             request.key = "booking-" + std::to_string(n);
             request.service.body = "{\"tonnes\":10}";
             request.deadline = clock.now() + base::seconds{30};
-            (void)executor.run(request, parts, parts);
+            (void)executor.run(request, stubs, stubs);
         }
         std::printf("| %s | %s | %.2f | %.2f |\n", name, kind, static_cast<double>(store.writes - writes) / Orders,
                     static_cast<double>(store.reads - reads) / Orders);
@@ -107,8 +107,8 @@
 
     void run()
     {
-        at(0, [this] {
-            arrive();
+        schedule(0, [this] {
+            onArrival();
         });
         while (!m_events.empty()) {
             const Event event = m_events.top();
@@ -142,7 +142,7 @@
     };
     struct Record
     {
-        double since;
+        double enqueuedAt;
         bool isClaim;
     };
     struct Committer
@@ -152,20 +152,20 @@
         std::uint64_t version = 0; // of the cached image
     };
 
-    void at(double time, std::function<void()> action)
+    void schedule(double time, std::function<void()> action)
     {
         m_events.push(Event{time, std::move(action)});
     }
 
-    void arrive()
+    void onArrival()
     {
         if (m_now >= Seconds) {
             return;
         }
         ++m_orders;
         submit(m_random.below(m_committers.size()), true);
-        at(m_now - std::log1p(-m_random.unit()) / m_load.ordersPerSecond, [this] {
-            arrive();
+        schedule(m_now - std::log1p(-m_random.unit()) / m_load.ordersPerSecond, [this] {
+            onArrival();
         });
     }
 
@@ -182,25 +182,25 @@
         Committer &committer = m_committers[index];
         committer.isBusy = true;
         ++m_writes;
-        at(m_now + CallLatency / 2, [this, index, batch = std::move(batch)]() mutable {
+        schedule(m_now + CallLatency / 2, [this, index, batch = std::move(batch)]() mutable {
             std::uint64_t &version = m_versions[index % m_load.ranges];
             const bool isCurrent = version == m_committers[index].version;
             m_committers[index].version = isCurrent ? ++version : 0;
-            at(m_now + CallLatency / 2, [this, index, isCurrent, done = std::move(batch)]() mutable {
-                isCurrent ? finish(index, done) : readAgain(index, std::move(done));
+            schedule(m_now + CallLatency / 2, [this, index, isCurrent, done = std::move(batch)]() mutable {
+                isCurrent ? finish(index, done) : readAndRetry(index, std::move(done));
             });
         });
     }
 
-    void readAgain(std::size_t index, std::deque<Record> batch)
+    void readAndRetry(std::size_t index, std::deque<Record> batch)
     {
         ++m_conflicts;
         ++m_reads;
-        at(m_now + CallLatency / 2, [this, index] {
+        schedule(m_now + CallLatency / 2, [this, index] {
             m_committers[index].version = m_versions[index % m_load.ranges];
         });
-        at(m_now + CallLatency, [this, index, again = std::move(batch)]() mutable {
-            write(index, std::move(again));
+        schedule(m_now + CallLatency, [this, index, retried = std::move(batch)]() mutable {
+            write(index, std::move(retried));
         });
     }
 
@@ -208,8 +208,8 @@
     {
         for (const Record &it : batch) {
             if (it.isClaim) {
-                m_claimTimes.push_back(m_now - it.since);
-                at(m_now + RunTime, [this, index] {
+                m_claimTimes.push_back(m_now - it.enqueuedAt);
+                schedule(m_now + RunTime, [this, index] {
                     submit(index, false);
                 });
             }
@@ -221,11 +221,11 @@
         }
     }
 
-    [[nodiscard]] double percentile(double share) const
+    [[nodiscard]] double percentile(double fraction) const
     {
         std::vector<double> sorted = m_claimTimes;
         std::sort(sorted.begin(), sorted.end());
-        return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+        return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
     }
 
     Load m_load;
@@ -248,10 +248,10 @@
     std::printf("| store | order | writes | reads |\n|---|---|---|---|\n");
     CountingStore single;
     orders::ObjectRecordStore singleClaims(single);
-    countOrders("single object", single, singleClaims);
+    countStoreCalls("single object", single, singleClaims);
     CountingStore journal;
     orders::JournalRecordStore journalClaims(journal, orders::JournalSettings{});
-    countOrders("journal", journal, journalClaims);
+    countStoreCalls("journal", journal, journalClaims);
 
     std::printf("\n| routers | ranges | orders/s | writes an order | records a write | writes/s | reads/s | claim p50 ms | claim p99 ms |\n"
                 "|---|---|---|---|---|---|---|---|---|\n");
--- a/bench/policybench.cpp
+++ b/bench/policybench.cpp
@@ -39,16 +39,16 @@
 
 constexpr std::uint64_t FirstSeed = 20'261'203;
 
-bool isWanted(const std::string &list, std::string_view name)
+bool isSelected(const std::string &list, std::string_view name)
 {
     const std::vector<std::string> names = absl::StrSplit(list, ',', absl::SkipEmpty());
     return names.empty() || std::find(names.begin(), names.end(), name) != names.end();
 }
 
-std::vector<Run> plan()
+std::vector<Run> plannedRuns()
 {
     const bool isQuick = absl::GetFlag(FLAGS_quick);
-    const std::string wantedScenarios = isQuick ? "calm,crash,event-loss" : absl::GetFlag(FLAGS_scenarios);
+    const std::string selectedScenarios = isQuick ? "calm,crash,event-loss" : absl::GetFlag(FLAGS_scenarios);
     const unsigned seeds = isQuick ? 1 : absl::GetFlag(FLAGS_seeds);
     std::vector<std::string_view> strategies(routing::StrategyNames.begin(), routing::StrategyNames.end());
     strategies.push_back(OracleFirstToken);
@@ -57,7 +57,7 @@
     for (const Workload *workload : {&groupement(), &brasaSinal()}) {
         for (const auto &scenario : scenarios()) {
             for (const auto strategy : strategies) {
-                const bool isPlanned = isWanted(wantedScenarios, scenario.name) && isWanted(absl::GetFlag(FLAGS_strategies), strategy);
+                const bool isPlanned = isSelected(selectedScenarios, scenario.name) && isSelected(absl::GetFlag(FLAGS_strategies), strategy);
                 for (unsigned i = 0; isPlanned && i < seeds; ++i) {
                     runs.push_back(Run{workload, &scenario, strategy, FirstSeed + i});
                 }
@@ -72,7 +72,7 @@
     std::ostringstream out;
     out << "| workload | scenario | target | measured | bound | met |\n|---|---|---|---|---|---|\n" << std::fixed;
     for (const auto &it : checkTargets(rows)) {
-        out << "| " << it.row->workload->name << " | " << it.row->scenario->name << " | " << it.what << " | " << std::setprecision(it.bound < 2 ? 3 : 0)
+        out << "| " << it.row->workload->name << " | " << it.row->scenario->name << " | " << it.description << " | " << std::setprecision(it.bound < 2 ? 3 : 0)
             << it.measured << " | " << it.bound << " | " << (it.isMet ? "yes" : "NO") << " |\n";
     }
     return out.str();
@@ -96,7 +96,7 @@
 
 int run()
 {
-    const std::vector<Run> runs = plan();
+    const std::vector<Run> runs = plannedRuns();
     std::cout << "seeds from " << FirstSeed << ", " << runs.size() << " runs\n";
     std::vector<Result> results(runs.size());
     const tbb::global_control limit(tbb::global_control::max_allowed_parallelism, absl::GetFlag(FLAGS_threads));
@@ -110,7 +110,7 @@
         writeFiles(absl::GetFlag(FLAGS_out), results, rows);
     }
     const bool isEmpty = std::any_of(results.begin(), results.end(), [](const Result &it) {
-        return it.figures.requests == 0;
+        return it.metrics.requests == 0;
     });
     return isEmpty ? EXIT_FAILURE : EXIT_SUCCESS;
 }
--- a/bench/policybench/blockcache.cpp
+++ b/bench/policybench/blockcache.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-std::uint32_t BlockCache::heldBlocks(std::span<const std::uint64_t> chain) const
+std::uint32_t BlockCache::cachedPrefixBlocks(std::span<const std::uint64_t> chain) const
 {
     std::uint32_t n = 0;
     while (n < chain.size() && m_positions.contains(chain[n])) {
--- a/bench/policybench/blockcache.h
+++ b/bench/policybench/blockcache.h
@@ -23,7 +23,7 @@
     explicit BlockCache(std::size_t capacity);
 
     // Returns how many leading blocks of the chain are held.
-    [[nodiscard]] std::uint32_t heldBlocks(std::span<const std::uint64_t> chain) const;
+    [[nodiscard]] std::uint32_t cachedPrefixBlocks(std::span<const std::uint64_t> chain) const;
     // Marks held blocks as used.
     void touch(std::span<const std::uint64_t> chain);
     // Stores and touches a chain.
--- a/bench/policybench/engine.cpp
+++ b/bench/policybench/engine.cpp
@@ -50,10 +50,10 @@
     m_journal.clear();
     m_isPrefilling = false;
     for (const auto &it : running) {
-        it->onFailed(WorkFailure::Lost);
+        it->onFailed(JobFailure::Lost);
     }
     for (const auto &it : waiting) {
-        it.work.onFailed(WorkFailure::Lost);
+        it.job.onFailed(JobFailure::Lost);
     }
 }
 
@@ -64,69 +64,69 @@
     ++m_incarnation;
 }
 
-void Engine::submit(Work work)
+void Engine::submit(Job job)
 {
     if (!m_isAlive) {
-        work.onFailed(WorkFailure::NotSent);
+        job.onFailed(JobFailure::NotSent);
         return;
     }
-    const std::uint32_t missing = work.request->promptTokens - heldBlocks(work.request->chain) * BlockTokens;
-    auto &waiting = work.request->trafficClass == base::TrafficClass::Interactive ? m_interactive : m_batch;
-    waiting.push_back(Queued{std::move(work), missing});
-    startNext();
+    const std::uint32_t missing = job.request->promptTokens - cachedPrefixBlocks(job.request->chain) * BlockTokens;
+    auto &waiting = job.request->trafficClass == base::TrafficClass::Interactive ? m_interactive : m_batch;
+    waiting.push_back(QueuedJob{std::move(job), missing});
+    startNextPrefill();
 }
 
-void Engine::startNext()
+void Engine::startNextPrefill()
 {
     auto &waiting = m_interactive.empty() ? m_batch : m_interactive;
     if (m_isPrefilling || waiting.empty() || m_running.size() >= Slots) {
         return;
     }
-    const auto work = std::make_shared<Work>(std::move(waiting.front().work));
+    const auto job = std::make_shared<Job>(std::move(waiting.front().job));
     waiting.pop_front();
-    m_running.push_back(work);
-    const auto &chain = work->request->chain;
-    const std::uint32_t cached = heldBlocks(chain);
+    m_running.push_back(job);
+    const auto &chain = job->request->chain;
+    const std::uint32_t cached = cachedPrefixBlocks(chain);
     m_cache.touch(std::span(chain).first(cached));
-    const std::uint32_t missing = work->request->promptTokens - cached * BlockTokens;
-    const base::Duration time = PrefillOverhead + base::fromSeconds(missing / PrefillTokensPerSecond);
+    const std::uint32_t missing = job->request->promptTokens - cached * BlockTokens;
+    const base::Duration prefillTime = PrefillOverhead + base::fromSeconds(missing / PrefillTokensPerSecond);
     m_isPrefilling = true;
-    m_prefillEnd = m_queue.now() + time;
-    m_queue.after(time, [this, work, cached, life = m_incarnation] {
-        if (m_isAlive && life == m_incarnation) {
-            onPrefilled(work, cached);
+    m_prefillEnd = m_queue.now() + prefillTime;
+    m_queue.after(prefillTime, [this, job, cached, incarnation = m_incarnation] {
+        if (m_isAlive && incarnation == m_incarnation) {
+            onPrefilled(job, cached);
         }
     });
 }
 
-void Engine::onPrefilled(const std::shared_ptr<Work> &work, std::uint32_t cachedBlocks)
+void Engine::onPrefilled(const std::shared_ptr<Job> &job, std::uint32_t cachedBlocks)
 {
     m_isPrefilling = false;
-    const auto changes = m_cache.store(work->request->chain);
+    const auto changes = m_cache.store(job->request->chain);
     for (const std::uint64_t it : changes.stored) {
-        journal(prefix::CacheOperation::Stored, it);
+        recordEvent(prefix::CacheOperation::Stored, it);
     }
     for (const std::uint64_t it : changes.evicted) {
-        journal(prefix::CacheOperation::Evicted, it);
+        recordEvent(prefix::CacheOperation::Evicted, it);
     }
-    work->onFirstToken(cachedBlocks);
-    const double decode = DecodeMsPerToken * work->request->outputTokens / 1000;
-    m_queue.after(base::fromSeconds(decode), [this, work, life = m_incarnation] {
-        if (m_isAlive && life == m_incarnation) {
-            onGenerated(work);
+    job->onFirstToken(cachedBlocks);
+    const double decode = DecodeMsPerToken * job->request->outputTokens / 1000;
+    m_queue.after(base::fromSeconds(decode), [this, job, incarnation = m_incarnation] {
+        if (m_isAlive && incarnation == m_incarnation) {
+            onGenerated(job);
         }
     });
-    startNext();
+    startNextPrefill();
 }
 
-void Engine::onGenerated(const std::shared_ptr<Work> &work)
+void Engine::onGenerated(const std::shared_ptr<Job> &job)
 {
-    m_running.erase(std::find(m_running.begin(), m_running.end(), work));
-    work->onDone();
-    startNext();
+    m_running.erase(std::find(m_running.begin(), m_running.end(), job));
+    job->onDone();
+    startNextPrefill();
 }
 
-void Engine::journal(prefix::CacheOperation operation, std::uint64_t block)
+void Engine::recordEvent(prefix::CacheOperation operation, std::uint64_t block)
 {
     m_journal.push_back(Event{m_queue.now(), {m_nextEvent++, operation, block}});
     if (m_journal.size() > JournalEvents) {
@@ -163,9 +163,9 @@
     return result;
 }
 
-std::uint32_t Engine::heldBlocks(const std::vector<std::uint64_t> &chain) const
+std::uint32_t Engine::cachedPrefixBlocks(const std::vector<std::uint64_t> &chain) const
 {
-    return m_cache.heldBlocks(chain);
+    return m_cache.cachedPrefixBlocks(chain);
 }
 
 double Engine::queuedTokens(base::TrafficClass trafficClass) const
--- a/bench/policybench/engine.h
+++ b/bench/policybench/engine.h
@@ -20,18 +20,18 @@
 namespace carawaylatch::bench
 {
 
-enum class WorkFailure {
+enum class JobFailure {
     NotSent,
     Lost,
 };
 
 // One request at an engine.
-struct Work
+struct Job
 {
     const Request *request = nullptr; // outlives the work
     std::function<void(std::uint32_t cachedBlocks)> onFirstToken;
     std::function<void()> onDone;
-    std::function<void(WorkFailure)> onFailed;
+    std::function<void(JobFailure)> onFailed;
 };
 
 class Engine
@@ -53,19 +53,19 @@
     // Begins a new life, empty.
     void start();
 
-    void submit(Work work);
+    void submit(Job job);
     [[nodiscard]] upstreams::LoadReport report() const;
     // Events of this life from `since` on, without those of the last `lag`.
     [[nodiscard]] prefix::CacheEvents events(std::uint64_t since, base::Duration lag) const;
     // Leading blocks of the chain in the cache.
-    [[nodiscard]] std::uint32_t heldBlocks(const std::vector<std::uint64_t> &chain) const;
+    [[nodiscard]] std::uint32_t cachedPrefixBlocks(const std::vector<std::uint64_t> &chain) const;
     // Prompt tokens to compute before a request that is submitted now.
     [[nodiscard]] double queuedTokens(base::TrafficClass trafficClass) const;
 
 private:
-    struct Queued
+    struct QueuedJob
     {
-        Work work;
+        Job job;
         std::uint32_t missingTokens = 0; // when it was submitted
     };
     struct Event
@@ -74,20 +74,20 @@
         prefix::CacheEvent event;
     };
 
-    void startNext();
-    void onPrefilled(const std::shared_ptr<Work> &work, std::uint32_t cachedBlocks);
-    void onGenerated(const std::shared_ptr<Work> &work);
-    void journal(prefix::CacheOperation operation, std::uint64_t block);
+    void startNextPrefill();
+    void onPrefilled(const std::shared_ptr<Job> &job, std::uint32_t cachedBlocks);
+    void onGenerated(const std::shared_ptr<Job> &job);
+    void recordEvent(prefix::CacheOperation operation, std::uint64_t block);
 
     EventQueue &m_queue;
     std::uint32_t m_number;
     std::uint32_t m_domain;
     std::uint64_t m_incarnation = 0;
     bool m_isAlive = false;
-    std::deque<Queued> m_interactive;
-    std::deque<Queued> m_batch;
+    std::deque<QueuedJob> m_interactive;
+    std::deque<QueuedJob> m_batch;
     BlockCache m_cache;
-    std::vector<std::shared_ptr<Work>> m_running; // computing or generating
+    std::vector<std::shared_ptr<Job>> m_running; // computing or generating
     bool m_isPrefilling = false;
     base::TimePoint m_prefillEnd;
     std::deque<Event> m_journal;
--- a/bench/policybench/oracle.cpp
+++ b/bench/policybench/oracle.cpp
@@ -8,14 +8,14 @@
 namespace carawaylatch::bench
 {
 
-OracleStrategy::OracleStrategy(std::vector<std::unique_ptr<Engine>> &engines, Reaches reaches, OracleGoal goal)
+OracleStrategy::OracleStrategy(std::vector<std::unique_ptr<Engine>> &engines, ReachabilityCheck isReachable, OracleGoal goal)
     : m_engines(engines)
-    , m_reaches(std::move(reaches))
+    , m_isReachable(std::move(isReachable))
     , m_goal(goal)
 {
 }
 
-bool OracleStrategy::isBetter(const Sight &left, const Sight &right, double deadline) const
+bool OracleStrategy::isBetter(const Candidate &left, const Candidate &right, double deadline) const
 {
     if (m_goal == OracleGoal::HitRate) {
         const bool leftInTime = left.wait + left.prefill <= deadline;
@@ -23,8 +23,8 @@
         if (leftInTime != rightInTime) {
             return leftInTime;
         }
-        if (left.held != right.held) {
-            return left.held > right.held;
+        if (left.cachedBlocks != right.cachedBlocks) {
+            return left.cachedBlocks > right.cachedBlocks;
         }
     }
     return left.wait + left.prefill < right.wait + right.prefill;
@@ -34,18 +34,18 @@
 {
     const std::vector<std::uint64_t> chain(request.chain.begin(), request.chain.end());
     const double deadline = base::toSeconds(request.deadline - request.now);
-    std::optional<Sight> best;
+    std::optional<Candidate> best;
     for (std::size_t i = 0; i < m_engines.size(); ++i) {
         const Engine &engine = *m_engines[i];
         const auto *status = view.find(engine.id());
         const bool isExcluded = std::find(request.excluded.begin(), request.excluded.end(), engine.id()) != request.excluded.end();
-        if (!engine.isAlive() || !m_reaches(engine.domain()) || status == nullptr || isExcluded) {
+        if (!engine.isAlive() || !m_isReachable(engine.domain()) || status == nullptr || isExcluded) {
             continue;
         }
-        Sight sight{i, engine.heldBlocks(chain), engine.queuedTokens(request.trafficClass) / Engine::PrefillTokensPerSecond, 0};
-        sight.prefill = (request.promptTokens - sight.held * BlockTokens) / Engine::PrefillTokensPerSecond;
-        if (!best || isBetter(sight, *best, deadline)) {
-            best = sight;
+        Candidate candidate{i, engine.cachedPrefixBlocks(chain), engine.queuedTokens(request.trafficClass) / Engine::PrefillTokensPerSecond, 0};
+        candidate.prefill = (request.promptTokens - candidate.cachedBlocks * BlockTokens) / Engine::PrefillTokensPerSecond;
+        if (!best || isBetter(candidate, *best, deadline)) {
+            best = candidate;
         }
     }
     if (!best) {
@@ -56,8 +56,8 @@
     placement.upstream = status->id;
     placement.slot = status->slot;
     placement.incarnation = status->incarnation;
-    placement.predictedBlocks = best->held;
-    placement.missingTokens = request.promptTokens - best->held * BlockTokens;
+    placement.predictedBlocks = best->cachedBlocks;
+    placement.missingTokens = request.promptTokens - best->cachedBlocks * BlockTokens;
     placement.expectedWait = base::fromSeconds(best->wait);
     placement.expectedFirstToken = base::fromSeconds(best->wait + best->prefill);
     return placement;
--- a/bench/policybench/oracle.h
+++ b/bench/policybench/oracle.h
@@ -20,25 +20,25 @@
 class OracleStrategy : public routing::RoutingStrategy
 {
 public:
-    using Reaches = std::function<bool(std::uint32_t domain)>;
+    using ReachabilityCheck = std::function<bool(std::uint32_t domain)>;
 
-    OracleStrategy(std::vector<std::unique_ptr<Engine>> &engines, Reaches reaches, OracleGoal goal);
+    OracleStrategy(std::vector<std::unique_ptr<Engine>> &engines, ReachabilityCheck isReachable, OracleGoal goal);
 
     [[nodiscard]] base::Result<routing::Placement> place(const routing::PlacementRequest &request, const upstreams::UpstreamView &view) const override;
     [[nodiscard]] base::Result<routing::Explanation> explain(const routing::PlacementRequest &request, const upstreams::UpstreamView &view) const override;
 
 private:
-    struct Sight
+    struct Candidate
     {
         std::size_t engine = 0;
-        std::uint32_t held = 0;
+        std::uint32_t cachedBlocks = 0;
         double wait = 0; // seconds
         double prefill = 0; // seconds
     };
-    [[nodiscard]] bool isBetter(const Sight &left, const Sight &right, double deadline) const;
+    [[nodiscard]] bool isBetter(const Candidate &left, const Candidate &right, double deadline) const;
 
     std::vector<std::unique_ptr<Engine>> &m_engines;
-    Reaches m_reaches;
+    ReachabilityCheck m_isReachable;
     OracleGoal m_goal;
 };
 
--- a/bench/policybench/report.cpp
+++ b/bench/policybench/report.cpp
@@ -57,7 +57,7 @@
 {
     std::vector<double> values;
     for (const auto &it : m_results) {
-        values.push_back(it.figures.*column);
+        values.push_back(it.metrics.*column);
     }
     std::sort(values.begin(), values.end());
     return Spread{values[values.size() / 2], values.back() - values.front()};
@@ -90,11 +90,11 @@
     out << "workload,scenario,strategy,seed,requests,hit_rate,hit_bound,p50_interactive_ms,p99_interactive_ms,p50_batch_ms,p99_batch_ms,waste,refused,goodput,"
            "fairness\n";
     for (const auto &it : results) {
-        const auto &figures = it.figures;
-        out << it.run.workload->name << ',' << it.run.scenario->name << ',' << it.run.strategy << ',' << it.run.seed << ',' << figures.requests << std::fixed
-            << std::setprecision(4) << ',' << figures.hitRate << ',' << figures.hitBound << std::setprecision(1) << ',' << figures.p50Interactive << ','
-            << figures.p99Interactive << ',' << figures.p50Batch << ',' << figures.p99Batch << std::setprecision(4) << ',' << figures.waste << ','
-            << figures.refused << ',' << figures.goodput << ',' << figures.fairness << '\n';
+        const auto &metrics = it.metrics;
+        out << it.run.workload->name << ',' << it.run.scenario->name << ',' << it.run.strategy << ',' << it.run.seed << ',' << metrics.requests << std::fixed
+            << std::setprecision(4) << ',' << metrics.hitRate << ',' << metrics.hitBound << std::setprecision(1) << ',' << metrics.p50Interactive << ','
+            << metrics.p99Interactive << ',' << metrics.p50Batch << ',' << metrics.p99Batch << std::setprecision(4) << ',' << metrics.waste << ','
+            << metrics.refused << ',' << metrics.goodput << ',' << metrics.fairness << '\n';
     }
 }
 
@@ -109,15 +109,15 @@
         }
         previous = &row;
         out << "| " << row.strategy << " | ";
-        writeSpread(out, row.spread(&Figures::hitRate), 100, 1);
-        out << " | " << row.median(&Figures::hitBound) * 100 << " | " << std::setprecision(0) << row.median(&Figures::p50Interactive) << " / ";
-        writeSpread(out, row.spread(&Figures::p99Interactive), 1, 0);
-        out << " | " << row.median(&Figures::p50Batch) << " / ";
-        writeSpread(out, row.spread(&Figures::p99Batch), 1, 0);
+        writeSpread(out, row.spread(&RunMetrics::hitRate), 100, 1);
+        out << " | " << row.median(&RunMetrics::hitBound) * 100 << " | " << std::setprecision(0) << row.median(&RunMetrics::p50Interactive) << " / ";
+        writeSpread(out, row.spread(&RunMetrics::p99Interactive), 1, 0);
+        out << " | " << row.median(&RunMetrics::p50Batch) << " / ";
+        writeSpread(out, row.spread(&RunMetrics::p99Batch), 1, 0);
         out << " | ";
-        writeSpread(out, row.spread(&Figures::waste), 100, 1);
-        out << " | " << std::setprecision(1) << row.median(&Figures::refused) * 100 << " | " << row.median(&Figures::goodput) * 100 << " | "
-            << std::setprecision(3) << row.median(&Figures::fairness) << " |\n";
+        writeSpread(out, row.spread(&RunMetrics::waste), 100, 1);
+        out << " | " << std::setprecision(1) << row.median(&RunMetrics::refused) * 100 << " | " << row.median(&RunMetrics::goodput) * 100 << " | "
+            << std::setprecision(3) << row.median(&RunMetrics::fairness) << " |\n";
     }
 }
 
@@ -132,12 +132,12 @@
         << "\" font-family=\"sans-serif\" font-size=\"10\">\n<text x=\"4\" y=\"14\">Prefix hit rate (bar) and p99 time to first token, interactive</text>\n";
     int y = 22;
     for (const auto &row : rows) {
-        const double hit = row.median(&Figures::hitRate);
+        const double hit = row.median(&RunMetrics::hitRate);
         const char *color = row.strategy == Adaptive ? "#1a7f37" : isOracle(row.strategy) ? "#8250df" : "#8c959f";
         out << "<text x=\"4\" y=\"" << y + BarHeight - 2 << "\">" << row.workload->name << ", " << row.scenario->name << ", " << row.strategy << "</text>"
             << "<rect x=\"" << Label << "\" y=\"" << y << "\" width=\"" << std::fixed << std::setprecision(0) << hit * Width << "\" height=\"" << BarHeight
             << "\" fill=\"" << color << "\"/><text x=\"" << Label + hit * Width + 4 << "\" y=\"" << y + BarHeight - 2 << "\">" << std::setprecision(1)
-            << hit * 100 << "%, " << std::setprecision(0) << row.median(&Figures::p99Interactive) << " ms</text>\n";
+            << hit * 100 << "%, " << std::setprecision(0) << row.median(&RunMetrics::p99Interactive) << " ms</text>\n";
         y += BarHeight + 2;
     }
     out << "</svg>\n";
@@ -150,7 +150,7 @@
         if (row.strategy != Adaptive) {
             continue;
         }
-        double oracle = row.median(&Figures::hitBound);
+        double oracle = row.median(&RunMetrics::hitBound);
         double p99Interactive = 1e18;
         double p99Batch = 1e18;
         double roundRobin = 0;
@@ -159,18 +159,18 @@
                 continue;
             }
             if (isOracle(other.strategy)) {
-                oracle = std::max(oracle, other.median(&Figures::hitRate));
+                oracle = std::max(oracle, other.median(&RunMetrics::hitRate));
                 continue;
             }
-            p99Interactive = std::min(p99Interactive, other.median(&Figures::p99Interactive));
-            p99Batch = std::min(p99Batch, other.median(&Figures::p99Batch));
-            roundRobin = other.strategy == RoundRobin ? other.median(&Figures::p99Interactive) : roundRobin;
+            p99Interactive = std::min(p99Interactive, other.median(&RunMetrics::p99Interactive));
+            p99Batch = std::min(p99Batch, other.median(&RunMetrics::p99Batch));
+            roundRobin = other.strategy == RoundRobin ? other.median(&RunMetrics::p99Interactive) : roundRobin;
         }
         const bool isCalm = row.scenario->name == "calm";
-        const double hit = row.median(&Figures::hitRate);
-        const double p99 = row.median(&Figures::p99Interactive);
-        const double batch = row.median(&Figures::p99Batch);
-        const double waste = row.median(&Figures::waste);
+        const double hit = row.median(&RunMetrics::hitRate);
+        const double p99 = row.median(&RunMetrics::p99Interactive);
+        const double batch = row.median(&RunMetrics::p99Batch);
+        const double waste = row.median(&RunMetrics::waste);
         if (!row.scenario->isPair) {
             const double bound = oracle * (isCalm ? CalmHitShare : FaultHitShare);
             targets.push_back({&row, "hit rate, least", hit, bound, hit >= bound});
--- a/bench/policybench/report.h
+++ b/bench/policybench/report.h
@@ -13,7 +13,7 @@
 struct Result
 {
     Run run;
-    Figures figures;
+    RunMetrics metrics;
 };
 
 // Median and spread (greatest less least) of one column over the seeds.
@@ -23,7 +23,7 @@
     double spread = 0;
 };
 
-using Column = double Figures::*;
+using Column = double RunMetrics::*;
 
 // The seeds of one row of the table.
 class Row
@@ -50,7 +50,7 @@
 struct Target
 {
     const Row *row;
-    std::string_view what;
+    std::string_view description;
     double measured;
     double bound;
     bool isMet;
--- a/bench/policybench/router.cpp
+++ b/bench/policybench/router.cpp
@@ -14,11 +14,11 @@
 
 constexpr base::Duration EventPollPeriod = base::milliseconds{100};
 constexpr base::Duration EventLag = base::milliseconds{100};
-constexpr base::Duration LateReport = base::seconds{2};
+constexpr base::Duration LateReportDelay = base::seconds{2};
 constexpr base::Duration TickPeriod = base::milliseconds{50};
-constexpr base::Duration SameDomain = base::microseconds{300}; // one way
-constexpr base::Duration OtherDomain = base::microseconds{1300};
-constexpr std::uint64_t LossOneIn = 8;
+constexpr base::Duration SameDomainLatency = base::microseconds{300}; // one way
+constexpr base::Duration CrossDomainLatency = base::microseconds{1300};
+constexpr std::uint64_t EventLossDivisor = 8;
 constexpr std::size_t MaxAttempts = 4;
 constexpr std::size_t HotEntries = 20'000;
 
@@ -51,7 +51,7 @@
     , m_seed(seed)
     , m_routers(4)
 {
-    makeState();
+    resetState();
     // Polls of the routers and engines don't coincide.
     for (std::size_t i = 0; i < m_fleet.engines.size(); ++i) {
         const base::Duration offset = base::milliseconds{1 + (i * 7 + std::size_t{number} * 13) % 90};
@@ -67,7 +67,7 @@
     });
 }
 
-void Router::makeState()
+void Router::resetState()
 {
     m_state = std::make_shared<State>(m_fleet.engines.size());
     config::Tables tables;
@@ -81,39 +81,39 @@
     tables.pools.push_back(std::move(pool));
     m_state->registry.onTick(m_fleet.queue.now());
     m_state->registry.configure(tables, m_fleet.queue.now());
-    const auto reachesDomain = [this](std::uint32_t domain) {
-        return reaches(domain);
+    const auto isDomainReachable = [this](std::uint32_t domain) {
+        return isReachable(domain);
     };
     if (m_strategyName == OracleFirstToken || m_strategyName == OracleHitRate) {
         const auto goal = m_strategyName == OracleHitRate ? OracleGoal::HitRate : OracleGoal::FirstToken;
-        m_state->strategy = std::make_unique<OracleStrategy>(m_fleet.engines, reachesDomain, goal);
+        m_state->strategy = std::make_unique<OracleStrategy>(m_fleet.engines, isDomainReachable, goal);
         return;
     }
-    const routing::SharedRoutingState knowledge{&m_state->caches, &m_state->heat, &m_state->inflight, &m_routers};
-    m_state->strategy = std::move(routing::makeStrategy(m_strategyName, knowledge, m_seed).value());
+    const routing::SharedRoutingState routingState{&m_state->caches, &m_state->heat, &m_state->inflight, &m_routers};
+    m_state->strategy = std::move(routing::makeStrategy(m_strategyName, routingState, m_seed).value());
 }
 
-bool Router::reaches(std::uint32_t domain) const
+bool Router::isReachable(std::uint32_t domain) const
 {
     const std::uint32_t last = m_fleet.domains - 1;
-    return !m_fleet.isCut || (domain == last) == (m_domain == last);
+    return !m_fleet.isPartitioned || (domain == last) == (m_domain == last);
 }
 
 base::Duration Router::latency(std::size_t engine) const
 {
-    return m_fleet.engines[engine]->domain() == m_domain ? SameDomain : OtherDomain;
+    return m_fleet.engines[engine]->domain() == m_domain ? SameDomainLatency : CrossDomainLatency;
 }
 
 void Router::restart(const Router &peer)
 {
-    makeState();
+    resetState();
     for (const auto &engine : m_fleet.engines) {
-        if (engine->isAlive() && reaches(engine->domain())) {
+        if (engine->isAlive() && isReachable(engine->domain())) {
             m_state->registry.onLoadReport(engine->id(), engine->report(), m_fleet.queue.now());
         }
     }
     tick();
-    if (reaches(peer.m_domain)) {
+    if (isReachable(peer.m_domain)) {
         m_state->caches.importHot(peer.m_state->caches.exportHot(HotEntries, m_fleet.queue.now()), m_fleet.queue.now());
         m_state->heat.importHot(peer.m_state->heat.exportHot(HotEntries, m_fleet.queue.now()), m_fleet.queue.now());
     }
@@ -123,11 +123,11 @@
 {
     const Engine &it = *m_fleet.engines[engine];
     const auto state = m_state;
-    if (!it.isAlive() || !reaches(it.domain())) {
+    if (!it.isAlive() || !isReachable(it.domain())) {
         state->registry.onUnreachable(it.id(), m_fleet.queue.now());
         return;
     }
-    const base::Duration lag = m_fleet.scenario.delaysReports ? LateReport : base::milliseconds{20};
+    const base::Duration lag = m_fleet.scenario.delaysReports ? LateReportDelay : base::milliseconds{20};
     auto report = it.report();
     report.age = lag;
     m_fleet.queue.after(lag + latency(engine), [this, state, engine, report] {
@@ -142,13 +142,13 @@
 {
     const Engine &it = *m_fleet.engines[engine];
     const auto *status = m_state->registry.view()->find(it.id());
-    if (!it.isAlive() || !reaches(it.domain()) || status == nullptr) {
+    if (!it.isAlive() || !isReachable(it.domain()) || status == nullptr) {
         return;
     }
     auto events = it.events(m_state->caches.nextEvent(status->slot), EventLag);
     if (m_fleet.scenario.losesEvents) {
         std::erase_if(events.events, [this](const prefix::CacheEvent &) {
-            return m_fleet.random.below(LossOneIn) == 0;
+            return m_fleet.random.below(EventLossDivisor) == 0;
         });
     }
     m_state->caches.applyEvents(status->slot, events, m_fleet.queue.now());
@@ -189,7 +189,7 @@
     placement.deadline = attempt->arrived + request.deadline;
     placement.excluded = attempt->excluded;
     placement.spreadKey = request.id;
-    attempt->outcome.heldSomewhere = heldSomewhere(request);
+    attempt->outcome.bestCachedBlocks = bestCachedBlocks(request);
     auto placed = m_state->strategy->place(placement, *m_state->registry.view());
     // Admission's rule, the same for all strategies: what can't be in time is refused at once.
     if (placed.has_error() || now + placed.value().expectedFirstToken > placement.deadline) {
@@ -218,20 +218,20 @@
     attempt->engine = static_cast<std::size_t>(std::find_if(m_fleet.engines.begin(), m_fleet.engines.end(), isChosen) - m_fleet.engines.begin());
     m_fleet.queue.after(latency(attempt->engine), [this, attempt] {
         Engine &engine = *m_fleet.engines[attempt->engine];
-        if (!reaches(engine.domain())) {
-            onFailed(attempt, WorkFailure::NotSent);
+        if (!isReachable(engine.domain())) {
+            onFailed(attempt, JobFailure::NotSent);
             return;
         }
-        engine.submit(Work{attempt->request,
-                           [this, attempt](std::uint32_t cachedBlocks) {
-                               onFirstToken(attempt, cachedBlocks);
-                           },
-                           [this, attempt] {
-                               onDone(attempt);
-                           },
-                           [this, attempt](WorkFailure failure) {
-                               onFailed(attempt, failure);
-                           }});
+        engine.submit(Job{attempt->request,
+                          [this, attempt](std::uint32_t cachedBlocks) {
+                              onFirstToken(attempt, cachedBlocks);
+                          },
+                          [this, attempt] {
+                              onDone(attempt);
+                          },
+                          [this, attempt](JobFailure failure) {
+                              onFailed(attempt, failure);
+                          }});
     });
 }
 
@@ -254,10 +254,10 @@
     state.registry.onAttempt(placement.upstream, placement.incarnation, upstreams::AttemptOutcome::Succeeded, m_fleet.queue.now());
 }
 
-void Router::onFailed(const std::shared_ptr<Attempt> &attempt, WorkFailure failure)
+void Router::onFailed(const std::shared_ptr<Attempt> &attempt, JobFailure failure)
 {
     const auto &placement = attempt->placement;
-    const auto outcome = failure == WorkFailure::NotSent ? upstreams::AttemptOutcome::NotSent : upstreams::AttemptOutcome::Failed;
+    const auto outcome = failure == JobFailure::NotSent ? upstreams::AttemptOutcome::NotSent : upstreams::AttemptOutcome::Failed;
     attempt->ticket.finish();
     attempt->state->registry.onAttempt(placement.upstream, placement.incarnation, outcome, m_fleet.queue.now());
     tick();
@@ -273,12 +273,12 @@
     place(attempt);
 }
 
-std::uint32_t Router::heldSomewhere(const Request &request) const
+std::uint32_t Router::bestCachedBlocks(const Request &request) const
 {
     std::uint32_t most = 0;
     for (const auto &it : m_fleet.engines) {
-        if (it->isAlive() && reaches(it->domain())) {
-            most = std::max(most, it->heldBlocks(request.chain));
+        if (it->isAlive() && isReachable(it->domain())) {
+            most = std::max(most, it->cachedPrefixBlocks(request.chain));
         }
     }
     return most;
--- a/bench/policybench/router.h
+++ b/bench/policybench/router.h
@@ -27,7 +27,7 @@
     bool hasFirstToken = false;
     base::Duration firstToken{};
     std::uint32_t cachedBlocks = 0;
-    std::uint32_t heldSomewhere = 0; // most blocks that a live engine in reach held when it was placed
+    std::uint32_t bestCachedBlocks = 0; // most blocks that a live engine in reach held when it was placed
 };
 
 // What routers share in the bench: the engines and the state of the network.
@@ -37,7 +37,7 @@
     std::vector<std::unique_ptr<Engine>> &engines;
     const Scenario &scenario;
     base::Random &random;
-    const bool &isCut; // the last domain is cut off
+    const bool &isPartitioned; // the last domain is cut off
     std::uint32_t domains;
 };
 
@@ -50,7 +50,7 @@
     void handle(const Request &request, const std::function<void(const Outcome &)> &done);
     // Loses all state, as a restarted process does, and takes a peer's hot state.
     void restart(const Router &peer);
-    [[nodiscard]] bool reaches(std::uint32_t domain) const;
+    [[nodiscard]] bool isReachable(std::uint32_t domain) const;
 
 private:
     // What dies with the process.
@@ -65,7 +65,7 @@
     };
     struct Attempt;
 
-    void makeState();
+    void resetState();
     void pollLoad(std::size_t engine);
     void pollEvents(std::size_t engine);
     void tick();
@@ -74,8 +74,8 @@
     void send(const std::shared_ptr<Attempt> &attempt);
     void onFirstToken(const std::shared_ptr<Attempt> &attempt, std::uint32_t cachedBlocks);
     void onDone(const std::shared_ptr<Attempt> &attempt);
-    void onFailed(const std::shared_ptr<Attempt> &attempt, WorkFailure failure);
-    [[nodiscard]] std::uint32_t heldSomewhere(const Request &request) const;
+    void onFailed(const std::shared_ptr<Attempt> &attempt, JobFailure failure);
+    [[nodiscard]] std::uint32_t bestCachedBlocks(const Request &request) const;
     [[nodiscard]] base::Duration latency(std::size_t engine) const;
 
     Fleet m_fleet;
--- a/bench/policybench/scenario.h
+++ b/bench/policybench/scenario.h
@@ -15,7 +15,7 @@
     bool losesEvents = false; // an eighth
     bool delaysReports = false; // by 2 s
     bool restartsRouter = false;
-    bool cutsDomain = false;
+    bool partitionsDomain = false;
     bool overloads = false;
     bool isPair = false;
 };
--- a/bench/policybench/simulation.cpp
+++ b/bench/policybench/simulation.cpp
@@ -18,9 +18,9 @@
 
 constexpr base::Duration WarmUp = base::seconds{30};
 constexpr base::Duration FaultAt = base::seconds{60};
-constexpr base::Duration CrashLasts = base::seconds{4};
-constexpr base::Duration RouterDown = base::seconds{1};
-constexpr base::Duration CutLasts = base::seconds{30};
+constexpr base::Duration CrashDuration = base::seconds{4};
+constexpr base::Duration RouterDowntime = base::seconds{1};
+constexpr base::Duration PartitionDuration = base::seconds{30};
 constexpr base::Duration ArrivalsEnd = base::seconds{150};
 constexpr base::Duration RunEnd = base::seconds{200}; // all deadlines have passed
 constexpr std::uint32_t Routers = 4;
@@ -30,7 +30,7 @@
 {
 public:
     explicit Simulation(const Run &run);
-    Figures result();
+    RunMetrics result();
 
 private:
     void scheduleFaults();
@@ -45,12 +45,12 @@
     WorkloadSource m_source;
     base::Random m_network;
     std::vector<std::unique_ptr<Engine>> m_engines;
-    bool m_isCut = false;
+    bool m_isPartitioned = false;
     std::uint32_t m_downRouter = Routers; // none
     std::vector<std::unique_ptr<Router>> m_routers;
     std::deque<Request> m_requests; // addresses stay valid
     std::vector<Outcome> m_outcomes;
-    BlockCache m_pooled; // what one cache of all engines' size would hold
+    BlockCache m_pooledCache; // what one cache of all engines' size would hold
     double m_pooledHits = 0; // tokens
 };
 
@@ -59,12 +59,12 @@
     , m_start(m_queue.now())
     , m_source(*run.workload, run.seed)
     , m_network(run.seed + 1)
-    , m_pooled(run.workload->engines * Engine::CapacityBlocks)
+    , m_pooledCache(run.workload->engines * Engine::CapacityBlocks)
 {
     for (std::uint32_t i = 0; i < run.workload->engines; ++i) {
         m_engines.push_back(std::make_unique<Engine>(m_queue, i, i % run.workload->domains));
     }
-    const Fleet fleet{m_queue, m_engines, *run.scenario, m_network, m_isCut, run.workload->domains};
+    const Fleet fleet{m_queue, m_engines, *run.scenario, m_network, m_isPartitioned, run.workload->domains};
     for (std::uint32_t i = 0; i < Routers; ++i) {
         m_routers.push_back(std::make_unique<Router>(fleet, i, run.strategy, run.seed * 100 + i));
     }
@@ -91,7 +91,7 @@
         m_queue.after(FaultAt, [this] {
             m_engines[0]->crash();
         });
-        m_queue.after(FaultAt + CrashLasts, [this] {
+        m_queue.after(FaultAt + CrashDuration, [this] {
             m_engines[0]->start();
         });
     }
@@ -99,17 +99,17 @@
         m_queue.after(FaultAt, [this] {
             m_downRouter = RestartedRouter;
         });
-        m_queue.after(FaultAt + RouterDown, [this] {
+        m_queue.after(FaultAt + RouterDowntime, [this] {
             m_routers[RestartedRouter]->restart(*m_routers[0]);
             m_downRouter = Routers;
         });
     }
-    if (scenario.cutsDomain) {
+    if (scenario.partitionsDomain) {
         m_queue.after(FaultAt, [this] {
-            m_isCut = true;
+            m_isPartitioned = true;
         });
-        m_queue.after(FaultAt + CutLasts, [this] {
-            m_isCut = false;
+        m_queue.after(FaultAt + PartitionDuration, [this] {
+            m_isPartitioned = false;
         });
     }
 }
@@ -136,11 +136,11 @@
         onOutcome(outcome, arrived);
     });
     if (session.requests > 1) {
-        Session rest = session;
-        --rest.requests;
-        m_queue.after(m_source.exponential(m_run.workload->thinkTime), [this, rest] {
+        Session remaining = session;
+        --remaining.requests;
+        m_queue.after(m_source.exponential(m_run.workload->thinkTime), [this, remaining] {
             if (m_queue.now() - m_start <= ArrivalsEnd) {
-                scheduleRequest(rest);
+                scheduleRequest(remaining);
             }
         });
     }
@@ -150,21 +150,21 @@
 {
     const bool isMeasured = arrived - m_start >= WarmUp;
     if (outcome.hasFirstToken) {
-        m_pooledHits += isMeasured ? m_pooled.heldBlocks(outcome.request->chain) * BlockTokens : 0;
-        std::ignore = m_pooled.store(outcome.request->chain);
+        m_pooledHits += isMeasured ? m_pooledCache.cachedPrefixBlocks(outcome.request->chain) * BlockTokens : 0;
+        std::ignore = m_pooledCache.store(outcome.request->chain);
     }
     if (isMeasured) {
         m_outcomes.push_back(outcome);
     }
 }
 
-double percentile(std::vector<double> &values, double share)
+double percentile(std::vector<double> &values, double fraction)
 {
     if (values.empty()) {
         return 0;
     }
     std::sort(values.begin(), values.end());
-    const auto rank = static_cast<std::size_t>(share * static_cast<double>(values.size()));
+    const auto rank = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
     return values[std::min(rank, values.size() - 1)];
 }
 
@@ -179,52 +179,52 @@
     return squares > 0 ? sum * sum / (static_cast<double>(values.size()) * squares) : 0;
 }
 
-Figures Simulation::result()
+RunMetrics Simulation::result()
 {
     m_queue.runUntil(m_start + RunEnd);
-    Figures figures;
+    RunMetrics metrics;
     std::vector<double> interactive;
     std::vector<double> batch;
-    std::vector<double> inTime(m_run.workload->customers.size());
-    std::vector<double> asked(m_run.workload->customers.size());
+    std::vector<double> goodputByCustomer(m_run.workload->customers.size());
+    std::vector<double> requestsByCustomer(m_run.workload->customers.size());
     double prompt = 0;
     double cached = 0;
     double wasted = 0;
     for (const auto &it : m_outcomes) {
         const Request &request = *it.request;
-        asked[request.customer] += 1;
-        figures.refused += it.isRefused ? 1 : 0;
+        requestsByCustomer[request.customer] += 1;
+        metrics.refused += it.isRefused ? 1 : 0;
         if (!it.hasFirstToken) {
             continue;
         }
         (request.trafficClass == base::TrafficClass::Interactive ? interactive : batch).push_back(base::toSeconds(it.firstToken) * 1000);
-        inTime[request.customer] += it.firstToken <= request.deadline ? 1 : 0;
-        figures.goodput += it.firstToken <= request.deadline ? 1 : 0;
+        goodputByCustomer[request.customer] += it.firstToken <= request.deadline ? 1 : 0;
+        metrics.goodput += it.firstToken <= request.deadline ? 1 : 0;
         prompt += request.promptTokens;
         cached += it.cachedBlocks * BlockTokens;
-        wasted += it.heldSomewhere > it.cachedBlocks ? (it.heldSomewhere - it.cachedBlocks) * BlockTokens : 0;
+        wasted += it.bestCachedBlocks > it.cachedBlocks ? (it.bestCachedBlocks - it.cachedBlocks) * BlockTokens : 0;
     }
     const auto n = static_cast<double>(std::max<std::size_t>(m_outcomes.size(), 1));
-    for (std::size_t i = 0; i < asked.size(); ++i) {
-        inTime[i] = asked[i] > 0 ? inTime[i] / asked[i] : 1;
+    for (std::size_t i = 0; i < requestsByCustomer.size(); ++i) {
+        goodputByCustomer[i] = requestsByCustomer[i] > 0 ? goodputByCustomer[i] / requestsByCustomer[i] : 1;
     }
-    figures.requests = m_outcomes.size();
-    figures.hitRate = prompt > 0 ? cached / prompt : 0;
-    figures.hitBound = prompt > 0 ? m_pooledHits / prompt : 0;
-    figures.waste = prompt > 0 ? wasted / prompt : 0;
-    figures.refused /= n;
-    figures.goodput /= n;
-    figures.fairness = jainIndex(inTime);
-    figures.p50Interactive = percentile(interactive, 0.50);
-    figures.p99Interactive = percentile(interactive, 0.99);
-    figures.p50Batch = percentile(batch, 0.50);
-    figures.p99Batch = percentile(batch, 0.99);
-    return figures;
+    metrics.requests = m_outcomes.size();
+    metrics.hitRate = prompt > 0 ? cached / prompt : 0;
+    metrics.hitBound = prompt > 0 ? m_pooledHits / prompt : 0;
+    metrics.waste = prompt > 0 ? wasted / prompt : 0;
+    metrics.refused /= n;
+    metrics.goodput /= n;
+    metrics.fairness = jainIndex(goodputByCustomer);
+    metrics.p50Interactive = percentile(interactive, 0.50);
+    metrics.p99Interactive = percentile(interactive, 0.99);
+    metrics.p50Batch = percentile(batch, 0.50);
+    metrics.p99Batch = percentile(batch, 0.99);
+    return metrics;
 }
 
 } // namespace
 
-Figures simulate(const Run &run)
+RunMetrics simulate(const Run &run)
 {
     return Simulation(run).result();
 }
--- a/bench/policybench/simulation.h
+++ b/bench/policybench/simulation.h
@@ -12,7 +12,7 @@
 {
 
 // The columns of the table.
-struct Figures
+struct RunMetrics
 {
     double hitRate = 0; // cached prompt tokens / prompt tokens, of requests that ran
     double hitBound = 0; // the same with one cache of all engines' size, no copies and no faults
@@ -35,6 +35,6 @@
     std::uint64_t seed = 0;
 };
 
-[[nodiscard]] Figures simulate(const Run &run);
+[[nodiscard]] RunMetrics simulate(const Run &run);
 
 } // namespace carawaylatch::bench
--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -72,7 +72,7 @@
 using platform::testing::StandinServer;
 using platform::testing::streamHead;
 
-class NoObserver : public proxy::TrafficObserver
+class NullObserver : public proxy::TrafficObserver
 {
 public:
     void onWeightsSeen(const base::UpstreamId & /*upstream*/, base::WeightsVersion /*weights*/) override
@@ -84,11 +84,11 @@
 };
 
 // The plane on its own thread, before one scripted upstream.
-class Bed
+class TrafficPlaneFixture
 {
 public:
-    explicit Bed(const StandinServer::Script &script)
-        : m_server(m_worldLoop, script)
+    explicit TrafficPlaneFixture(const StandinServer::Script &script)
+        : m_server(m_upstreamLoop, script)
         , m_log(::open("/dev/null", O_WRONLY | O_CLOEXEC), 1'000'000, m_clock)
     {
         proxy::TrafficSettings settings;
@@ -105,22 +105,22 @@
             isCounted = true;
             m_planeLoop.run();
         });
-        m_worldThread = std::thread([this] {
-            m_worldLoop.run();
+        m_upstreamThread = std::thread([this] {
+            m_upstreamLoop.run();
         });
     }
-    ~Bed()
+    ~TrafficPlaneFixture()
     {
         m_planeLoop.stop();
-        m_worldLoop.stop();
+        m_upstreamLoop.stop();
         m_planeThread.join();
-        m_worldThread.join();
+        m_upstreamThread.join();
         m_plane->closeAll();
         m_planeLoop.restart();
         m_planeLoop.poll();
     }
-    Bed(const Bed &) = delete;
-    Bed &operator=(const Bed &) = delete;
+    TrafficPlaneFixture(const TrafficPlaneFixture &) = delete;
+    TrafficPlaneFixture &operator=(const TrafficPlaneFixture &) = delete;
 
     [[nodiscard]] base::Endpoint callers() const
     {
@@ -166,60 +166,60 @@
     }
 
     boost::asio::io_context m_planeLoop{1};
-    boost::asio::io_context m_worldLoop{1};
+    boost::asio::io_context m_upstreamLoop{1};
     base::SteadyClock m_clock;
     platform::HeaderDialect m_dialect;
-    NoObserver m_observer;
+    NullObserver m_observer;
     StandinServer m_server;
     carawaylatch::telemetry::DecisionLog m_log;
     std::unique_ptr<proxy::TrafficPlane> m_plane;
     std::thread m_planeThread;
-    std::thread m_worldThread;
+    std::thread m_upstreamThread;
 };
 
 // Sends requests one after the other on one connection and reads each answer to `end`.
-void exchange(benchmark::State &state, Bed &bed, const std::string &request, const std::string &end, int eventsEach)
+void measureExchanges(benchmark::State &state, TrafficPlaneFixture &fixture, const std::string &request, const std::string &end, int eventsPerRequest)
 {
     boost::asio::io_context loop;
     boost::asio::ip::tcp::socket socket(loop);
-    socket.connect({boost::asio::ip::make_address("127.0.0.1"), bed.callers().port});
+    socket.connect({boost::asio::ip::make_address("127.0.0.1"), fixture.callers().port});
     socket.set_option(boost::asio::ip::tcp::no_delay(true));
-    std::string answer;
-    const double before = bed.planeSeconds();
+    std::string response;
+    const double before = fixture.planeSeconds();
     const std::uint64_t allocatedBefore = allocations.load();
     std::int64_t n = 0;
     for (auto _ : state) {
         boost::asio::write(socket, boost::asio::buffer(request));
-        answer.clear();
-        boost::asio::read_until(socket, boost::asio::dynamic_buffer(answer), end);
+        response.clear();
+        boost::asio::read_until(socket, boost::asio::dynamic_buffer(response), end);
         ++n;
     }
-    const double each = static_cast<double>(n) * eventsEach;
-    state.counters["plane_us"] = (bed.planeSeconds() - before) * 1e6 / each;
-    state.counters["allocations"] = static_cast<double>(allocations.load() - allocatedBefore) / each;
+    const double events = static_cast<double>(n) * eventsPerRequest;
+    state.counters["plane_us"] = (fixture.planeSeconds() - before) * 1e6 / events;
+    state.counters["allocations"] = static_cast<double>(allocations.load() - allocatedBefore) / events;
 }
 
 void benchCall(benchmark::State &state)
 {
-    Bed bed([](const std::string &, const std::string &id) {
+    TrafficPlaneFixture fixture([](const std::string &, const std::string &id) {
         return ScriptedAnswer{{okAnswer(id, std::string(799, 'x') + '!')}};
     });
-    exchange(state, bed, callerRequest("/call/", "a1", {}, std::string(static_cast<std::size_t>(state.range(0)), 'b')), "!", 1);
+    measureExchanges(state, fixture, callerRequest("/call/", "a1", {}, std::string(static_cast<std::size_t>(state.range(0)), 'b')), "!", 1);
 }
 BENCHMARK(benchCall)->Arg(600)->Arg(18000)->UseRealTime();
 
 void benchStreamEvent(benchmark::State &state)
 {
     constexpr int Events = 50;
-    Bed bed([](const std::string &, const std::string &id) {
-        ScriptedAnswer answer{{streamHead(id)}, base::microseconds{300}};
+    TrafficPlaneFixture fixture([](const std::string &, const std::string &id) {
+        ScriptedAnswer response{{streamHead(id)}, base::microseconds{300}};
         for (int i = 1; i <= Events; ++i) {
-            answer.pieces.push_back(chunk(event(i)));
+            response.pieces.push_back(chunk(event(i)));
         }
-        answer.pieces.emplace_back(LastChunk);
-        return answer;
+        response.pieces.emplace_back(LastChunk);
+        return response;
     });
-    exchange(state, bed, callerRequest("/stream/", "a1"), "0\r\n\r\n", Events);
+    measureExchanges(state, fixture, callerRequest("/stream/", "a1"), "0\r\n\r\n", Events);
 }
 BENCHMARK(benchStreamEvent)->UseRealTime();
 
@@ -270,8 +270,8 @@
 {
     proxy::LoadReport report;
     report.isFullReport = true;
-    proxy::PeerLoad work;
-    work.apply(report, {});
+    proxy::PeerLoad peerLoad;
+    peerLoad.apply(report, {});
     report.isFullReport = false;
     for (std::uint64_t i = 0; i < static_cast<std::uint64_t>(state.range(0)); ++i) {
         report.loads.push_back({i, 1, 9000, 9000});
@@ -281,7 +281,7 @@
     for (auto _ : state) {
         const std::string text = encodeLoadReport(report);
         bytes = text.size();
-        benchmark::DoNotOptimize(work.apply(proxy::decodeLoadReport(text).value(), {}));
+        benchmark::DoNotOptimize(peerLoad.apply(proxy::decodeLoadReport(text).value(), {}));
     }
     state.counters["bytes"] = static_cast<double>(bytes);
 }
--- a/examples/orderexecutor.cpp
+++ b/examples/orderexecutor.cpp
@@ -30,7 +30,7 @@
     int runs = 0;
 };
 
-class OneService : public orders::UpstreamChooser
+class SingleUpstreamChooser : public orders::UpstreamChooser
 {
 public:
     base::Result<orders::ChosenUpstream> choose(const std::vector<base::UpstreamId> &refused) override
@@ -43,7 +43,7 @@
 };
 
 // This process is the only one.
-class OneProcess : public orders::RouterLiveness
+class SingleProcessLiveness : public orders::RouterLiveness
 {
 public:
     orders::ClaimantLiveness livenessOf(const base::RouterId &, base::Incarnation) const override
@@ -58,12 +58,12 @@
 {
     store::MemoryStore objects;
     orders::ObjectRecordStore claims(objects);
-    const OneProcess liveness;
+    const SingleProcessLiveness liveness;
     const base::SteadyClock clock;
     orders::OrderExecutor executor(base::RouterId("booking-1"), base::newIncarnation(), claims, liveness, clock);
 
     BookingService service;
-    OneService chooser;
+    SingleUpstreamChooser chooser;
     int done = 0;
     for (int i = 0; i < 2; ++i) {
         orders::OrderRequest request;
--- a/examples/placement.cpp
+++ b/examples/placement.cpp
@@ -26,7 +26,7 @@
 
 constexpr std::uint32_t BlockBytes = 4000;
 
-config::Tables threeEngines()
+config::Tables makeTables()
 {
     config::Pool pool;
     pool.name = base::PoolName("readers");
@@ -48,7 +48,7 @@
     Placer()
         : m_strategy(routing::makeStrategy("adaptive", {&m_caches, &m_heat, &m_inflight, &m_routers}, 1).value())
     {
-        const auto tables = threeEngines();
+        const auto tables = makeTables();
         m_registry.configure(tables, m_now);
         for (const auto &it : tables.pools.front().members) {
             upstreams::LoadReport report;
@@ -100,11 +100,12 @@
     const std::string contract(40'000, 'c');
     const auto first = placer.place("acme", contract + "clause 1");
     const auto second = placer.place("acme", contract + "clause 2");
-    const auto rival = placer.place("rival", contract + "clause 1");
+    const auto otherCustomer = placer.place("rival", contract + "clause 1");
     std::cout << "first:  " << first.upstream << ", " << first.missingTokens << " tokens to compute\n"
               << "second: " << second.upstream << ", " << second.missingTokens << " tokens to compute\n"
-              << "rival:  " << rival.upstream << ", " << rival.missingTokens << " tokens to compute\n";
-    const bool holds = second.upstream == first.upstream && second.missingTokens < first.missingTokens && rival.missingTokens == first.missingTokens;
-    std::cout << (holds ? "the prefix was found, and only by its customer\n" : "unexpected placement\n");
-    return holds ? 0 : 1;
+              << "rival:  " << otherCustomer.upstream << ", " << otherCustomer.missingTokens << " tokens to compute\n";
+    const bool isExpected =
+        second.upstream == first.upstream && second.missingTokens < first.missingTokens && otherCustomer.missingTokens == first.missingTokens;
+    std::cout << (isExpected ? "the prefix was found, and only by its customer\n" : "unexpected placement\n");
+    return isExpected ? 0 : 1;
 }
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -116,13 +116,13 @@
 
 } // namespace
 
-base::Duration quantile(std::vector<base::Duration> &values, double share)
+base::Duration quantile(std::vector<base::Duration> &values, double fraction)
 {
     if (values.empty()) {
         return {};
     }
     std::sort(values.begin(), values.end());
-    const auto rank = static_cast<std::size_t>(std::ceil(share * static_cast<double>(values.size())));
+    const auto rank = static_cast<std::size_t>(std::ceil(fraction * static_cast<double>(values.size())));
     return values.at(std::clamp<std::size_t>(rank, 1, values.size()) - 1);
 }
 
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -47,7 +47,7 @@
 };
 
 // Returns the value below which `share` of the values lie; zero without any. Sorts the values.
-[[nodiscard]] base::Duration quantile(std::vector<base::Duration> &values, double share);
+[[nodiscard]] base::Duration quantile(std::vector<base::Duration> &values, double fraction);
 
 [[nodiscard]] std::string renderText(Report &report);
 [[nodiscard]] std::string renderJson(Report &report);
