--- a/tools/load/loadclient.cpp
+++ b/tools/load/loadclient.cpp
@@ -72,12 +72,12 @@
         result.status = status;
         if (status != StatusOk && status != 0) {
             const auto error = parseErrorBody(m_errorBody);
-            result.end = CallOutcome::Refused;
+            result.outcome = CallOutcome::Refused;
             result.errorType = error.type;
             result.retryAfter = error.retryAfter;
             return result;
         }
-        result.end = CallOutcome::Streamed;
+        result.outcome = CallOutcome::Streamed;
         result.verdict = m_verifier.finish(end);
         result.errorType = m_verifier.errorType();
         result.usage = m_verifier.usage();
--- a/tools/load/loadclient.h
+++ b/tools/load/loadclient.h
@@ -43,7 +43,7 @@
 
 struct CompletionResult
 {
-    CallOutcome end = CallOutcome::NotReached;
+    CallOutcome outcome = CallOutcome::NotReached;
     StreamVerdict verdict = StreamVerdict::Aborted; // of a streamed answer
     int status = 0;
     std::string errorType; // of a refusal or an explicit error
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -53,7 +53,7 @@
     RunOptions options;
     BOOST_OUTCOME_TRY(targets, endpointsOf("target", absl::GetFlag(FLAGS_target)));
     BOOST_OUTCOME_TRY(workload, parseWorkload(absl::GetFlag(FLAGS_workload)));
-    options.caller.targets = targets;
+    options.client.targets = targets;
     options.workload = workload;
     const std::string keys = absl::GetFlag(FLAGS_key);
     for (const auto it : config::splitList(keys)) {
@@ -70,7 +70,7 @@
     options.pause = base::milliseconds{absl::GetFlag(FLAGS_pause_ms)};
     const auto ticks = std::chrono::system_clock::now().time_since_epoch().count();
     options.runId = "run-" + std::to_string(options.seed) + "-" + std::to_string(ticks);
-    if (options.caller.targets.empty() || options.keys.empty()) {
+    if (options.client.targets.empty() || options.keys.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, "--target and --key are needed; write --target 127.0.0.1:8080 --key KEY");
     }
     if (options.orders > 0 && options.orderRoute.empty()) {
--- a/tools/load/runner.cpp
+++ b/tools/load/runner.cpp
@@ -94,14 +94,14 @@
 
     void runWorker(std::size_t worker)
     {
-        LoadClient caller(m_options.caller);
+        LoadClient client(m_options.client);
         base::Random random(base::combineHashes(m_options.seed, worker));
         Report report;
         for (auto task = nextTask(); task.kind != Task::Kind::None; task = nextTask()) {
             if (task.kind == Task::Kind::Order) {
-                runOrder(caller, random, task.number, report);
+                runOrder(client, random, task.number, report);
             } else {
-                runCompletion(caller, random, task, report);
+                runCompletion(client, random, task, report);
             }
             pauseFor(m_options.pause);
         }
@@ -109,7 +109,7 @@
         m_report.merge(std::move(report));
     }
 
-    void runCompletion(LoadClient &caller, base::Random &random, const Task &task, Report &report)
+    void runCompletion(LoadClient &client, base::Random &random, const Task &task, Report &report)
     {
         CompletionRequest call{.key = m_options.keys.at(task.request.customer),
                                .model = m_options.model,
@@ -119,17 +119,17 @@
                                .deadline = m_options.deadline,
                                .requestId = m_options.runId + "-" + std::to_string(task.number)};
         ++report.requests;
-        const auto targets = m_options.caller.targets.size();
+        const auto targets = m_options.client.targets.size();
         auto target = random.below(targets);
         CompletionResult result;
         for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
             report.retries += attempt > 0 ? 1 : 0;
-            result = caller.complete(target, call);
-            const bool isRetryable = result.end == CallOutcome::NotReached || (result.end == CallOutcome::Refused && result.retryAfter);
+            result = client.complete(target, call);
+            const bool isRetryable = result.outcome == CallOutcome::NotReached || (result.outcome == CallOutcome::Refused && result.retryAfter);
             if (!isRetryable || attempt + 1 == MaxAttempts) {
                 break;
             }
-            pauseFor(result.end == CallOutcome::NotReached ? RetryPause : *result.retryAfter);
+            pauseFor(result.outcome == CallOutcome::NotReached ? RetryPause : *result.retryAfter);
             target = (target + 1) % targets;
         }
         recordResult(task.request.trafficClass, std::move(result), report);
@@ -137,11 +137,11 @@
 
     static void recordResult(base::TrafficClass trafficClass, CompletionResult &&result, Report &report)
     {
-        if (result.end == CallOutcome::NotReached) {
+        if (result.outcome == CallOutcome::NotReached) {
             ++report.notReached;
             return;
         }
-        if (result.end == CallOutcome::Refused) {
+        if (result.outcome == CallOutcome::Refused) {
             ++report.refusals[result.errorType];
             return;
         }
@@ -160,37 +160,37 @@
         latencies.gaps.insert(latencies.gaps.end(), result.gaps.begin(), result.gaps.end());
     }
 
-    void runOrder(LoadClient &caller, base::Random &random, std::size_t number, Report &report)
+    void runOrder(LoadClient &client, base::Random &random, std::size_t number, Report &report)
     {
         const OrderRequest call{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
                                 .route = m_options.orderRoute,
                                 .orderKey = m_options.runId + "-order-" + std::to_string(number),
                                 .body = "{\"number\":" + std::to_string(number) + "}"};
-        const auto targets = m_options.caller.targets.size();
+        const auto targets = m_options.client.targets.size();
         const auto target = random.below(targets);
         const auto other = (target + 1) % targets;
         OrderResponse duplicateResponse;
         std::thread duplicate;
         if (random.below(100) < DuplicatePercent) {
             duplicate = std::thread([&] {
-                LoadClient duplicateClient(m_options.caller);
+                LoadClient duplicateClient(m_options.client);
                 duplicateResponse = duplicateClient.order(other, call);
             });
         }
-        sendOrder(caller, target, call, number, report);
+        sendOrder(client, target, call, number, report);
         if (duplicate.joinable()) {
             duplicate.join();
             report.orders.push_back(duplicateResponse);
         }
         if (random.below(100) < RepeatPercent) {
-            report.orders.push_back(caller.order(other, call));
+            report.orders.push_back(client.order(other, call));
         }
     }
 
-    void sendOrder(LoadClient &caller, std::size_t target, const OrderRequest &call, std::size_t number, Report &report)
+    void sendOrder(LoadClient &client, std::size_t target, const OrderRequest &call, std::size_t number, Report &report)
     {
         for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
-            report.orders.push_back(caller.order((target + static_cast<std::size_t>(attempt)) % m_options.caller.targets.size(), call));
+            report.orders.push_back(client.order((target + static_cast<std::size_t>(attempt)) % m_options.client.targets.size(), call));
             const auto &outcome = report.orders.back().outcome;
             const bool isSettled = outcome == "done" || outcome == "unknown" || (outcome == "not_run" && number % 2 == 1);
             if (isSettled) {
--- a/tools/load/runner.h
+++ b/tools/load/runner.h
@@ -14,7 +14,7 @@
 
 struct RunOptions
 {
-    LoadClientOptions caller;
+    LoadClientOptions client;
     std::vector<std::string> keys; // bearer keys, one for each customer
     std::string model;
     WorkloadKind workload = WorkloadKind::Groupement;
--- a/tools/load/streamverifier.cpp
+++ b/tools/load/streamverifier.cpp
@@ -56,7 +56,7 @@
 
 void StreamVerifier::addToken(const StreamEvent &event)
 {
-    if (m_hasLast || event.index < m_nextIndex) {
+    if (m_hasLastEvent || event.index < m_nextIndex) {
         recordViolation(StreamVerdict::Repeated);
         return;
     }
@@ -72,10 +72,10 @@
 void StreamVerifier::addLast(const StreamEvent &event)
 {
     m_usage = event.usage;
-    if (m_hasLast || event.tokenCount != m_nextIndex) {
+    if (m_hasLastEvent || event.tokenCount != m_nextIndex) {
         recordViolation(StreamVerdict::WrongCount);
     }
-    m_hasLast = true;
+    m_hasLastEvent = true;
 }
 
 void StreamVerifier::add(const StreamEvent &event)
@@ -91,7 +91,7 @@
         m_errorType = event.text;
         break;
     case StreamEvent::Kind::Done:
-        m_hasDone = true;
+        m_hasDoneEvent = true;
         break;
     case StreamEvent::Kind::Malformed:
         recordViolation(StreamVerdict::Malformed);
@@ -107,7 +107,7 @@
     if (!m_errorType.empty()) {
         return StreamVerdict::ExplicitError;
     }
-    if (m_hasLast && m_hasDone) {
+    if (m_hasLastEvent && m_hasDoneEvent) {
         return StreamVerdict::Complete;
     }
     return end == TransferEnd::Broken ? StreamVerdict::Aborted : StreamVerdict::TruncatedSilently;
--- a/tools/load/streamverifier.h
+++ b/tools/load/streamverifier.h
@@ -71,8 +71,8 @@
     StreamUsage m_usage;
     std::string m_errorType;
     StreamVerdict m_violation = StreamVerdict::Complete; // the first broken promise
-    bool m_hasLast = false;
-    bool m_hasDone = false;
+    bool m_hasLastEvent = false;
+    bool m_hasDoneEvent = false;
 };
 
 } // namespace carawaylatch::load
