--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -36,7 +36,7 @@
 using ::carawaylatch::testing::VirtualNetwork;
 
 constexpr std::uint32_t DomainCount = 12;
-constexpr std::size_t SealBytes = 32;
+constexpr std::size_t HmacBytes = 32;
 constexpr std::uint32_t EditCount = 40;
 constexpr base::Duration EditInterval = base::milliseconds{786}; // 110,000 a day
 constexpr base::Duration Heartbeat = base::milliseconds{500};
@@ -188,7 +188,7 @@
     void count(const peer::PeerMessage &message)
     {
         ++m_result.updates;
-        m_result.updateBytes += peer::encodeEnvelope({{base::RouterId("router-1000"), {1ULL << 60U}}, 1'000'000, message}).size() + SealBytes;
+        m_result.updateBytes += peer::encodeEnvelope({{base::RouterId("router-1000"), {1ULL << 60U}}, 1'000'000, message}).size() + HmacBytes;
     }
 
     void performActions(std::uint32_t n)
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -35,7 +35,7 @@
 using membership::MemberState;
 
 constexpr std::uint32_t DomainCount = 12;
-constexpr std::size_t SealBytes = 32;
+constexpr std::size_t HmacBytes = 32;
 constexpr base::Duration TickInterval = base::milliseconds{50};
 constexpr base::Duration PartitionDuration = base::seconds{60};
 constexpr base::Duration MaxRunTime = base::seconds{180};
@@ -162,7 +162,7 @@
                     return peer::PeerMessage(value);
                 },
                 send->message);
-            m_bytes += peer::encodeEnvelope({{send->to.id, {1ULL << 60U}}, 1'000'000, message}).size() + SealBytes;
+            m_bytes += peer::encodeEnvelope({{send->to.id, {1ULL << 60U}}, 1'000'000, message}).size() + HmacBytes;
             m_network.send(n % DomainCount, to % DomainCount, [this, to, sent = send->message] {
                 if (m_isUp[to]) {
                     m_lists[to]->onMessage(sent, m_network.now());
