--- a/bench/admissionbench.cpp
+++ b/bench/admissionbench.cpp
@@ -1,11 +1,12 @@
 // Cost of admission and of the relay, for 8 to 640 customers.
 //
-//   EnterLeave/C            one request through the gate, no waiting, C customers
+//   EnterLeave/C            admits and releases one request without waiting, C customers
 //   EnterLeaveThreads/C     the same from eight threads
-//   QueuePushPop/C          one entry through a fair queue with C backlogged customers
-//   ReportAnswerApply/C     one exchange of shares, C active customers; bytes of messages
-//   Token                   one token through the assembler
-//   OpenStream/T            an open stream after T tokens; bytes held
+//   QueuePushPop/C          pops and pushes one entry of a fair queue with C backlogged customers
+//   ReportAnswerApply/C     exchanges share tables between two routers, C active customers;
+//                           message bytes and bytes of state
+//   Token                   passes one token through the stream assembler
+//   OpenStream/T            heap bytes of an open stream after T tokens
 #include <benchmark/benchmark.h>
 
 #include <malloc.h>
@@ -94,7 +95,8 @@
 }
 BENCHMARK(queuePushPop)->Name("QueuePushPop")->RangeMultiplier(3)->Range(CurrentCustomers, DesignCustomers);
 
-// Bytes on the wire: names, and eight bytes for the numbers of an entry.
+// Estimates the encoded size of a message: a header, and for each entry the
+// customer's name and eight bytes of numbers.
 template <typename Message>
 std::size_t messageBytes(const Message &message)
 {
@@ -128,7 +130,7 @@
 }
 BENCHMARK(exchangeShares)->Name("ReportAnswerApply")->RangeMultiplier(3)->Range(CurrentCustomers, DesignCustomers);
 
-// Brings a stream to its first token.
+// Returns a stream that has received its response head and no token.
 std::unique_ptr<relay::StreamAssembler> openStream(relay::Actions &out)
 {
     relay::StreamOptions options;
--- a/bench/decisionbench.cpp
+++ b/bench/decisionbench.cpp
@@ -1,8 +1,8 @@
-// Cost of a decision and of an index update, in time and in bytes.
+// Time and memory of a placement decision and of a cache index update.
 //
-// Arguments are upstreams and blocks in the index. Blocks are spread over chains
-// of 24, each held by three upstreams. Tables are built once for each pair of
-// arguments and kept for the next benchmark with the same pair.
+// The arguments are the number of upstreams and the number of blocks in the index. The
+// blocks form chains of 24, each cached by three upstreams. The fixture for a pair of
+// arguments is built once and reused by the next benchmarks with the same pair.
 //
 //   decisionbench --benchmark_format=console
 #include <benchmark/benchmark.h>
@@ -43,7 +43,7 @@
     return chain;
 }
 
-// A router's knowledge of so many upstreams and blocks.
+// Routing state of one router with the given numbers of upstreams and cached blocks.
 struct RouterFixture
 {
     RouterFixture(std::size_t upstreams, std::size_t blocks)
@@ -138,7 +138,7 @@
         const upstreams::Slot slot{static_cast<std::uint16_t>(random.below(fixture.view->upstreams.size()))};
         fixture.caches.recordPlacement(slot, {1}, chain, fixture.now);
     }
-    // One update is a chain of ChainBlocks entries.
+    // One update records a chain of ChainBlocks entries.
     state.SetItemsProcessed(static_cast<std::int64_t>(state.iterations() * ChainBlocks));
     state.counters["bytes_per_entry"] = static_cast<double>(fixture.caches.bytes()) / static_cast<double>(fixture.caches.size(fixture.now));
     state.counters["entries"] = static_cast<double>(fixture.caches.size(fixture.now));
@@ -173,7 +173,7 @@
     }
 }
 
-// Counts what a container allocates.
+// Bytes allocated through CountingAllocator.
 std::size_t allocatedBytes = 0;
 
 template <typename T>
@@ -200,7 +200,7 @@
     }
 };
 
-// What the index would cost as a node-based map with the same 8 bytes for each holder.
+// Baseline for the index: a node-based concurrent map with the same 8 bytes for each holder.
 void nodeBasedMap(benchmark::State &state)
 {
     using Map = tbb::concurrent_hash_map<std::uint64_t, std::uint64_t, tbb::tbb_hash_compare<std::uint64_t>,
--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -1,13 +1,13 @@
-// Compares ways to distribute configurations, in virtual time over the routers'
-// own state machines: the tree of peers against plain gossip.
+// Compares ways to disseminate configuration edits, in virtual time over the routers'
+// own state machines: the distribution tree against push gossip.
 //
-// Both share watchers, heartbeats that carry revisions, and requests that fill
-// gaps; they differ in whom a router sends a new edit to. The tree sends it to the
-// router's children by rank; gossip to a few routers chosen at random, once.
+// Both have watchers, heartbeats that carry revisions, and requests that fill gaps. They
+// differ in the recipients of a new edit: the tree sends it to the router's children by
+// rank, gossip sends it once to a few routers chosen at random.
 //
 //     distribution [--sizes=4,64,283,3400]
 //
-// Prints a Markdown table. Bytes are those of sealed messages.
+// Prints a Markdown table. Bytes include the authentication code of each message.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -38,9 +38,9 @@
 constexpr std::uint32_t DomainCount = 12;
 constexpr std::size_t HmacBytes = 32;
 constexpr std::uint32_t EditCount = 40;
-constexpr base::Duration EditInterval = base::milliseconds{786}; // 110,000 a day
+constexpr base::Duration EditInterval = base::milliseconds{786}; // 110,000 edits a day
 constexpr base::Duration Heartbeat = base::milliseconds{500};
-constexpr std::uint32_t ProbedPeers = 8; // routers that a router probes in turn
+constexpr std::uint32_t ProbedPeers = 8; // peers that each router probes in turn
 constexpr std::uint32_t GossipFanOut = 5;
 constexpr std::uint32_t PoolCount = 50;
 
@@ -53,18 +53,18 @@
 {
     const char *name;
     double loss;
-    double dead; // share of routers that crashed and still count as members
+    double dead; // fraction of routers that crashed and are still listed as members
 };
 
 constexpr Scenario Scenarios[] = {
-    {"none", 0, 0}, {"1% of messages lost", 0.01, 0}, {"10% of messages lost", 0.1, 0}, {"2% of routers dead, unnoticed", 0, 0.02}};
+    {"none", 0, 0}, {"1% of messages lost", 0.01, 0}, {"10% of messages lost", 0.1, 0}, {"2% of routers crashed, undetected", 0, 0.02}};
 
 struct Result
 {
-    std::vector<double> times; // milliseconds until in force, for each edit and router
-    std::uint64_t updates = 0; // messages with edits, requests included
+    std::vector<double> times; // milliseconds until an edit is in force, for each edit and router
+    std::uint64_t updates = 0; // messages that carry or request edits
     std::uint64_t updateBytes = 0;
-    std::uint64_t behind = 0; // not in force at the end
+    std::uint64_t behind = 0; // live routers without the last edit at the end
     double cpuSeconds = 0;
 };
 
@@ -142,7 +142,7 @@
         m_acceptedAt = m_network.now();
         for (std::uint32_t n = 0; n < m_size; ++n) {
             if (m_nodes[n]->isWatcher() && !m_isDead[n]) {
-                m_network.at(m_network.now() + base::milliseconds{4}, [this, n] { // watch and read
+                m_network.at(m_network.now() + base::milliseconds{4}, [this, n] { // latency of the watch and the read
                     m_nodes[n]->onStored(m_head, m_stored);
                     performActions(n);
                 });
@@ -218,6 +218,7 @@
             m_result.times.push_back(base::toSeconds(m_network.now() - m_acceptedAt) * 1'000);
         }
         if (m_dissemination == Dissemination::Gossip) {
+            // Pushes the edit to a random router as if that router had requested it.
             const base::Revision before{m_nodes[n]->revision().value - 1};
             for (std::uint32_t i = 0; i < GossipFanOut; ++i) {
                 m_nodes[n]->onRequest(idOf(static_cast<std::uint32_t>(m_random.below(m_size))), {before});
@@ -267,8 +268,9 @@
 {
     absl::SetProgramUsageMessage("compares the distribution of configurations by tree and by gossip");
     absl::ParseCommandLine(argc, argv);
-    std::printf("| routers | faults | spreading | messages per edit and router | bytes/s per router | p50 ms | p99 ms | max ms | behind at the end | CPU us "
-                "per edit and router |\n");
+    std::printf(
+        "| routers | faults | dissemination | messages per edit and router | bytes/s per router | p50 ms | p99 ms | max ms | behind at the end | CPU us "
+        "per edit and router |\n");
     std::printf("|---|---|---|---|---|---|---|---|---|---|\n");
     for (const auto &size : absl::GetFlag(FLAGS_sizes)) {
         for (const auto &scenario : carawaylatch::bench::Scenarios) {
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -1,11 +1,11 @@
 // Measures the member list in virtual time over the routers' own state machines:
-// steady traffic, a crash, a failure domain cut off and healed.
+// steady-state traffic, detection of a crash, and convergence after a network partition.
 //
 //     membership [--sizes=4,64,283,1000]
 //
-// Prints a Markdown table. Bytes are those of sealed messages, sent and received
-// counted once each at their router. Every router starts with the whole table, as
-// it does after a warm start.
+// Prints a Markdown table. Bytes include the authentication code of each message; those sent and those
+// received by a router are both counted. Every router starts with the complete member
+// table, as after a warm start.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -93,7 +93,8 @@
     {
         return std::exchange(m_bytes, 0);
     }
-    // Runs until all routers that are up see a router in the state; returns the seconds it took.
+    // Runs until every running router has router `n` in the state. Returns the seconds it
+    // took, -1 if it took longer than MaxRunTime.
     double runUntilObserved(std::uint32_t n, MemberState state)
     {
         const auto start = m_network.now();
@@ -109,7 +110,8 @@
         }
         return -1;
     }
-    // Runs until all tables have the same members again; returns the seconds it took.
+    // Runs until all routers have the same complete member table. Returns the seconds it
+    // took, -1 if it took longer than MaxRunTime.
     double runUntilConverged()
     {
         const auto start = m_network.now();
@@ -181,12 +183,13 @@
 
 struct SteadyState
 {
-    double messages = 0; // sent by a router in a second
-    double bytes = 0; // sent and received
-    double cpu = 0; // microseconds in a second
+    double messages = 0; // sent per router and second
+    double bytes = 0; // sent and received per router and second
+    double cpu = 0; // microseconds per router and second
 };
 
-// What a router sends it receives elsewhere: sent and received are twice the sum over all.
+// Returns the bytes sent and received per router and second. Each message is sent by
+// one router and received by another, so the sum is twice the bytes sent.
 double rateOf(std::uint64_t bytes, std::uint32_t size, double duration)
 {
     return 2.0 * static_cast<double>(bytes) / size / std::max(duration, 0.1);
@@ -235,8 +238,8 @@
 {
     absl::SetProgramUsageMessage("measures the member list in virtual time");
     absl::ParseCommandLine(argc, argv);
-    std::printf(
-        "| routers | messages/s | bytes/s | CPU us/s | crash known to all after s | bytes/s then | bytes/s in the cut | healed after s | bytes/s then |\n");
+    std::printf("| routers | messages/s | bytes/s | CPU us/s | crash detected by all after s | bytes/s until then | bytes/s during the partition | converged "
+                "after s | bytes/s until then |\n");
     std::printf("|---|---|---|---|---|---|---|---|---|\n");
     for (const auto &size : absl::GetFlag(FLAGS_sizes)) {
         carawaylatch::bench::measure(static_cast<std::uint32_t>(std::stoul(size)));
--- a/bench/metricsbench.cpp
+++ b/bench/metricsbench.cpp
@@ -1,6 +1,6 @@
-// Cost of a metric: one record on a traffic thread, one rendering of all series.
+// Cost of metrics: recording a sample on a traffic thread, and rendering all series.
 //
-// The argument is the number of customers; each has a series for both classes.
+// The argument is the number of customers; each has series for both traffic classes.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -85,7 +85,8 @@
 } // namespace
 
 BENCHMARK(recordTokenGap)->Arg(8)->Arg(640)->Threads(1)->Threads(4)->UseRealTime();
-// A fixed count of iterations makes one run each, so that series_bytes is the growth of a fresh heap.
+// With a fixed number of iterations each benchmark runs once, so that series_bytes is the
+// growth of a fresh heap.
 BENCHMARK(renderText)->Arg(640)->Arg(8)->Iterations(10)->Unit(benchmark::kMillisecond);
 
 BENCHMARK_MAIN();
--- a/bench/ordersbench.cpp
+++ b/bench/ordersbench.cpp
@@ -1,5 +1,5 @@
-// Processor time of orders: the guard alone, a whole order over a platform in
-// memory, a replayed answer, and a journal commit for each size of the journal.
+// Processor time of orders: the state machine alone, a complete order over an in-memory
+// object store, a replayed answer, and a journal commit for several journal sizes.
 #include <benchmark/benchmark.h>
 
 #include <string>
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -1,10 +1,10 @@
-// Platform calls of orders: counted with the real parts for one order after the
-// other, and in virtual time for group commit under load.
+// Object store calls per order: counted with the real components for sequential orders,
+// and in virtual time for group commit under load.
 //
-// The second part is a discrete-event model of JournalRecordStore: routers with a
-// committer for each range, a platform with fixed latencies, orders that claim,
-// run for a while and record. A committer whose cached image is old loses its
-// conditional write, reads and writes again, as the real one does.
+// The second part is a discrete-event model of JournalRecordStore: routers with one
+// committer per range, a store with fixed latencies, and orders that write a claim, run
+// for a fixed time and write their result. A committer with an outdated cached image
+// fails its conditional write, then reads and writes again, as the real one does.
 #include <algorithm>
 #include <cmath>
 #include <cstdint>
@@ -29,7 +29,7 @@
 namespace orders = carawaylatch::orders;
 namespace store = carawaylatch::store;
 
-// Counts calls to a platform in memory.
+// An in-memory object store that counts its calls.
 class CountingStore : public store::MemoryStore
 {
 public:
@@ -48,6 +48,7 @@
     }
 };
 
+// A service that always succeeds, chosen always, with claimants that are always live.
 class StubDependencies : public orders::ServiceConnection, public orders::UpstreamChooser, public orders::RouterLiveness
 {
 public:
@@ -94,7 +95,7 @@
     double ordersPerSecond = 0; // over all routers
 };
 
-// The model; times in seconds.
+// The discrete-event model. Times are in seconds.
 class GroupCommitModel
 {
 public:
@@ -128,7 +129,7 @@
 
 private:
     static constexpr double Seconds = 20;
-    static constexpr double CallLatency = 0.005; // of a read or write; it takes effect half way
+    static constexpr double CallLatency = 0.005; // of a read or write, which takes effect after half of it
     static constexpr double RunTime = 0.05; // of an order at the service
 
     struct Event
@@ -231,7 +232,7 @@
     Load m_load;
     double m_now = 0;
     std::priority_queue<Event> m_events;
-    std::vector<Committer> m_committers; // of router r and range g at r * ranges + g
+    std::vector<Committer> m_committers; // router r and range g at index r * ranges + g
     std::vector<std::uint64_t> m_versions;
     base::Random m_random{1};
     std::uint64_t m_orders = 0;
--- a/bench/policybench.cpp
+++ b/bench/policybench.cpp
@@ -1,12 +1,12 @@
-// The policy bench: every strategy under every fault on the same requests.
+// Benchmark of routing policies: every strategy under every fault on the same requests.
 //
 //   policybench [--quick] [--out DIR] [--seeds N] [--strategies A,B] [--scenarios A,B]
 //
-// Drives the real decision code against small fake engines in virtual time, prints
-// the table and the targets, and with --out writes policy.csv, policy.md and
-// policy.svg there. --quick runs one seed of calm and two faults. Ends with a
-// failure if a run measured no request, not if a target is missed: targets are for
-// people to judge.
+// Runs the real decision code against simulated engines in virtual time and prints the
+// tables and the targets; with --out it also writes policy.csv, policy.md and policy.svg
+// to that folder. --quick runs one seed of calm and two faults. Exits with a failure if a
+// run measured no request, but not if a target is missed: targets are for people to
+// evaluate.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -29,7 +29,7 @@
 ABSL_FLAG(unsigned, seeds, 5, "number of seeds");
 ABSL_FLAG(std::string, strategies, "", "only these strategies, separated by commas");
 ABSL_FLAG(std::string, scenarios, "", "only these scenarios, separated by commas");
-ABSL_FLAG(unsigned, threads, 4, "runs at the same time");
+ABSL_FLAG(unsigned, threads, 4, "number of concurrent runs");
 
 namespace carawaylatch::bench
 {
--- a/bench/policybench/blockcache.h
+++ b/bench/policybench/blockcache.h
@@ -1,5 +1,5 @@
-// A cache of blocks with least-recently-used eviction, the end of a chain before
-// its start.
+// A block cache with least-recently-used eviction. Blocks at the end of a chain are
+// evicted before those at its start.
 #pragma once
 
 #include <cstdint>
@@ -22,11 +22,11 @@
 
     explicit BlockCache(std::size_t capacity);
 
-    // Returns how many leading blocks of the chain are held.
+    // Returns the number of leading blocks of the chain that are cached.
     [[nodiscard]] std::uint32_t cachedPrefixBlocks(std::span<const std::uint64_t> chain) const;
-    // Marks held blocks as used.
+    // Marks the cached blocks of the chain as used.
     void touch(std::span<const std::uint64_t> chain);
-    // Stores and touches a chain.
+    // Stores the chain and marks it as used. Returns the blocks that were added and evicted.
     [[nodiscard]] Changes store(std::span<const std::uint64_t> chain);
     [[nodiscard]] std::size_t size() const;
 
--- a/bench/policybench/engine.cpp
+++ b/bench/policybench/engine.cpp
@@ -1,4 +1,4 @@
-// The engine's queue, cache and journal. Scheduled callbacks carry the life that
+// Queue, cache and journal of the engine. Scheduled callbacks carry the incarnation that
 // scheduled them and do nothing in a later one.
 #include "bench/policybench/engine.h"
 
--- a/bench/policybench/engine.h
+++ b/bench/policybench/engine.h
@@ -1,9 +1,9 @@
-// A small fake of a model engine in virtual time.
+// A simulated model engine in virtual time.
 //
-// Prompts are computed one after the other at a fixed rate, interactive ones
-// first; answers are generated side by side up to a number of slots. Computed
-// blocks are cached with least-recently-used eviction, the end of a chain before
-// its start. The engine keeps the journal of cache events that routers poll.
+// Prompts are prefilled one at a time at a fixed rate, interactive ones first; responses
+// are decoded concurrently, up to a number of slots. Prefilled blocks are cached with
+// least-recently-used eviction, the end of a chain before its start. The engine keeps the
+// journal of cache events that routers poll.
 #pragma once
 
 #include <deque>
@@ -25,10 +25,10 @@
     Lost,
 };
 
-// One request at an engine.
+// One request at an engine, with its callbacks.
 struct Job
 {
-    const Request *request = nullptr; // outlives the work
+    const Request *request = nullptr; // must outlive the job
     std::function<void(std::uint32_t cachedBlocks)> onFirstToken;
     std::function<void()> onDone;
     std::function<void(JobFailure)> onFailed;
@@ -39,7 +39,7 @@
 public:
     static constexpr double PrefillTokensPerSecond = 20'000;
     static constexpr std::size_t CapacityBlocks = 250;
-    static constexpr std::uint32_t Slots = 64; // answers generated at the same time
+    static constexpr std::uint32_t Slots = 64; // responses decoded concurrently
     static constexpr double DecodeMsPerToken = 20;
     static constexpr base::Duration PrefillOverhead = base::milliseconds{8};
 
@@ -48,25 +48,26 @@
     [[nodiscard]] base::UpstreamId id() const;
     [[nodiscard]] std::uint32_t domain() const;
     [[nodiscard]] bool isAlive() const;
-    // Ends the life: everything in flight and cached is lost.
+    // Stops the engine. Jobs in flight fail; the cache is lost.
     void crash();
-    // Begins a new life, empty.
+    // Starts a new incarnation with an empty cache.
     void start();
 
     void submit(Job job);
     [[nodiscard]] upstreams::LoadReport report() const;
-    // Events of this life from `since` on, without those of the last `lag`.
+    // Returns the events of this incarnation from sequence number `since` on that are at
+    // least `lag` old.
     [[nodiscard]] prefix::CacheEvents events(std::uint64_t since, base::Duration lag) const;
-    // Leading blocks of the chain in the cache.
+    // Returns the number of leading blocks of the chain that are cached.
     [[nodiscard]] std::uint32_t cachedPrefixBlocks(const std::vector<std::uint64_t> &chain) const;
-    // Prompt tokens to compute before a request that is submitted now.
+    // Returns the prompt tokens to prefill before a request that is submitted now.
     [[nodiscard]] double queuedTokens(base::TrafficClass trafficClass) const;
 
 private:
     struct QueuedJob
     {
         Job job;
-        std::uint32_t missingTokens = 0; // when it was submitted
+        std::uint32_t missingTokens = 0; // uncached prompt tokens at submission
     };
     struct Event
     {
@@ -87,7 +88,7 @@
     std::deque<QueuedJob> m_interactive;
     std::deque<QueuedJob> m_batch;
     BlockCache m_cache;
-    std::vector<std::shared_ptr<Job>> m_running; // computing or generating
+    std::vector<std::shared_ptr<Job>> m_running; // in prefill or decode
     bool m_isPrefilling = false;
     base::TimePoint m_prefillEnd;
     std::deque<Event> m_journal;
--- a/bench/policybench/eventqueue.h
+++ b/bench/policybench/eventqueue.h
@@ -1,4 +1,5 @@
-// Virtual time: callbacks in order of time, then of scheduling.
+// Event queue of a simulation in virtual time. Callbacks run in order of time, those of
+// equal time in order of scheduling.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +27,7 @@
         m_events.push(Event{m_now + delay, m_sequence++, std::move(callback)});
     }
 
-    // Calls back every interval until the end of the run.
+    // Runs the callback after `first` and then at every interval until the end of the run.
     void every(base::Duration first, base::Duration interval, const Callback &callback)
     {
         after(first, [this, interval, callback] {
--- a/bench/policybench/oracle.cpp
+++ b/bench/policybench/oracle.cpp
@@ -1,5 +1,5 @@
-// The two oracles. They know of a request the moment it is submitted, so four
-// routers never collide.
+// The two oracles. They see each request as soon as it is submitted, so the decisions of
+// the four routers never conflict.
 #include "bench/policybench/oracle.h"
 
 #include <algorithm>
@@ -49,7 +49,7 @@
         }
     }
     if (!best) {
-        return base::fail(base::ErrorKind::Unavailable, "no engine is alive and in reach; retry later", base::seconds{1});
+        return base::fail(base::ErrorKind::Unavailable, "no live engine is reachable; retry later", base::seconds{1});
     }
     const auto *status = view.find(m_engines[best->engine]->id());
     routing::Placement placement;
--- a/bench/policybench/oracle.h
+++ b/bench/policybench/oracle.h
@@ -1,5 +1,5 @@
-// Bounds of what a policy could reach: strategies that see every engine's cache
-// and queue as it is, with no lag and no loss. Only the bench can have them.
+// Bounds of what a policy can reach: strategies that read every engine's actual cache and
+// queue, without lag or loss. They exist only in the simulation.
 #pragma once
 
 #include <functional>
@@ -13,8 +13,8 @@
 {
 
 enum class OracleGoal {
-    FirstToken, // least exact time to first token
-    HitRate, // most blocks in a cache, then least wait; leaves engines whose wait passes the deadline
+    FirstToken, // lowest actual time to first token
+    HitRate, // most cached blocks, then the shortest wait; avoids engines that would miss the deadline
 };
 
 class OracleStrategy : public routing::RoutingStrategy
--- a/bench/policybench/report.cpp
+++ b/bench/policybench/report.cpp
@@ -1,8 +1,8 @@
 // Aggregation over seeds, and the targets.
 //
-// Targets of adaptive, on medians over the seeds:
-//   hit rate at least 95% in calm, and 85% in each single fault, of the best of: the
-//   oracles, and one cache of all engines' size (a bound that no placement reaches);
+// Targets of the adaptive strategy, on medians over the seeds:
+//   hit rate at least 95% in calm, and 85% in each single fault, of the best of the
+//   oracles and of one cache of all engines' total size (a bound that no placement reaches);
 //   p99 time to first token no worse than any baseline's, in every row and class;
 //   p99 at most half of round-robin's in calm;
 //   wasted recomputation under 5% of prompt tokens.
@@ -26,7 +26,7 @@
 constexpr double FaultHitShare = 0.85;
 constexpr double MaxWaste = 0.05;
 constexpr double RoundRobinShare = 0.5;
-constexpr double TieMilliseconds = 1; // differences below are no difference
+constexpr double TieMilliseconds = 1; // smaller differences count as equal
 
 bool isOracle(std::string_view strategy)
 {
@@ -173,7 +173,7 @@
         const double waste = row.median(&RunMetrics::waste);
         if (!row.scenario->isPair) {
             const double bound = oracle * (isCalm ? CalmHitShare : FaultHitShare);
-            targets.push_back({&row, "hit rate, least", hit, bound, hit >= bound});
+            targets.push_back({&row, "hit rate, at least", hit, bound, hit >= bound});
         }
         if (isCalm) {
             targets.push_back(
@@ -181,7 +181,7 @@
         }
         targets.push_back({&row, "p99 interactive ms against the best baseline's", p99, p99Interactive, p99 <= p99Interactive + TieMilliseconds});
         targets.push_back({&row, "p99 batch ms against the best baseline's", batch, p99Batch, batch <= p99Batch + TieMilliseconds});
-        targets.push_back({&row, "waste, most", waste, MaxWaste, waste < MaxWaste});
+        targets.push_back({&row, "waste, below", waste, MaxWaste, waste < MaxWaste});
     }
     return targets;
 }
--- a/bench/policybench/report.h
+++ b/bench/policybench/report.h
@@ -16,7 +16,7 @@
     RunMetrics metrics;
 };
 
-// Median and spread (greatest less least) of one column over the seeds.
+// Median and spread (maximum minus minimum) of one column over the seeds.
 struct Spread
 {
     double median = 0;
@@ -25,7 +25,7 @@
 
 using Column = double RunMetrics::*;
 
-// The seeds of one row of the table.
+// One row of the tables: the results of a strategy over all seeds.
 class Row
 {
 public:
--- a/bench/policybench/router.cpp
+++ b/bench/policybench/router.cpp
@@ -1,4 +1,4 @@
-// The drivers around the decision code.
+// Drivers of the decision code: polls, placements, attempts and retries.
 #include "bench/policybench/router.h"
 
 #include <algorithm>
@@ -52,7 +52,7 @@
     , m_routers(4)
 {
     resetState();
-    // Polls of the routers and engines don't coincide.
+    // The offsets keep the polls of different routers and engines from coinciding.
     for (std::size_t i = 0; i < m_fleet.engines.size(); ++i) {
         const base::Duration offset = base::milliseconds{1 + (i * 7 + std::size_t{number} * 13) % 90};
         m_fleet.queue.every(offset, upstreams::PollPeriod, [this, i] {
@@ -191,7 +191,7 @@
     placement.spreadKey = request.id;
     attempt->outcome.bestCachedBlocks = bestCachedBlocks(request);
     auto placed = m_state->strategy->place(placement, *m_state->registry.view());
-    // Admission's rule, the same for all strategies: what can't be in time is refused at once.
+    // Admission control, the same for all strategies: a request that can't meet its deadline is refused.
     if (placed.has_error() || now + placed.value().expectedFirstToken > placement.deadline) {
         attempt->outcome.isRefused = true;
         attempt->done(attempt->outcome);
@@ -262,7 +262,7 @@
     attempt->state->registry.onAttempt(placement.upstream, placement.incarnation, outcome, m_fleet.queue.now());
     tick();
     if (attempt->outcome.hasFirstToken) {
-        return; // the relay's part, which goes on elsewhere; the first token stands
+        return; // the relay would resume the stream on another engine; the first token counts
     }
     attempt->excluded.push_back(placement.upstream);
     if (attempt->excluded.size() >= MaxAttempts) {
--- a/bench/policybench/router.h
+++ b/bench/policybench/router.h
@@ -1,6 +1,6 @@
-// One router of the bench: the real registry, cache index, heat table, in-flight
-// counters and strategy, driven in virtual time. What the daemon's drivers do
-// (polls, attempts, retries) is done here in the plainest way.
+// A simulated router: the real registry, cache index, heat table, in-flight counters and
+// strategy, driven in virtual time. The polls, attempts and retries of the daemon's
+// drivers are implemented here in a simplified form.
 #pragma once
 
 #include <atomic>
@@ -19,7 +19,7 @@
 namespace carawaylatch::bench
 {
 
-// What happened to one request.
+// The result of one request.
 struct Outcome
 {
     const Request *request = nullptr;
@@ -27,17 +27,17 @@
     bool hasFirstToken = false;
     base::Duration firstToken{};
     std::uint32_t cachedBlocks = 0;
-    std::uint32_t bestCachedBlocks = 0; // most blocks that a live engine in reach held when it was placed
+    std::uint32_t bestCachedBlocks = 0; // most blocks that any reachable live engine had cached at placement
 };
 
-// What routers share in the bench: the engines and the state of the network.
+// State that all routers of a simulation share: the engines and the network.
 struct Fleet
 {
     EventQueue &queue;
     std::vector<std::unique_ptr<Engine>> &engines;
     const Scenario &scenario;
     base::Random &random;
-    const bool &isPartitioned; // the last domain is cut off
+    const bool &isPartitioned; // the last domain is partitioned from the others
     std::uint32_t domains;
 };
 
@@ -46,14 +46,14 @@
 public:
     Router(const Fleet &fleet, std::uint32_t number, std::string_view strategy, std::uint64_t seed);
 
-    // Places and runs a request; `done` is called once, with the first token or without.
+    // Places and runs a request. Calls `done` once, at the first token or at the refusal.
     void handle(const Request &request, const std::function<void(const Outcome &)> &done);
-    // Loses all state, as a restarted process does, and takes a peer's hot state.
+    // Discards all state, as a process restart does, and imports the hot entries of a peer.
     void restart(const Router &peer);
     [[nodiscard]] bool isReachable(std::uint32_t domain) const;
 
 private:
-    // What dies with the process.
+    // State that a restart discards.
     struct State
     {
         explicit State(std::size_t engines);
@@ -84,7 +84,7 @@
     std::string_view m_strategyName;
     std::uint64_t m_seed;
     std::atomic<std::uint32_t> m_routers;
-    std::shared_ptr<State> m_state; // attempts keep the state that they began with
+    std::shared_ptr<State> m_state; // attempts keep the state that they started with
 };
 
 } // namespace carawaylatch::bench
--- a/bench/policybench/scenario.cpp
+++ b/bench/policybench/scenario.cpp
@@ -1,4 +1,4 @@
-// The rows of faults.
+// The scenarios of the policy benchmark.
 #include "bench/policybench/scenario.h"
 
 namespace carawaylatch::bench
--- a/bench/policybench/scenario.h
+++ b/bench/policybench/scenario.h
@@ -1,4 +1,4 @@
-// The faults of a run; any may be combined.
+// The faults that a run injects. Any of them can be combined.
 #pragma once
 
 #include <string_view>
@@ -12,8 +12,8 @@
     std::string_view name;
     bool shiftsHotPrefixes = false;
     bool crashesEngine = false;
-    bool losesEvents = false; // an eighth
-    bool delaysReports = false; // by 2 s
+    bool losesEvents = false; // one of eight cache events
+    bool delaysReports = false; // load reports, by 2 s
     bool restartsRouter = false;
     bool partitionsDomain = false;
     bool overloads = false;
--- a/bench/policybench/simulation.cpp
+++ b/bench/policybench/simulation.cpp
@@ -1,5 +1,5 @@
-// The course of a run. The first part warms the caches and is not measured;
-// passing faults strike in the middle, lasting ones hold throughout.
+// Schedule of a run. The warm-up fills the caches and is not measured; transient faults
+// start at FaultAt, lasting ones are active during the whole run.
 #include "bench/policybench/simulation.h"
 
 #include <algorithm>
@@ -48,9 +48,9 @@
     bool m_isPartitioned = false;
     std::uint32_t m_downRouter = Routers; // none
     std::vector<std::unique_ptr<Router>> m_routers;
-    std::deque<Request> m_requests; // addresses stay valid
+    std::deque<Request> m_requests; // a deque keeps addresses valid
     std::vector<Outcome> m_outcomes;
-    BlockCache m_pooledCache; // what one cache of all engines' size would hold
+    BlockCache m_pooledCache; // one cache of all engines' total size, for hitBound
     double m_pooledHits = 0; // tokens
 };
 
@@ -129,7 +129,7 @@
 void Simulation::scheduleRequest(const Session &session)
 {
     m_requests.push_back(m_source.nextRequest(session));
-    // The balancer passes over a router that is down.
+    // The load balancer skips a router that is down.
     auto router = static_cast<std::uint32_t>(m_source.random().below(Routers));
     router = router == m_downRouter ? (router + 1) % Routers : router;
     m_routers[router]->handle(m_requests.back(), [this, arrived = m_queue.now()](const Outcome &outcome) {
--- a/bench/policybench/workload.cpp
+++ b/bench/policybench/workload.cpp
@@ -1,9 +1,10 @@
-// Sizes of the workloads and how requests are drawn.
+// Sizes of the workloads and generation of requests.
 //
-// The rates put the engines at a moderate load under a good policy and at a high
-// one under a policy that ignores caches, so that strategies differ in calm without
-// any of them collapsing. Overload is 1.5 times the rate at which adaptive, in trials,
-// still answered all requests in time (6 times the calm rate, and 5 times). Each engine holds a fraction of the hot documents only.
+// The rates put the engines under a moderate load with a good policy and under a high one
+// with a policy that ignores caches, so that strategies differ in calm without any of them
+// collapsing. Overload is 1.5 times the highest rate at which adaptive meets all deadlines
+// (6 times the calm rate for groupement, 5 times for brasa-sinal). Each engine can cache
+// only a fraction of the hot documents.
 #include "bench/policybench/workload.h"
 
 #include <algorithm>
@@ -63,7 +64,8 @@
     while (session.customer + 1 < m_workload.customers.size() && u >= m_workload.customers[session.customer]) {
         u -= m_workload.customers[session.customer++];
     }
-    // The first template draws half of the sessions, the second a quarter, ...
+    // Template popularity is geometric: half of the sessions use the first one, a quarter
+    // the second, and so on.
     while (session.templateNumber + 1 < m_workload.templates && m_random.below(2) == 1) {
         ++session.templateNumber;
     }
--- a/bench/policybench/workload.h
+++ b/bench/policybench/workload.h
@@ -1,9 +1,9 @@
-// The two workloads of the policy bench: nested prompts of skewed customers.
+// The two workloads of the policy benchmark: nested prompts of customers with skewed rates.
 //
-// A session is one person at work on one document: a few requests, seconds apart,
-// that share a template and a document and end in one of its sections. Documents
-// are drawn with a skew, so that a few are very hot. All sizes are in blocks of
-// 1,000 tokens, the brief's cache pieces of 4,000 bytes.
+// A session is one user who works on one document: a few requests, seconds apart, that
+// share a template and a document and end in one of its sections. Documents are drawn
+// from a Zipf distribution, so that a few are very hot. All sizes are in blocks of 1,000
+// tokens, which correspond to the required cache blocks of 4,000 bytes.
 #pragma once
 
 #include <cstdint>
@@ -24,9 +24,9 @@
     std::string_view name;
     std::uint32_t engines;
     std::uint32_t domains;
-    double requestsPerSecond; // calm
+    double requestsPerSecond; // without overload
     double overload; // factor on the rate under overload
-    std::vector<double> customers; // share of each
+    std::vector<double> customers; // fraction of the sessions of each
     std::uint32_t templates;
     std::uint32_t templateBlocks;
     std::uint32_t documents; // of each customer and template
@@ -55,7 +55,7 @@
     base::Duration deadline{};
 };
 
-// What a session asks about.
+// Customer, prompt prefix and remaining requests of a session.
 struct Session
 {
     std::uint32_t customer = 0;
@@ -64,7 +64,7 @@
     std::uint32_t requests = 0;
 };
 
-// Draws sessions and requests; the sequence repeats under the seed.
+// Generates sessions and requests; the sequence is deterministic for a seed.
 class WorkloadSource
 {
 public:
--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -1,9 +1,9 @@
-// Cost of the traffic plane: processor time and allocations of its thread for a
-// request and for a stream event on loopback, and what single steps cost without
-// sockets: placing a prompt, a load report of a peer, a line of the log.
+// Cost of the traffic plane: processor time and allocations of its thread per request and
+// per stream event on loopback, and the cost of single steps without sockets: placing a
+// prompt, applying the load report of a peer, writing a log line.
 //
-// One thread runs the plane; callers and the scripted upstream run on another
-// one, so that only the plane's thread is measured.
+// The plane runs on a thread of its own; the client and the scripted upstream run on other
+// threads, so that only the plane's thread is measured.
 #include <benchmark/benchmark.h>
 
 #include <fcntl.h>
@@ -34,7 +34,7 @@
 namespace
 {
 
-std::atomic<std::uint64_t> allocations = 0; // of all threads; the plane's share is told apart by thread
+std::atomic<std::uint64_t> allocations = 0; // of the threads that set isCounted
 thread_local bool isCounted = false;
 
 } // namespace
@@ -83,7 +83,7 @@
     }
 };
 
-// The plane on its own thread, before one scripted upstream.
+// A traffic plane on its own thread, with one scripted upstream.
 class TrafficPlaneFixture
 {
 public:
@@ -126,7 +126,7 @@
     {
         return m_plane->callersEndpoint();
     }
-    // Processor time of the plane's thread.
+    // Returns the processor time of the plane's thread in seconds.
     [[nodiscard]] double planeSeconds()
     {
         std::promise<double> seconds;
@@ -177,7 +177,8 @@
     std::thread m_upstreamThread;
 };
 
-// Sends requests one after the other on one connection and reads each answer to `end`.
+// Sends requests sequentially on one connection and reads each response up to `end`.
+// Reports processor time and allocations of the plane per event.
 void measureExchanges(benchmark::State &state, TrafficPlaneFixture &fixture, const std::string &request, const std::string &end, int eventsPerRequest)
 {
     boost::asio::io_context loop;
@@ -223,7 +224,7 @@
 }
 BENCHMARK(benchStreamEvent)->UseRealTime();
 
-// A pool of engines of one model, with peers' work at each.
+// A pool of engines of one model, with load of a peer reported for each.
 struct EnginePool
 {
     explicit EnginePool(int engines)
@@ -265,7 +266,7 @@
 }
 BENCHMARK(benchPlace)->Arg(9)->Arg(90)->Arg(833);
 
-// A report of a peer that has begun and ended a few requests: bytes to sums.
+// Encodes, decodes and applies an incremental load report of a peer.
 void benchReport(benchmark::State &state)
 {
     proxy::LoadReport report;
@@ -287,7 +288,7 @@
 }
 BENCHMARK(benchReport)->Arg(1)->Arg(5)->Arg(50);
 
-// The line that each request ends with, flushed as often as the plane does.
+// Writes the log line of a finished request, flushed as often as by the plane.
 void benchLogLine(benchmark::State &state)
 {
     const base::SteadyClock clock;
--- a/examples/orderexecutor.cpp
+++ b/examples/orderexecutor.cpp
@@ -1,9 +1,9 @@
-// Embeds the order guard alone: a booking that runs at most once.
+// Embeds order execution alone: a booking that runs at most once.
 //
-// The program brings three things: an object store (here in memory; in earnest
-// store::HttpObjectStore or an own implementation), a connection to the
-// service, and a word on which of its own processes live. The same key, sent
-// twice, runs once and is answered twice.
+// The program supplies an object store (here in memory; in production
+// store::HttpObjectStore or its own implementation), a connection to the service, and the
+// liveness of its own processes. An order sent twice under one key runs once; the second
+// answer is a replay.
 #include <iostream>
 
 #include <carawaylatch/base/incarnation.h>
@@ -17,7 +17,7 @@
 namespace
 {
 
-// The service that books trucks; counts what it ran.
+// A service that books trucks and counts its runs.
 class BookingService : public orders::ServiceConnection
 {
 public:
@@ -42,7 +42,7 @@
     }
 };
 
-// This process is the only one.
+// Liveness for a program that is a single process.
 class SingleProcessLiveness : public orders::RouterLiveness
 {
 public:
--- a/examples/placement.cpp
+++ b/examples/placement.cpp
@@ -1,8 +1,9 @@
 // Embeds the placement strategy alone: three engines, two customers, no network.
 //
-// A program that already talks to engines gives the registry their load reports
-// and asks the strategy where a prompt goes. Cached prefixes pull a request to
-// their holder; another customer's request for the same text doesn't follow.
+// A program that already talks to engines passes their load reports to the registry and
+// asks the strategy where to send a prompt. A request is placed on the engine that has
+// its prefix cached. Cache keys are separate for each customer, so another customer's
+// request for the same text finds no cached prefix.
 #include <atomic>
 #include <iostream>
 #include <string>
@@ -41,7 +42,7 @@
     return tables;
 }
 
-// All that a placement needs to know.
+// A strategy with the routing state that it reads.
 class Placer
 {
 public:
@@ -106,6 +107,6 @@
               << "rival:  " << otherCustomer.upstream << ", " << otherCustomer.missingTokens << " tokens to compute\n";
     const bool isExpected =
         second.upstream == first.upstream && second.missingTokens < first.missingTokens && otherCustomer.missingTokens == first.missingTokens;
-    std::cout << (isExpected ? "the prefix was found, and only by its customer\n" : "unexpected placement\n");
+    std::cout << (isExpected ? "the prefix was found for its own customer only\n" : "unexpected placement\n");
     return isExpected ? 0 : 1;
 }
