--- a/tools/common/commandline.cpp
+++ b/tools/common/commandline.cpp
@@ -1,8 +1,8 @@
-// Parsing over Abseil's reflection.
+// Command line parser on Abseil's flag reflection.
 //
-// absl::ParseCommandLine ends the process with status 1 at the first mistake and
-// knows no '-' in names. Its reflection gives each flag by name with its own
-// parser, so the loop over the arguments is all that stands here.
+// absl::ParseCommandLine ends the process with status 1 at the first error and doesn't
+// accept '-' in names. Reflection finds each flag by name and parses its value, so that
+// only the loop over the arguments is implemented here.
 #include "tools/common/commandline.h"
 
 #include <absl/flags/commandlineflag.h>
@@ -29,7 +29,7 @@
     return name;
 }
 
-// Sets one flag; returns how many arguments it took.
+// Sets the flag at the front. Returns the number of arguments consumed.
 base::Result<std::size_t> parseFlag(std::span<const char *const> arguments)
 {
     const std::string_view text = std::string_view(arguments.front()).substr(2);
@@ -52,7 +52,7 @@
     }
     std::string error;
     if (!flag->ParseFrom(value, &error)) {
-        return fail(ErrorKind::InvalidArgument, "--" + name + ": '" + value + "' is not a value of this flag; --help shows what it takes");
+        return fail(ErrorKind::InvalidArgument, "--" + name + ": '" + value + "' is not a valid value; --help describes the flag");
     }
     return consumed;
 }
--- a/tools/ctl/applycommand.cpp
+++ b/tools/ctl/applycommand.cpp
@@ -1,8 +1,8 @@
-// apply: has the platform accept an edit and waits for the answer.
+// apply: submits an edit to the platform and waits for the result.
 //
-// The edit carries an id, so that a lost answer is settled by reading back
-// inside HeadStore. With --wait the command also asks the router until it and
-// all live routers that it knows have the revision in force.
+// The edit carries an id, so that HeadStore can find out by reading back whether an edit
+// whose response was lost has been accepted. With --wait-seconds the command also polls
+// the router until it and all its live peers have the revision in force.
 #include <nlohmann/json.hpp>
 
 #include <chrono>
@@ -26,7 +26,7 @@
     return std::chrono::duration_cast<base::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
-// Returns how many of the router and its live peers have the revision in force, and of how many.
+// The number of routers that have a revision in force, among a router and its live peers.
 struct RolloutStatus
 {
     std::size_t inForce = 0;
@@ -86,7 +86,7 @@
     }
     context.out << renderChanges(before, edit.changes);
     if (accepted.changedRows == 0) {
-        context.out << "nothing to change; revision " << accepted.revision.value << " is as asked\n";
+        context.out << "nothing to change; revision " << accepted.revision.value << " already matches\n";
     } else if (isDryRun) {
         context.out << "dry run: valid, " << accepted.changedRows << " rows would change; nothing was written\n";
     } else {
@@ -127,7 +127,7 @@
 
 const Command &applyCommand()
 {
-    static const Command Instance{"apply", "FILE...", "accept the rows of files; --dry-run, --whole, --remove, --author, --wait-seconds",
+    static const Command Instance{"apply", "FILE...", "apply the rows of files as one edit; --dry-run, --whole, --remove, --author, --wait-seconds",
                                   0,       MaxFiles,  runApply};
     return Instance;
 }
--- a/tools/ctl/checkcommand.cpp
+++ b/tools/ctl/checkcommand.cpp
@@ -1,4 +1,4 @@
-// check: reads files and says whether they form valid tables, without the platform.
+// check: checks whether files form valid tables, without the platform.
 #include <nlohmann/json.hpp>
 
 #include <ostream>
--- a/tools/ctl/command.cpp
+++ b/tools/ctl/command.cpp
@@ -1,4 +1,4 @@
-// The table of commands and the way from a word to one of them.
+// The table of commands and the dispatch by name.
 #include "tools/ctl/command.h"
 
 #include <algorithm>
--- a/tools/ctl/command.h
+++ b/tools/ctl/command.h
@@ -1,8 +1,9 @@
-// The commands of carawaylatchctl: a row each in one table, a file each.
+// The commands of carawaylatchctl: one entry each in a table, one file for each or for a
+// few related ones.
 //
-// A command takes its words, talks to the platform or to a router through the
-// interfaces of its context and writes its result to the context's stream. An
-// error carries the remedy; its kind decides the exit code.
+// A command takes its operands, calls the platform or a router through the interfaces of
+// its context and writes its result to the context's stream. An error message includes the
+// remedy; the kind of the error determines the exit code.
 #pragma once
 
 #include <iosfwd>
@@ -19,7 +20,7 @@
 namespace carawaylatch::ctl
 {
 
-// Most files that one command takes.
+// Maximum number of files of one command.
 constexpr std::size_t MaxFiles = 100;
 
 enum class OutputFormat {
@@ -29,15 +30,15 @@
 
 enum class ApplyMode {
     Accept,
-    DryRun, // check against the present configuration and write nothing
+    DryRun, // validate against the current configuration without writing
 };
 
 enum class TableScope {
-    NamedRows, // rows that the files don't name stay
+    NamedRows, // rows that the files don't name are kept
     Whole, // rows that the files don't name are removed
 };
 
-// Flags of the command line that commands read.
+// Values of the command-line flags that commands read.
 struct CommandOptions
 {
     OutputFormat output = OutputFormat::Text;
@@ -45,7 +46,7 @@
     TableScope scope = TableScope::NamedRows;
     std::string author;
     std::vector<std::string> removals; // rows to remove, such as "route contracts"
-    base::Duration wait{}; // for routers to have an edit in force; zero doesn't wait
+    base::Duration wait{}; // for routers to have an edit in force; zero: no wait
     std::uint64_t editSeed = 0; // differs in every process
     std::size_t historyLimit = 20;
     std::string customerKey; // of explain
@@ -76,10 +77,9 @@
 // Returns all commands in the order of the help text.
 [[nodiscard]] std::span<const Command *const> allCommands();
 
-// Runs the command that the first word names; checks the number of words first.
+// Runs the command named by the first operand, after checking the number of the others.
 [[nodiscard]] base::Result<void> runCommand(CommandContext &context);
 
-// The commands; each stands in a file of its name.
 [[nodiscard]] const Command &checkCommand();
 [[nodiscard]] const Command &applyCommand();
 [[nodiscard]] const Command &getCommand();
--- a/tools/ctl/draincommand.cpp
+++ b/tools/ctl/draincommand.cpp
@@ -1,6 +1,6 @@
-// drain and undrain: an upstream takes no new work, or takes it again.
+// drain and undrain: stop and resume sending new requests to an upstream.
 //
-// One router is told; it spreads the mark to its peers at once.
+// The request goes to one router, which forwards the mark to its peers at once.
 #include <ostream>
 
 #include "tools/ctl/command.h"
@@ -26,25 +26,26 @@
 
 base::Result<void> runDrain(CommandContext &context)
 {
-    return printResult(context, context.router.drain(context.operands.front()), " is leaving: no new work within 3 seconds; what it runs is finished");
+    return printResult(context, context.router.drain(context.operands.front()),
+                       " is leaving: all routers stop sending it new requests within 3 seconds; running requests finish");
 }
 
 base::Result<void> runUndrain(CommandContext &context)
 {
-    return printResult(context, context.router.undrain(context.operands.front()), " takes work again");
+    return printResult(context, context.router.undrain(context.operands.front()), " accepts new requests again");
 }
 
 } // namespace
 
 const Command &drainCommand()
 {
-    static const Command Instance{"drain", "UPSTREAM", "send an upstream no new work; what it runs is finished", 1, 1, runDrain};
+    static const Command Instance{"drain", "UPSTREAM", "stop sending an upstream new requests; running requests finish", 1, 1, runDrain};
     return Instance;
 }
 
 const Command &undrainCommand()
 {
-    static const Command Instance{"undrain", "UPSTREAM", "let a drained upstream take work again", 1, 1, runUndrain};
+    static const Command Instance{"undrain", "UPSTREAM", "resume sending requests to a drained upstream", 1, 1, runUndrain};
     return Instance;
 }
 
--- a/tools/ctl/explaincommand.cpp
+++ b/tools/ctl/explaincommand.cpp
@@ -1,4 +1,4 @@
-// explain: why a router would send a request where it would send it.
+// explain: shows where a router would send a request, and why.
 #include <nlohmann/json.hpp>
 
 #include <ostream>
@@ -59,7 +59,8 @@
 
 const Command &explainCommand()
 {
-    static const Command Instance{"explain", "", "why a request would go where; --customer-key, --model, --prompt-file, --traffic-class", 0, 0, runExplain};
+    static const Command Instance{"explain", "", "show where a request would be sent and why; --customer-key, --model, --prompt-file, --traffic-class",
+                                  0,         0,  runExplain};
     return Instance;
 }
 
--- a/tools/ctl/getcommand.cpp
+++ b/tools/ctl/getcommand.cpp
@@ -1,4 +1,4 @@
-// get: prints the configuration that the platform holds.
+// get: prints the accepted configuration from the platform.
 #include <nlohmann/json.hpp>
 
 #include <ostream>
--- a/tools/ctl/historycommand.cpp
+++ b/tools/ctl/historycommand.cpp
@@ -1,4 +1,4 @@
-// history: who changed what and when, newest first.
+// history: lists the accepted edits with author, time and changes, newest first.
 #include <nlohmann/json.hpp>
 
 #include <ctime>
@@ -15,7 +15,7 @@
 namespace
 {
 
-// Returns milliseconds since 1970 as UTC, such as "2026-05-04 13:05:09".
+// Formats milliseconds since the Unix epoch as UTC, such as "2026-05-04 13:05:09".
 std::string wallTimeText(std::int64_t madeAt)
 {
     const auto time = static_cast<std::time_t>(madeAt / 1000);
@@ -65,7 +65,7 @@
 
 const Command &historyCommand()
 {
-    static const Command Instance{"history", "", "who changed what and when, newest first; --limit", 0, 0, runHistory};
+    static const Command Instance{"history", "", "list edits with author, time and changes, newest first; --limit", 0, 0, runHistory};
     return Instance;
 }
 
--- a/tools/ctl/main.cpp
+++ b/tools/ctl/main.cpp
@@ -1,6 +1,6 @@
-// carawaylatchctl: the operators' tool.
+// carawaylatchctl: the command-line tool for operators.
 //
-// Exit codes: 0 done, 2 wrong usage or tables, 3 refused, 4 platform or router
+// Exit codes: 0 success, 2 wrong usage or invalid tables, 3 refused, 4 platform or router
 // not reached.
 #include <absl/flags/flag.h>
 
@@ -17,17 +17,17 @@
 
 ABSL_FLAG(std::string, platform, "127.0.0.1:7000", "the platform's object API, ADDR:PORT");
 ABSL_FLAG(std::string, router, "127.0.0.1:8081", "operators' port of a router, ADDR:PORT");
-ABSL_FLAG(std::string, failure_domain, "operator", "failure domain named to the platform");
+ABSL_FLAG(std::string, failure_domain, "operator", "failure domain sent to the platform");
 ABSL_FLAG(std::uint32_t, timeout_ms, 5000, "timeout of one call to the platform");
 ABSL_FLAG(std::string, output, "text", "text or json");
-ABSL_FLAG(bool, dry_run, false, "apply: check and show, write nothing");
+ABSL_FLAG(bool, dry_run, false, "apply: validate and show the changes without writing");
 ABSL_FLAG(bool, whole, false, "apply, diff: remove rows that the files don't name");
 ABSL_FLAG(std::string, remove, "", "apply: rows to remove, such as 'route old,pool old'");
 ABSL_FLAG(std::string, author, "", "apply: name in the history, by default the user's");
 ABSL_FLAG(std::uint32_t, wait_seconds, 0, "apply: wait until the live routers have the edit in force");
 ABSL_FLAG(std::uint32_t, limit, 20, "history: edits to show");
 ABSL_FLAG(std::string, customer_key, "", "explain: bearer key of the customer");
-ABSL_FLAG(std::string, model, "", "explain: model asked for");
+ABSL_FLAG(std::string, model, "", "explain: requested model");
 ABSL_FLAG(std::string, prompt_file, "", "explain: file with the prompt");
 ABSL_FLAG(std::string, traffic_class, "", "explain: interactive or batch");
 ABSL_FLAG(bool, help, false, "show this text");
--- a/tools/ctl/pagecommands.cpp
+++ b/tools/ctl/pagecommands.cpp
@@ -1,5 +1,5 @@
-// Commands that print pages of the manual and help to write tables: events,
-// settings, tables, digest. The pages come from the code that they describe.
+// Commands that print reference pages (events, settings, tables) and the digest of a key
+// for the tables. The pages are rendered from the code that they describe.
 #include <ostream>
 
 #include "carawaylatch/base/logevents.h"
@@ -14,7 +14,7 @@
 namespace
 {
 
-// Prints a page that the library renders.
+// Prints a reference page that the library renders.
 template <std::string (*Render)()>
 base::Result<void> printPage(CommandContext &context)
 {
--- a/tools/ctl/routerclient.cpp
+++ b/tools/ctl/routerclient.cpp
@@ -1,8 +1,8 @@
 // Calls to a router's operators' port over cpp-httplib.
 //
-// Draining only ever sets a mark, so a call whose answer was lost may be
-// repeated; the message says so. A status that the router answers with an error
-// body is passed on in the router's own words.
+// Draining only sets a mark, so that a call whose response was lost can be retried; the
+// error message says so. The message of an error body of the router is passed on
+// unchanged.
 #include "tools/ctl/routerclient.h"
 
 #include <httplib.h>
--- a/tools/ctl/routerclient.h
+++ b/tools/ctl/routerclient.h
@@ -1,4 +1,4 @@
-// The operators' port of a router, as commands use it.
+// Client interface of a router's operators' port.
 #pragma once
 
 #include <memory>
@@ -11,19 +11,19 @@
 namespace carawaylatch::ctl
 {
 
-// A call of POST /v1/explain: a caller's request.
+// Request of POST /v1/explain: the request of a client.
 struct ExplainRequest
 {
     std::string customerKey;
     std::string trafficClass; // empty for the default
-    std::string body; // as a caller would send it
+    std::string body; // as the client would send it
 };
 
 class RouterClient
 {
 public:
     virtual ~RouterClient() = default;
-    // Return the answer's JSON. Unavailable: the router was not reached.
+    // These return the JSON body of the response. Error Unavailable: the router was not reached.
     [[nodiscard]] virtual base::Result<std::string> status() = 0;
     [[nodiscard]] virtual base::Result<std::string> drain(std::string_view upstream) = 0;
     [[nodiscard]] virtual base::Result<std::string> undrain(std::string_view upstream) = 0;
--- a/tools/ctl/rowdiff.cpp
+++ b/tools/ctl/rowdiff.cpp
@@ -1,7 +1,7 @@
-// The difference of rows, line by line.
+// The difference between rows, line by line.
 //
-// A key may repeat (a pool's members), so fields are compared as a multiset of
-// lines: what stands on both sides is left out, the rest is shown.
+// A key may occur several times (a pool's members), so fields are compared as a multiset of
+// lines: lines on both sides are left out, the others are shown.
 #include "tools/ctl/rowdiff.h"
 
 #include <nlohmann/json.hpp>
@@ -35,7 +35,7 @@
     return lines;
 }
 
-// Returns the lines of `from` without one occurrence for each line of `other`.
+// Returns the lines of `from` minus one occurrence of each line of `other`.
 std::vector<std::string> linesOnlyIn(std::vector<std::string> from, const std::vector<std::string> &other)
 {
     for (const auto &line : other) {
--- a/tools/ctl/rowdiff.h
+++ b/tools/ctl/rowdiff.h
@@ -11,7 +11,7 @@
 namespace carawaylatch::ctl
 {
 
-// Returns one block for each row, "-" before lines that go and "+" before lines that come.
+// Returns one block for each row, "-" before removed lines and "+" before added ones.
 [[nodiscard]] std::string renderChanges(const config::RowSet &before, std::span<const config::RowChange> changes);
 
 // Returns the same as an array of {"row","change","removed","added"}.
--- a/tools/ctl/statuscommand.cpp
+++ b/tools/ctl/statuscommand.cpp
@@ -1,4 +1,4 @@
-// status: what one router knows of itself, its upstreams, peers and customers.
+// status: shows a router's state with its upstreams, peers, pools, routes and customers.
 #include <nlohmann/json.hpp>
 
 #include <ostream>
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// One column: heading and the field of the row that it shows.
+// A column: its heading and the JSON field that it shows.
 struct StatusColumn
 {
     const char *heading;
@@ -117,7 +117,7 @@
 
 const Command &statusCommand()
 {
-    static const Command Instance{"status", "", "what a router knows of itself, its upstreams, peers and customers", 0, 0, runStatus};
+    static const Command Instance{"status", "", "show the state of a router and of its upstreams, peers and customers", 0, 0, runStatus};
     return Instance;
 }
 
--- a/tools/ctl/tablefiles.cpp
+++ b/tools/ctl/tablefiles.cpp
@@ -1,7 +1,7 @@
-// From files to changes.
+// Reads table files and determines the changes that they make.
 //
-// The rows of all files form one edit, so that a route and the pool it needs are
-// accepted together although they stand in two files.
+// The rows of all files form one edit, so that a route and the pool that it requires are
+// accepted together even if they are in two files.
 #include "tools/ctl/tablefiles.h"
 
 #include <fstream>
@@ -33,7 +33,7 @@
     std::ifstream in(path, std::ios::binary);
     std::ostringstream text;
     if (!in || !(text << in.rdbuf())) {
-        return base::fail(ErrorKind::InvalidArgument, "can't read " + path + " or it is empty; name a file that holds text");
+        return base::fail(ErrorKind::InvalidArgument, "can't read " + path + " or it is empty; name a file that contains text");
     }
     return text.str();
 }
@@ -46,8 +46,8 @@
         BOOST_OUTCOME_TRY(rows, config::parseRows(text, path));
         for (auto &row : rows.rows) {
             if (all.find(row.key) != nullptr) {
-                return base::fail(ErrorKind::InvalidArgument,
-                                  path + ":" + std::to_string(row.line) + ": [" + config::rowLabel(row.key) + "] stands in another file too; keep one of them");
+                return base::fail(ErrorKind::InvalidArgument, path + ":" + std::to_string(row.line) + ": [" + config::rowLabel(row.key)
+                                                                  + "] is defined in another file too; keep one of them");
             }
             all.put(std::move(row));
         }
@@ -65,7 +65,8 @@
         const auto *row = current.find(key);
         if (row == nullptr || wanted.find(key) != nullptr) {
             return base::fail(ErrorKind::InvalidArgument,
-                              "--remove: " + label + (row == nullptr ? " doesn't exist; 'get' shows all rows" : " is in a file too; leave out one"));
+                              "--remove: " + label
+                                  + (row == nullptr ? " doesn't exist; 'get' shows all rows" : " is defined in a file too; leave out one of them"));
         }
         changes.push_back({config::RowChange::Kind::Remove, *row, row->revision});
     }
--- a/tools/ctl/tablefiles.h
+++ b/tools/ctl/tablefiles.h
@@ -1,4 +1,4 @@
-// Operators' files: reading, merging and the edit that they ask for.
+// Table files of operators: reading, merging and the resulting changes.
 #pragma once
 
 #include <span>
@@ -13,13 +13,14 @@
 namespace carawaylatch::ctl
 {
 
-// Reads a file whole; InvalidArgument if it can't be read.
+// Returns the content of a file. Error InvalidArgument: it can't be read or is empty.
 [[nodiscard]] base::Result<std::string> readFile(const std::string &path);
 
-// Returns the rows of all files together; a row that stands in two files is an error.
+// Returns the rows of all files together. A row that is defined in two files is an error.
 [[nodiscard]] base::Result<config::RowSet> readTableFiles(std::span<const std::string> paths);
 
-// Returns the changes that files and removals ask for.
+// Returns the changes that lead from `current` to the rows of the files, and the removals
+// of the options.
 [[nodiscard]] base::Result<std::vector<config::RowChange>> changesFor(const CommandContext &context, const config::RowSet &current);
 
 } // namespace carawaylatch::ctl
--- a/tools/ctl/testing/ctltest.cpp
+++ b/tools/ctl/testing/ctltest.cpp
@@ -1,4 +1,4 @@
-// The commands of carawaylatchctl against a store in memory and a fake router:
+// Tests of the commands of carawaylatchctl against an in-memory store and a fake router:
 // exit codes, output and what is written.
 #include "tools/ctl/command.h"
 
@@ -32,7 +32,7 @@
 const std::string Pool = "[pool readers]\nmodel = clause-7b\nweights_version = 3\nmember = engine-1 10.0.0.1:8000 dakar-a\n";
 const std::string Route = "[route contracts]\npath = /v1/completions\nmodel = clause-7b\npool = readers\n";
 
-// Answers as a router would; `isReachable` off stands for a router that is down.
+// Responds as a router does. With `isReachable` off, calls fail as for a router that is down.
 class FakeRouter : public RouterClient
 {
 public:
@@ -127,7 +127,7 @@
             {{"check", file("missing.ini")}, ExitCode::WrongUsage, "missing.ini"},
             {{"check", file("bad.ini")}, ExitCode::WrongUsage, "bad.ini:2"},
             {{"check", file("route.ini")}, ExitCode::WrongUsage, "readers"},
-            {{"check", file("all.ini"), file("route.ini")}, ExitCode::WrongUsage, "stands in another file too"},
+            {{"check", file("all.ini"), file("route.ini")}, ExitCode::WrongUsage, "is defined in another file too"},
             {{"apply"}, ExitCode::WrongUsage, "nothing to apply"},
             {{"apply", file("route.ini")}, ExitCode::WrongUsage, "readers"},
             {{"explain"}, ExitCode::WrongUsage, "--customer-key"},
@@ -269,7 +269,7 @@
     }
 
 private:
-    // Runs a command; returns its exit code and keeps text and message.
+    // Runs a command. Returns its exit code and keeps its output and error message.
     int run(std::vector<std::string> operands)
     {
         std::ostringstream out;
--- a/tools/ctl/texttable.cpp
+++ b/tools/ctl/texttable.cpp
@@ -1,4 +1,4 @@
-// Aligned columns for the terminal.
+// Text table with aligned columns.
 #include "tools/ctl/texttable.h"
 
 #include <algorithm>
--- a/tools/ctl/texttable.h
+++ b/tools/ctl/texttable.h
@@ -1,4 +1,4 @@
-// Aligned columns for the terminal.
+// Text table with aligned columns for the terminal.
 #pragma once
 
 #include <string>
--- a/tools/load/loadclient.cpp
+++ b/tools/load/loadclient.cpp
@@ -1,9 +1,9 @@
-// Calls over cpp-httplib.
+// HTTP client over cpp-httplib.
 //
-// A streamed body goes through the event splitter into the verifier as it
-// arrives; the times of the tokens are taken there. Of a refused call the body
-// is kept and its error read. httplib reports a body that ended early as a read
-// error, which is what tells an aborted transfer from a clean end.
+// A streamed body passes through the event splitter into the verifier as it arrives; token
+// times are taken there. The body of a refused request is kept and its error parsed.
+// httplib reports a body that ended early as a read error, which distinguishes an aborted
+// transfer from a clean end.
 #include "tools/load/loadclient.h"
 
 #include <httplib.h>
@@ -45,7 +45,7 @@
     return base::SteadyClock().now();
 }
 
-// Takes the body of one streamed answer.
+// Receives the body of one streamed response.
 class StreamReceiver
 {
 public:
@@ -115,7 +115,7 @@
     return {{"Authorization", "Bearer " + bearerKey}, {"Content-Type", "application/json"}};
 }
 
-// Says whether a service's answer names another order than the one sent.
+// Returns whether a service's response names another order than the one sent.
 bool isForeignOrder(const std::string &body, const std::string &orderKey)
 {
     const auto value = json::parse(body, nullptr, false);
--- a/tools/load/loadclient.h
+++ b/tools/load/loadclient.h
@@ -1,6 +1,6 @@
-// A caller of the routers: streamed completions and orders over HTTP.
+// Client of the routers: streamed completions and orders over HTTP.
 //
-// Each worker thread has a Caller of its own; connections are kept open.
+// Not thread-safe: each worker thread has a client of its own. Connections are kept alive.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 struct LoadClientOptions
 {
     std::vector<base::Endpoint> targets;
-    base::Duration timeout = base::seconds{60}; // of a connection without any byte
+    base::Duration timeout = base::seconds{60}; // read timeout, without any byte received
 };
 
 struct CompletionRequest
@@ -31,20 +31,20 @@
     std::string_view prompt;
     std::uint32_t maxTokens = 0;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    base::Duration deadline{}; // zero leaves it to the route
+    base::Duration deadline{}; // zero: the route's default
     std::string requestId;
 };
 
 enum class CallOutcome {
-    Streamed, // status 200; the verdict tells more
-    Refused, // an error status; the body names the code
-    NotReached, // no connection: nothing was sent
+    Streamed, // status 200; see the verdict
+    Refused, // an error status; the body has the error type
+    NotReached, // no connection; nothing was sent
 };
 
 struct CompletionResult
 {
     CallOutcome outcome = CallOutcome::NotReached;
-    StreamVerdict verdict = StreamVerdict::Aborted; // of a streamed answer
+    StreamVerdict verdict = StreamVerdict::Aborted; // of a streamed response
     int status = 0;
     std::string errorType; // of a refusal or an explicit error
     std::optional<base::Duration> retryAfter; // of a refusal
@@ -61,8 +61,8 @@
     std::string body;
 };
 
-// One answer to an order; `outcome` is X-Order-Outcome, or "refused", "unclear"
-// (sent without an answer) or "not_reached" where there is none.
+// Response to an order. `outcome` is the header X-Order-Outcome or, without it, "refused",
+// "unclear" (sent, but no response) or "not_reached".
 struct OrderResponse
 {
     std::string key;
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -1,7 +1,6 @@
-// carawaylatch-load: replays a workload against routers and judges the answers.
+// carawaylatch-load: sends a workload to routers and verifies the responses.
 //
-// Exit codes: 0 all promises held, 2 wrong usage, 3 a promise was broken,
-// 4 no router was reached.
+// Exit codes: 0 no violation, 2 wrong usage, 3 violation found, 4 no router was reached.
 #include <absl/flags/flag.h>
 
 #include <chrono>
@@ -15,17 +14,17 @@
 
 ABSL_FLAG(std::string, target, "127.0.0.1:8080", "callers' ports of the routers, ADDR:PORT,...");
 ABSL_FLAG(std::string, key, "", "bearer keys, one for each customer: KEY,...");
-ABSL_FLAG(std::string, model, "clause-1", "model asked for");
+ABSL_FLAG(std::string, model, "clause-1", "requested model");
 ABSL_FLAG(std::string, workload, "groupement", "groupement or brasa");
 ABSL_FLAG(std::uint64_t, requests, 200, "streamed requests to send");
 ABSL_FLAG(std::uint32_t, concurrency, 8, "requests in flight");
 ABSL_FLAG(std::uint64_t, seed, 1, "seed of prompts, draws and duplicates");
-ABSL_FLAG(std::uint64_t, draw_seed, 0, "seed of which prompts are drawn, for runs over the same texts; 0 for --seed");
-ABSL_FLAG(std::uint64_t, orders, 0, "orders to send beside the requests");
+ABSL_FLAG(std::uint64_t, draw_seed, 0, "seed of the choice of prompts, for runs over the same texts; 0 for --seed");
+ABSL_FLAG(std::uint64_t, orders, 0, "orders to send in addition to the requests");
 ABSL_FLAG(std::string, order_route, "", "service route that takes the orders");
-ABSL_FLAG(std::string, judge, "", "service stand-ins whose journals judge the orders, ADDR:PORT,...");
-ABSL_FLAG(std::uint32_t, deadline_ms, 0, "deadline sent with each request; 0 leaves it to the route");
-ABSL_FLAG(std::uint32_t, pause_ms, 0, "pause of each caller between two requests");
+ABSL_FLAG(std::string, judge, "", "service stand-ins whose journals the orders are checked against, ADDR:PORT,...");
+ABSL_FLAG(std::uint32_t, deadline_ms, 0, "deadline sent with each request; 0 for the route's default");
+ABSL_FLAG(std::uint32_t, pause_ms, 0, "pause of each client between two requests");
 ABSL_FLAG(std::string, report, "", "file for the report as JSON");
 ABSL_FLAG(bool, help, false, "show this text");
 ABSL_FLAG(bool, version, false, "show the version");
@@ -71,7 +70,7 @@
     const auto ticks = std::chrono::system_clock::now().time_since_epoch().count();
     options.runId = "run-" + std::to_string(options.seed) + "-" + std::to_string(ticks);
     if (options.client.targets.empty() || options.keys.empty()) {
-        return base::fail(base::ErrorKind::InvalidArgument, "--target and --key are needed; write --target 127.0.0.1:8080 --key KEY");
+        return base::fail(base::ErrorKind::InvalidArgument, "--target and --key are required; write --target 127.0.0.1:8080 --key KEY");
     }
     if (options.orders > 0 && options.orderRoute.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, "--orders needs a service route; write --order-route NAME");
@@ -110,7 +109,7 @@
         return fail(operands.error());
     }
     if (absl::GetFlag(FLAGS_help)) {
-        std::cout << "carawaylatch-load [flags]: replays a workload against routers and judges the answers\n" << tools::flagsHelp("tools/load/");
+        std::cout << "carawaylatch-load [flags]: sends a workload to routers and verifies the responses\n" << tools::flagsHelp("tools/load/");
         return 0;
     }
     if (absl::GetFlag(FLAGS_version)) {
@@ -118,7 +117,7 @@
         return 0;
     }
     if (!operands.value().empty()) {
-        return fail(base::fail(base::ErrorKind::InvalidArgument, "unexpected word '" + operands.value().front() + "'; --help shows the flags"));
+        return fail(base::fail(base::ErrorKind::InvalidArgument, "unexpected argument '" + operands.value().front() + "'; --help shows the flags"));
     }
     const auto options = optionsFromFlags();
     if (!options) {
--- a/tools/load/orderverifier.cpp
+++ b/tools/load/orderverifier.cpp
@@ -1,14 +1,14 @@
-// The judgement of orders.
+// Verification of responses to orders.
 //
-// The services' journals are the truth. A key that ran twice is a broken promise
-// whatever was answered. "Not run" speaks of every request of the key that was
-// received before the answer; a request that was still open then, or was sent
-// later, may have run it rightly. So the answer is false for certain only where
-// all other requests of the key had been answered before it, and where that
-// isn't so, the key is counted as ambiguous and held against nobody.
+// The services' journals are authoritative. A key that ran twice is a violation whatever
+// the responses were. "Not run" applies to every request of the key that was received
+// before the response; a request that was still in flight then, or was sent later, may
+// legitimately have run the order. The response is therefore certainly false only if all
+// other requests of the key had completed before it. Otherwise the key is counted as
+// ambiguous, which is no violation.
 //
-// A router may send the key to the service with the customer's name in front;
-// both forms are taken as the same order.
+// A router may send the key to the service with the customer's name as a prefix; both forms
+// are treated as the same order.
 #include "tools/load/orderverifier.h"
 
 #include <httplib.h>
@@ -39,7 +39,7 @@
 }
 
 enum class NotRunVerdict {
-    Absent, // no such answer
+    Absent, // no such response
     Ambiguous,
     False,
 };
@@ -104,11 +104,11 @@
     const auto response = client.Get("/journal");
     const auto address = service.address + ":" + std::to_string(service.port);
     if (!response || response->status != 200) {
-        return base::fail(base::ErrorKind::Unavailable, "no journal from the service " + address + "; check --judge");
+        return base::fail(base::ErrorKind::Unavailable, "no journal from service " + address + "; check --judge");
     }
     const auto body = nlohmann::json::parse(response->body, nullptr, false);
     if (!body.is_object() || !body.contains("items")) {
-        return base::fail(base::ErrorKind::Unavailable, address + " answers no journal; --judge takes service stand-ins");
+        return base::fail(base::ErrorKind::Unavailable, address + " returned no journal; --judge takes service stand-ins");
     }
     std::vector<JournalEntry> entries;
     for (const auto &it : body["items"]) {
--- a/tools/load/orderverifier.h
+++ b/tools/load/orderverifier.h
@@ -1,4 +1,4 @@
-// Compares what callers were told of their orders with what the services ran.
+// Compares the responses to orders with the runs in the journals of the services.
 #pragma once
 
 #include <cstdint>
@@ -25,11 +25,11 @@
 {
     std::uint64_t ordersVerified = 0;
     std::uint64_t ranOnce = 0;
-    std::vector<std::string> ranTwice; // keys; breaks a promise
-    std::vector<std::string> notRunButRan; // keys; breaks a promise
-    std::vector<std::string> doneWithoutRun; // keys; breaks a promise
-    // Keys that were answered "not run" and ran, where another request of the
-    // key was open or sent later, so that the answer may have been true.
+    std::vector<std::string> ranTwice; // keys; a violation
+    std::vector<std::string> notRunButRan; // keys; a violation
+    std::vector<std::string> doneWithoutRun; // keys; a violation
+    // Keys that ran despite a response "not run", where another request of the key was in
+    // flight or sent later, so that the response may have been true.
     std::uint64_t ambiguous = 0;
 
     [[nodiscard]] std::uint64_t violations() const
@@ -38,10 +38,11 @@
     }
 };
 
-// Judges all answers of a run against the journals of all services.
+// Verifies all responses of a run against the journals of all services.
 [[nodiscard]] OrderVerification verifyOrders(std::span<const OrderResponse> responses, std::span<const JournalEntry> journal);
 
-// Reads GET /journal of a service stand-in.
+// Fetches the journal of a service stand-in (GET /journal). Error Unavailable: it can't be
+// fetched or parsed.
 [[nodiscard]] base::Result<std::vector<JournalEntry>> fetchJournal(const base::Endpoint &service);
 
 } // namespace carawaylatch::load
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -1,8 +1,8 @@
 // Merging and rendering of results.
 //
-// Every quantile is exact over all values of the run. In the JSON form durations
-// are milliseconds with fractions and the orders stand one by one with their
-// answers, so that a checker can compare them with the services' journals.
+// Every quantile is exact over all values of the run. In the JSON form durations are
+// milliseconds with fractions, and the orders are listed one by one with their responses,
+// so that a checker can compare them with the services' journals.
 #include "tools/load/report.h"
 
 #include <nlohmann/json.hpp>
@@ -177,14 +177,14 @@
         printLatencies(out, ("first token, " + name).c_str(), report.latencies.at(i).firstToken);
         printLatencies(out, ("between tokens, " + name).c_str(), report.latencies.at(i).gaps);
     }
-    printCounts(out, "order answers", ordersByOutcome(report));
+    printCounts(out, "order responses", ordersByOutcome(report));
     if (report.verifiedServices > 0) {
         const auto &verification = report.verification;
-        out << "orders judged " << verification.ordersVerified << "  ran once " << verification.ranOnce << "  ran twice " << verification.ranTwice.size()
+        out << "orders checked " << verification.ordersVerified << "  ran once " << verification.ranOnce << "  ran twice " << verification.ranTwice.size()
             << "  \"not run\" that ran " << verification.notRunButRan.size() << "  \"done\" without a run " << verification.doneWithoutRun.size()
             << "  ambiguous " << verification.ambiguous << '\n';
     }
-    out << "foreign order answers " << foreignOrderCount(report) << "\nbroken promises " << report.totalViolations() << '\n';
+    out << "foreign order responses " << foreignOrderCount(report) << "\nviolations " << report.totalViolations() << '\n';
     return out.str();
 }
 
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -13,7 +13,7 @@
 namespace carawaylatch::load
 {
 
-// Exact times of one class.
+// All latencies of one traffic class.
 struct ClassLatencies
 {
     std::vector<base::Duration> firstToken;
@@ -28,7 +28,7 @@
     std::string workload;
     std::uint64_t seed = 0;
     std::uint64_t requests = 0;
-    std::uint64_t notReached = 0; // calls that found no router at last
+    std::uint64_t notReached = 0; // requests that reached no router after all retries
     std::uint64_t retries = 0;
     std::array<std::uint64_t, VerdictCount> verdicts{};
     std::map<std::string, std::uint64_t> refusals; // final ones, by type
@@ -46,7 +46,8 @@
     [[nodiscard]] std::uint64_t totalViolations() const;
 };
 
-// Returns the value below which `share` of the values lie; zero without any. Sorts the values.
+// Returns the nearest-rank quantile for a fraction from 0 to 1, zero without values. Sorts
+// the values.
 [[nodiscard]] base::Duration quantile(std::vector<base::Duration> &values, double fraction);
 
 [[nodiscard]] std::string renderText(Report &report);
--- a/tools/load/runner.cpp
+++ b/tools/load/runner.cpp
@@ -1,12 +1,12 @@
-// Concurrent callers over one shared sequence of work.
+// Concurrent clients over one shared sequence of tasks.
 //
-// Completions are repeated where the interface says that it is safe and useful:
-// no connection was made, or a refusal named a time to come back. Each repeat
-// goes to the next router, as through a balancer. A stream that began is never
-// repeated. Orders keep their key when they are repeated, so a repeat after an
-// unclear end is safe; a share of them is sent to a second router at the same
-// time, and another share once more after the answer. An order answered "not
-// run" is repeated for every second key only, so that the others can be judged.
+// A completion is retried where the API defines it as safe and useful: no connection was
+// made, or a refusal named a retry delay. Each retry goes to the next router, as behind a
+// load balancer. A stream that has started is never retried. An order keeps its
+// idempotency key when it is retried, so that a retry after an unclear result is safe. A
+// fraction of the orders is also sent to a second router concurrently, and another fraction
+// once more after the response. An order with the response "not run" is retried for every
+// second key only, so that the other keys can be verified.
 #include "tools/load/runner.h"
 
 #include <algorithm>
@@ -71,7 +71,7 @@
         LoadRequest request;
     };
 
-    // Spreads the orders evenly over the completions.
+    // Returns the next task. Orders are distributed evenly among the completions.
     Task nextTask()
     {
         const std::lock_guard lock(m_mutex);
@@ -201,7 +201,7 @@
     }
 
     const RunOptions &m_options;
-    std::mutex m_mutex; // guards all below
+    std::mutex m_mutex; // protects all members below
     Workload m_workload;
     std::size_t m_tasksStarted = 0;
     std::size_t m_ordersStarted = 0;
--- a/tools/load/runner.h
+++ b/tools/load/runner.h
@@ -1,4 +1,4 @@
-// Runs a workload against the routers with a number of concurrent callers.
+// Runs a workload against the routers with a number of concurrent clients.
 #pragma once
 
 #include <cstdint>
@@ -19,17 +19,17 @@
     std::string model;
     WorkloadKind workload = WorkloadKind::Groupement;
     std::uint64_t seed = 1;
-    std::uint64_t drawSeed = 1; // which prompts are drawn; equal texts for equal seeds
+    std::uint64_t drawSeed = 1; // choice of prompts; their texts depend on `seed` only
     std::size_t requests = 0;
     std::size_t concurrency = 1;
     std::size_t orders = 0;
     std::string orderRoute;
-    std::string runId; // part of every order key, so that runs don't meet
-    base::Duration deadline{}; // zero leaves it to the route
-    base::Duration pause{}; // of each caller between two requests
+    std::string runId; // part of every order key, so that keys of two runs differ
+    base::Duration deadline{}; // zero: the route's default
+    base::Duration pause{}; // of each client between two requests
 };
 
-// Returns the report without a judgement.
+// Returns the report without the verification of the orders.
 [[nodiscard]] Report runLoad(const RunOptions &options);
 
 } // namespace carawaylatch::load
--- a/tools/load/streamevents.cpp
+++ b/tools/load/streamevents.cpp
@@ -1,9 +1,9 @@
-// Reading a streamed answer.
+// Parser of streamed responses.
 //
-// The splitter keeps the unfinished line, so an event may arrive in any number
-// of pieces. Only `data:` lines matter in this interface; comments and blank
-// lines are passed over. A payload that can't be read is an event too: the
-// verifier counts it against the router.
+// The splitter buffers the unfinished line, so that an event may arrive in any number of
+// chunks. Only `data:` lines carry events in this API; comments and blank lines are
+// skipped. A payload that can't be parsed is an event too: the verifier reports it as a
+// violation.
 #include "tools/load/streamevents.h"
 
 #include <nlohmann/json.hpp>
--- a/tools/load/streamevents.h
+++ b/tools/load/streamevents.h
@@ -1,4 +1,4 @@
-// Server-sent events of a streamed answer as typed values.
+// Server-sent events of a streamed response as typed values.
 #pragma once
 
 #include <cstdint>
@@ -34,10 +34,10 @@
     StreamUsage usage; // of the last event
 };
 
-// Returns the event of one `data:` payload.
+// Returns the event of one `data:` payload, Malformed if it can't be parsed.
 [[nodiscard]] StreamEvent parseStreamEvent(std::string_view payload);
 
-// Cuts a byte stream into `data:` payloads, however the bytes arrive.
+// Splits a byte stream into `data:` payloads, in whatever chunks the bytes arrive.
 class EventSplitter
 {
 public:
--- a/tools/load/streamverifier.cpp
+++ b/tools/load/streamverifier.cpp
@@ -1,10 +1,9 @@
 // The verdict on a stream.
 //
-// The first broken promise is kept, since what follows it is often only its
-// consequence. Without one, the end decides: [DONE] after the last event is
-// complete, an error event is an explicit failure, a broken transfer is seen by
-// the caller's HTTP library, and a clean end with none of these is the quiet cut
-// that must never happen.
+// The first violation is kept, since later ones are often its consequences. Without a
+// violation the end decides: [DONE] after the last event is complete, an error event is an
+// explicit failure, and a broken transfer is detected by the client's HTTP library. A clean
+// end with none of these is a silent truncation, which must never happen.
 #include "tools/load/streamverifier.h"
 
 #include <array>
--- a/tools/load/streamverifier.h
+++ b/tools/load/streamverifier.h
@@ -1,9 +1,9 @@
-// Judges one streamed answer from the caller's side.
+// Verifies one streamed response from the client's side.
 //
-// The stand-in engine makes token i of a prompt as " " and the first eight hex
-// digits of hash64(prompt, i), so a caller that knows its prompt can tell whether
-// each token belongs to its own request. The verifier takes events in the order
-// of arrival and how the transfer ended; its verdict never depends on timing.
+// The stand-in engine generates token i of a prompt as " " and the first eight hex digits of
+// hash64(prompt, i), so that a client that has the prompt can check whether each token
+// belongs to its own request. The verifier takes the events in the order of arrival and the
+// end of the transfer; its verdict never depends on timing.
 #pragma once
 
 #include <cstdint>
@@ -17,12 +17,12 @@
 
 enum class StreamVerdict {
     Complete,
-    ExplicitError, // the router said that it failed
-    Aborted, // the transfer broke where the caller could see it
-    // All below break a promise.
+    ExplicitError, // the router sent an error event
+    Aborted, // the transfer broke visibly to the client
+    // All below are violations.
     TruncatedSilently, // a clean end without [DONE]
-    Gap, // a token index was left out
-    Repeated, // a token index came twice or out of order
+    Gap, // a token index was skipped
+    Repeated, // a token index was repeated or out of order
     ForeignToken, // a token of another prompt
     WrongCount, // the last event's count differs from the tokens delivered
     Malformed,
@@ -31,7 +31,7 @@
 [[nodiscard]] std::string_view streamVerdictName(StreamVerdict verdict);
 [[nodiscard]] bool isViolation(StreamVerdict verdict);
 
-// Returns the text of token `index` of the stand-in engine's answer to a prompt.
+// Returns the text of token `index` of the stand-in engine's response to a prompt.
 [[nodiscard]] std::string expectedToken(std::string_view prompt, std::uint64_t index);
 
 enum class TransferEnd {
@@ -42,7 +42,7 @@
 class StreamVerifier
 {
 public:
-    // `prompt` outlives the verifier.
+    // `prompt` must outlive the verifier.
     explicit StreamVerifier(std::string_view prompt);
     void add(const StreamEvent &event);
     [[nodiscard]] StreamVerdict finish(TransferEnd end) const;
@@ -70,7 +70,7 @@
     std::uint64_t m_nextIndex = 0;
     StreamUsage m_usage;
     std::string m_errorType;
-    StreamVerdict m_violation = StreamVerdict::Complete; // the first broken promise
+    StreamVerdict m_violation = StreamVerdict::Complete; // the first one, or Complete
     bool m_hasLastEvent = false;
     bool m_hasDoneEvent = false;
 };
--- a/tools/load/testing/streamverifiertest.cpp
+++ b/tools/load/testing/streamverifiertest.cpp
@@ -1,4 +1,4 @@
-// The load tool's judgement: each broken promise in a stream or an order is seen.
+// Tests of the load tool's verifiers: each violation in a stream or an order is detected.
 #include "tools/load/streamverifier.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -49,7 +49,7 @@
     const auto clean = TransferEnd::Clean;
     const auto broken = TransferEnd::Broken;
     return {
-        {"whole", {token(0), token(1), last(2), "[DONE]"}, clean, V::Complete},
+        {"complete", {token(0), token(1), last(2), "[DONE]"}, clean, V::Complete},
         {"no token", {last(0), "[DONE]"}, clean, V::Complete},
         {"clean end without last event", {token(0), token(1)}, clean, V::TruncatedSilently},
         {"clean end without [DONE]", {token(0), last(1)}, clean, V::TruncatedSilently},
@@ -98,13 +98,13 @@
     return {
         {"done once", {response("k", "done", 1, 2), response("k", "done", 3, 4)}, 1, 0, 0, 0, 0},
         {"ran twice", {response("k", "done", 1, 2)}, 2, 1, 0, 0, 0},
-        {"ran twice behind unknown", {response("k", "unknown", 1, 2)}, 2, 1, 0, 0, 0},
+        {"ran twice, response unknown", {response("k", "unknown", 1, 2)}, 2, 1, 0, 0, 0},
         {"unknown and ran", {response("k", "unknown", 1, 2)}, 1, 0, 0, 0, 0},
         {"true not run", {response("k", "not_run", 1, 2)}, 0, 0, 0, 0, 0},
         {"false not run", {response("k", "not_run", 1, 2)}, 1, 0, 1, 0, 0},
         {"not run after done", {response("k", "done", 1, 2), response("k", "not_run", 3, 4)}, 1, 0, 1, 0, 0},
         {"sent again after not run", {response("k", "not_run", 1, 2), response("k", "done", 3, 4)}, 1, 0, 0, 0, 1},
-        {"open beside not run", {response("k", "not_run", 1, 2), response("k", "done", 1, 3)}, 1, 0, 0, 0, 1},
+        {"in flight at not run", {response("k", "not_run", 1, 2), response("k", "done", 1, 3)}, 1, 0, 0, 0, 1},
         {"done without run", {response("k", "done", 1, 2)}, 0, 0, 0, 1, 0},
     };
 }
@@ -145,7 +145,7 @@
                     payloads.emplace_back(it);
                 });
             }
-            CPPUNIT_ASSERT_MESSAGE("pieces of " + std::to_string(piece), payloads == expected);
+            CPPUNIT_ASSERT_MESSAGE("chunks of " + std::to_string(piece), payloads == expected);
         }
     }
 
--- a/tools/load/workload.cpp
+++ b/tools/load/workload.cpp
@@ -1,7 +1,9 @@
-// Prompts are made of lines that a hash derives from (seed, kind of text, its
-// number, line), so two requests that name the same template hold the same bytes
-// and nothing has to be kept between them. Draws follow Zipf's law with exponent
-// one. At half of the run the ranks are rotated: what was cold becomes hot.
+// Generator of prompts.
+//
+// Prompts consist of lines that a hash derives from (seed, kind of text, its number, line),
+// so that two requests with the same template have the same bytes and no text has to be
+// stored. Draws follow Zipf's law with exponent one. After half of the run the ranks are
+// rotated, which makes cold items hot.
 #include "tools/load/workload.h"
 
 #include <algorithm>
@@ -103,7 +105,7 @@
     LoadRequest request;
     request.customer = drawZipf(m_customers);
     const auto contract = (drawZipf(ContractsPerCustomer) + shift * ContractsPerCustomer / 2) % ContractsPerCustomer;
-    // A contract is written on one template, the hot templates carry most contracts.
+    // Each contract uses one template; the hot templates are used by most contracts.
     const auto templateNumber = (contract + shift) % Templates;
     appendText(request.prompt, Template, templateNumber, m_seed);
     appendText(request.prompt, Contract, request.customer * ContractsPerCustomer + contract, m_seed);
--- a/tools/load/workload.h
+++ b/tools/load/workload.h
@@ -1,10 +1,9 @@
-// The two workloads as sequences of requests, from a seed.
+// The two workloads as sequences of requests generated from a seed.
 //
-// Groupement: a common template, then a supplier's contract, then a clause; the
-// templates are shared by all customers, contracts belong to one. Brasa: a
-// panel's fault history that grows, then a short question. Customers, templates,
-// contracts and panels are drawn from skewed distributions, and the hot ones
-// change once, at half of the run.
+// Groupement: a common template, then a supplier's contract, then a clause; all customers
+// share the templates, a contract belongs to one customer. Brasa: a panel's fault history
+// that grows, then a short question. Customers, templates, contracts and panels are drawn
+// from skewed distributions, and the hot ones change once, after half of the run.
 #pragma once
 
 #include <cstdint>
@@ -34,12 +33,12 @@
     std::uint32_t maxTokens = 0;
 };
 
-// Generates request i of a run; not safe for use from two threads.
+// Generates the requests of a run in order. Not thread-safe.
 class Workload
 {
 public:
     // `requests` is the length of the run; the hot prefixes change after half of it.
-    // `seed` gives the texts, `drawSeed` which of them are drawn.
+    // `seed` determines the texts, `drawSeed` which of them are drawn.
     Workload(WorkloadKind kind, std::size_t customers, std::size_t requests, std::uint64_t seed, std::uint64_t drawSeed);
     [[nodiscard]] LoadRequest next();
 
