--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -39,7 +39,7 @@
 constexpr std::size_t HmacBytes = 32;
 constexpr std::uint32_t EditCount = 40;
 constexpr base::Duration EditInterval = base::milliseconds{786}; // 110,000 edits a day
-constexpr base::Duration Heartbeat = base::milliseconds{500};
+constexpr base::Duration HeartbeatInterval = base::milliseconds{500};
 constexpr std::uint32_t ProbedPeers = 8; // peers that each router probes in turn
 constexpr std::uint32_t GossipFanOut = 5;
 constexpr std::uint32_t PoolCount = 50;
@@ -129,7 +129,7 @@
     {
         return base::FailureDomain("domain-" + std::to_string(n % DomainCount));
     }
-    static std::uint32_t numberOf(const base::RouterId &id)
+    static std::uint32_t indexOf(const base::RouterId &id)
     {
         return static_cast<std::uint32_t>(std::stoul(id.value().substr(id.value().find('-') + 1)));
     }
@@ -156,7 +156,7 @@
         for (std::uint32_t i = 0; i < ProbedPeers; ++i) {
             probed.push_back(static_cast<std::uint32_t>(m_random.below(m_size)));
         }
-        const auto phase = base::Duration{static_cast<std::int64_t>(m_random.below(static_cast<std::uint64_t>(Heartbeat.count())))};
+        const auto phase = base::Duration{static_cast<std::int64_t>(m_random.below(static_cast<std::uint64_t>(HeartbeatInterval.count())))};
         m_network.at(m_network.now() + phase, [this, n, probed] {
             heartbeat(n, probed, 0);
         });
@@ -164,7 +164,7 @@
 
     void heartbeat(std::uint32_t n, const std::vector<std::uint32_t> &probed, std::size_t round)
     {
-        m_network.at(m_network.now() + Heartbeat, [this, n, probed, round] {
+        m_network.at(m_network.now() + HeartbeatInterval, [this, n, probed, round] {
             heartbeat(n, probed, round + 1);
         });
         const auto to = probed[round % probed.size()];
@@ -185,7 +185,7 @@
         }
     }
 
-    void count(const peer::PeerMessage &message)
+    void countUpdate(const peer::PeerMessage &message)
     {
         ++m_result.updates;
         m_result.updateBytes += peer::encodeEnvelope({{base::RouterId("router-1000"), {1ULL << 60U}}, 1'000'000, message}).size() + HmacBytes;
@@ -195,14 +195,14 @@
     {
         for (auto &it : m_nodes[n]->takeActions()) {
             if (auto *update = std::get_if<config::SendUpdate>(&it)) {
-                count(update->update);
-                deliver(n, numberOf(update->to), [this, n, to = numberOf(update->to), sent = update->update] {
+                countUpdate(update->update);
+                deliver(n, indexOf(update->to), [this, n, to = indexOf(update->to), sent = update->update] {
                     m_nodes[to]->onUpdate(idOf(n), sent, m_network.now());
                     performActions(to);
                 });
             } else if (auto *request = std::get_if<config::SendRequest>(&it)) {
-                count(request->request);
-                deliver(n, numberOf(request->to), [this, n, to = numberOf(request->to), sent = request->request] {
+                countUpdate(request->request);
+                deliver(n, indexOf(request->to), [this, n, to = indexOf(request->to), sent = request->request] {
                     m_nodes[to]->onRequest(idOf(n), sent);
                     performActions(to);
                 });
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -214,8 +214,9 @@
         Fleet fleet(size);
         const auto steady = measureSteady(fleet, size);
         fleet.crash(size - 1);
-        const double dead = fleet.runUntilObserved(size - 1, MemberState::Dead);
-        std::printf("| %u | %.1f | %.0f | %.0f | %.1f | %.0f |", size, steady.messages, steady.bytes, steady.cpu, dead, rateOf(fleet.takeBytes(), size, dead));
+        const double detection = fleet.runUntilObserved(size - 1, MemberState::Dead);
+        std::printf("| %u | %.1f | %.0f | %.0f | %.1f | %.0f |", size, steady.messages, steady.bytes, steady.cpu, detection,
+                    rateOf(fleet.takeBytes(), size, detection));
         std::fflush(stdout);
     }
     Fleet fleet(size);
