--- a/tools/ctl/explaincommand.cpp
+++ b/tools/ctl/explaincommand.cpp
@@ -41,8 +41,8 @@
     }
     BOOST_OUTCOME_TRY(prompt, readFile(options.promptFile));
     const json body{{"model", options.model}, {"prompt", prompt}, {"max_tokens", 1}, {"stream", true}};
-    const ExplainRequest call{options.customerKey, options.trafficClass, body.dump(-1, ' ', false, json::error_handler_t::replace)};
-    BOOST_OUTCOME_TRY(text, context.router.explain(call));
+    const ExplainRequest request{options.customerKey, options.trafficClass, body.dump(-1, ' ', false, json::error_handler_t::replace)};
+    BOOST_OUTCOME_TRY(text, context.router.explain(request));
     if (options.output == OutputFormat::Json) {
         context.out << text << '\n';
         return base::ok();
--- a/tools/ctl/historycommand.cpp
+++ b/tools/ctl/historycommand.cpp
@@ -19,10 +19,10 @@
 std::string wallTimeText(std::int64_t madeAt)
 {
     const auto time = static_cast<std::time_t>(madeAt / 1000);
-    std::tm parts{};
-    gmtime_r(&time, &parts);
+    std::tm utc{};
+    gmtime_r(&time, &utc);
     std::ostringstream out;
-    out << std::put_time(&parts, "%Y-%m-%d %H:%M:%S");
+    out << std::put_time(&utc, "%Y-%m-%d %H:%M:%S");
     return out.str();
 }
 
--- a/tools/ctl/main.cpp
+++ b/tools/ctl/main.cpp
@@ -95,7 +95,7 @@
     return options;
 }
 
-base::Result<void> runOperands(std::vector<std::string> operands)
+base::Result<void> runCommandLine(std::vector<std::string> operands)
 {
     BOOST_OUTCOME_TRY(options, optionsFromFlags());
     BOOST_OUTCOME_TRY(platform, tools::parseEndpointFlag("platform", absl::GetFlag(FLAGS_platform)));
@@ -120,7 +120,7 @@
         std::cout << "carawaylatchctl 0.1.0\n";
         return 0;
     }
-    const auto done = runOperands(std::move(operands).value());
+    const auto done = runCommandLine(std::move(operands).value());
     return done ? 0 : fail(done.error());
 }
 
--- a/tools/ctl/routerclient.cpp
+++ b/tools/ctl/routerclient.cpp
@@ -65,13 +65,13 @@
         return result(m_client.Post("/v1/undrain", json{{"upstream", upstream}}.dump(), "application/json"));
     }
 
-    base::Result<std::string> explain(const ExplainRequest &call) override
+    base::Result<std::string> explain(const ExplainRequest &request) override
     {
-        httplib::Headers headers{{"Authorization", "Bearer " + call.customerKey}};
-        if (!call.trafficClass.empty()) {
-            headers.emplace("X-Traffic-Class", call.trafficClass);
+        httplib::Headers headers{{"Authorization", "Bearer " + request.customerKey}};
+        if (!request.trafficClass.empty()) {
+            headers.emplace("X-Traffic-Class", request.trafficClass);
         }
-        return result(m_client.Post("/v1/explain", headers, call.body, "application/json"));
+        return result(m_client.Post("/v1/explain", headers, request.body, "application/json"));
     }
 
 private:
--- a/tools/ctl/routerclient.h
+++ b/tools/ctl/routerclient.h
@@ -27,7 +27,7 @@
     [[nodiscard]] virtual base::Result<std::string> status() = 0;
     [[nodiscard]] virtual base::Result<std::string> drain(std::string_view upstream) = 0;
     [[nodiscard]] virtual base::Result<std::string> undrain(std::string_view upstream) = 0;
-    [[nodiscard]] virtual base::Result<std::string> explain(const ExplainRequest &call) = 0;
+    [[nodiscard]] virtual base::Result<std::string> explain(const ExplainRequest &request) = 0;
 };
 
 // Returns a client of one router over HTTP.
--- a/tools/ctl/testing/ctltest.cpp
+++ b/tools/ctl/testing/ctltest.cpp
@@ -56,9 +56,9 @@
     {
         return drain(upstream);
     }
-    base::Result<std::string> explain(const ExplainRequest &call) override
+    base::Result<std::string> explain(const ExplainRequest &request) override
     {
-        lastExplain = call;
+        lastExplain = request;
         telemetry::ExplainReport report;
         report.chosen = base::UpstreamId("engine-1");
         return respond(telemetry::renderExplainJson(report));
--- a/tools/load/runner.cpp
+++ b/tools/load/runner.cpp
@@ -111,20 +111,20 @@
 
     void runCompletion(LoadClient &client, base::Random &random, const Task &task, Report &report)
     {
-        CompletionRequest call{.key = m_options.keys.at(task.request.customer),
-                               .model = m_options.model,
-                               .prompt = task.request.prompt,
-                               .maxTokens = task.request.maxTokens,
-                               .trafficClass = task.request.trafficClass,
-                               .deadline = m_options.deadline,
-                               .requestId = m_options.runId + "-" + std::to_string(task.number)};
+        CompletionRequest request{.key = m_options.keys.at(task.request.customer),
+                                  .model = m_options.model,
+                                  .prompt = task.request.prompt,
+                                  .maxTokens = task.request.maxTokens,
+                                  .trafficClass = task.request.trafficClass,
+                                  .deadline = m_options.deadline,
+                                  .requestId = m_options.runId + "-" + std::to_string(task.number)};
         ++report.requests;
         const auto targets = m_options.client.targets.size();
         auto target = random.below(targets);
         CompletionResult result;
         for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
             report.retries += attempt > 0 ? 1 : 0;
-            result = client.complete(target, call);
+            result = client.complete(target, request);
             const bool isRetryable = result.outcome == CallOutcome::NotReached || (result.outcome == CallOutcome::Refused && result.retryAfter);
             if (!isRetryable || attempt + 1 == MaxAttempts) {
                 break;
@@ -162,10 +162,10 @@
 
     void runOrder(LoadClient &client, base::Random &random, std::size_t number, Report &report)
     {
-        const OrderRequest call{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
-                                .route = m_options.orderRoute,
-                                .orderKey = m_options.runId + "-order-" + std::to_string(number),
-                                .body = "{\"number\":" + std::to_string(number) + "}"};
+        const OrderRequest request{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
+                                   .route = m_options.orderRoute,
+                                   .orderKey = m_options.runId + "-order-" + std::to_string(number),
+                                   .body = "{\"number\":" + std::to_string(number) + "}"};
         const auto targets = m_options.client.targets.size();
         const auto target = random.below(targets);
         const auto other = (target + 1) % targets;
@@ -174,23 +174,23 @@
         if (random.below(100) < DuplicatePercent) {
             duplicate = std::thread([&] {
                 LoadClient duplicateClient(m_options.client);
-                duplicateResponse = duplicateClient.order(other, call);
+                duplicateResponse = duplicateClient.order(other, request);
             });
         }
-        sendOrder(client, target, call, number, report);
+        sendOrder(client, target, request, number, report);
         if (duplicate.joinable()) {
             duplicate.join();
             report.orders.push_back(duplicateResponse);
         }
         if (random.below(100) < RepeatPercent) {
-            report.orders.push_back(client.order(other, call));
+            report.orders.push_back(client.order(other, request));
         }
     }
 
-    void sendOrder(LoadClient &client, std::size_t target, const OrderRequest &call, std::size_t number, Report &report)
+    void sendOrder(LoadClient &client, std::size_t target, const OrderRequest &request, std::size_t number, Report &report)
     {
         for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
-            report.orders.push_back(client.order((target + static_cast<std::size_t>(attempt)) % m_options.client.targets.size(), call));
+            report.orders.push_back(client.order((target + static_cast<std::size_t>(attempt)) % m_options.client.targets.size(), request));
             const auto &outcome = report.orders.back().outcome;
             const bool isSettled = outcome == "done" || outcome == "unknown" || (outcome == "not_run" && number % 2 == 1);
             if (isSettled) {
--- a/tools/load/testing/streamverifiertest.cpp
+++ b/tools/load/testing/streamverifiertest.cpp
@@ -137,15 +137,15 @@
     {
         const std::string bytes = ": comment\n\ndata: one\r\n\r\ndata:two\n\nevent: x\ndata: [DONE]\n\ndata: unfinished";
         const std::vector<std::string> expected{"one", "two", "[DONE]"};
-        for (std::size_t piece = 1; piece <= bytes.size(); ++piece) {
+        for (std::size_t chunkSize = 1; chunkSize <= bytes.size(); ++chunkSize) {
             EventSplitter splitter;
             std::vector<std::string> payloads;
-            for (std::size_t at = 0; at < bytes.size(); at += piece) {
-                splitter.feed(std::string_view(bytes).substr(at, piece), [&](std::string_view it) {
+            for (std::size_t at = 0; at < bytes.size(); at += chunkSize) {
+                splitter.feed(std::string_view(bytes).substr(at, chunkSize), [&](std::string_view it) {
                     payloads.emplace_back(it);
                 });
             }
-            CPPUNIT_ASSERT_MESSAGE("chunks of " + std::to_string(piece), payloads == expected);
+            CPPUNIT_ASSERT_MESSAGE("chunks of " + std::to_string(chunkSize), payloads == expected);
         }
     }
 
