--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -3,9 +3,9 @@
 //
 //     membership [--sizes=4,64,283,1000]
 //
-// Prints a Markdown table. Bytes include the authentication code of each message; those sent and those
-// received by a router are both counted. Every router starts with the complete member
-// table, as after a warm start.
+// Prints a Markdown table. Bytes include the authentication code of each message and count
+// both what a router sends and what it receives. Every router starts with the complete
+// member table, as after a warm start.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -254,7 +254,7 @@
     orders::JournalRecordStore journalClaims(journal, orders::JournalSettings{});
     countStoreCalls("journal", journal, journalClaims);
 
-    std::printf("\n| routers | ranges | orders/s | writes an order | records a write | writes/s | reads/s | claim p50 ms | claim p99 ms |\n"
+    std::printf("\n| routers | ranges | orders/s | writes per order | records per write | writes/s | reads/s | claim p50 ms | claim p99 ms |\n"
                 "|---|---|---|---|---|---|---|---|---|\n");
     for (const std::uint32_t routers : {1U, 4U, 16U}) {
         for (const std::uint32_t ranges : {1U, 16U}) {
--- a/bench/policybench/report.h
+++ b/bench/policybench/report.h
@@ -25,7 +25,7 @@
 
 using Column = double RunMetrics::*;
 
-// One row of the tables: the results of a strategy over all seeds.
+// One row of the tables: the results of a strategy under a scenario over all seeds.
 class Row
 {
 public:
--- a/bench/policybench/scenario.h
+++ b/bench/policybench/scenario.h
@@ -16,7 +16,7 @@
     bool delaysReports = false; // load reports, by 2 s
     bool restartsRouter = false;
     bool partitionsDomain = false;
-    bool overloads = false;
+    bool overloads = false; // multiplies the request rate by Workload::overload
     bool isPair = false;
 };
 
--- a/tools/load/loadclient.cpp
+++ b/tools/load/loadclient.cpp
@@ -153,45 +153,45 @@
 
 LoadClient::~LoadClient() = default;
 
-CompletionResult LoadClient::complete(std::size_t target, const CompletionRequest &call)
+CompletionResult LoadClient::complete(std::size_t target, const CompletionRequest &request)
 {
-    httplib::Request request;
-    request.method = "POST";
-    request.path = "/v1/completions";
-    request.headers = headersOf(call.key);
-    request.headers.emplace("X-Traffic-Class", call.trafficClass == base::TrafficClass::Interactive ? "interactive" : "batch");
-    request.headers.emplace("X-Request-Id", call.requestId);
-    if (call.deadline > base::Duration{}) {
-        request.headers.emplace("X-Deadline-Ms", std::to_string(base::toMilliseconds(call.deadline)));
+    httplib::Request httpRequest;
+    httpRequest.method = "POST";
+    httpRequest.path = "/v1/completions";
+    httpRequest.headers = headersOf(request.key);
+    httpRequest.headers.emplace("X-Traffic-Class", request.trafficClass == base::TrafficClass::Interactive ? "interactive" : "batch");
+    httpRequest.headers.emplace("X-Request-Id", request.requestId);
+    if (request.deadline > base::Duration{}) {
+        httpRequest.headers.emplace("X-Deadline-Ms", std::to_string(base::toMilliseconds(request.deadline)));
     }
-    request.body = json{{"model", call.model}, {"prompt", call.prompt}, {"max_tokens", call.maxTokens}, {"stream", true}}.dump();
-    StreamReceiver receiver(call.prompt);
+    httpRequest.body = json{{"model", request.model}, {"prompt", request.prompt}, {"max_tokens", request.maxTokens}, {"stream", true}}.dump();
+    StreamReceiver receiver(request.prompt);
     int status = 0;
-    request.response_handler = [&status](const httplib::Response &response) {
+    httpRequest.response_handler = [&status](const httplib::Response &response) {
         status = response.status;
         return true;
     };
-    request.content_receiver = [&](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
+    httpRequest.content_receiver = [&](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
         receiver.receive(status, std::string_view(data, n));
         return true;
     };
-    const auto result = m_connections->clients.at(target)->send(request);
+    const auto result = m_connections->clients.at(target)->send(httpRequest);
     if (!result && result.error() == httplib::Error::Connection) {
         return {};
     }
     return receiver.result(status, result ? TransferEnd::Clean : TransferEnd::Broken);
 }
 
-OrderResponse LoadClient::order(std::size_t target, const OrderRequest &call)
+OrderResponse LoadClient::order(std::size_t target, const OrderRequest &request)
 {
     OrderResponse result;
-    result.key = call.orderKey;
+    result.key = request.orderKey;
     result.target = target;
     result.sentAt = now();
-    auto headers = headersOf(call.bearerKey);
+    auto headers = headersOf(request.bearerKey);
     headers.erase("Content-Type");
-    headers.emplace("Idempotency-Key", call.orderKey);
-    const auto response = m_connections->clients.at(target)->Post("/v1/services/" + call.route + "/orders", headers, call.body, "application/json");
+    headers.emplace("Idempotency-Key", request.orderKey);
+    const auto response = m_connections->clients.at(target)->Post("/v1/services/" + request.route + "/orders", headers, request.body, "application/json");
     result.receivedAt = now();
     if (!response) {
         result.outcome = response.error() == httplib::Error::Connection ? "not_reached" : "unclear";
@@ -206,7 +206,7 @@
     if (result.outcome.empty()) {
         result.outcome = "refused";
     }
-    result.isForeign = result.outcome == "done" && isForeignOrder(response->body, call.orderKey);
+    result.isForeign = result.outcome == "done" && isForeignOrder(response->body, request.orderKey);
     return result;
 }
 
--- a/tools/load/loadclient.h
+++ b/tools/load/loadclient.h
@@ -84,8 +84,9 @@
     LoadClient(const LoadClient &) = delete;
     LoadClient &operator=(const LoadClient &) = delete;
 
-    [[nodiscard]] CompletionResult complete(std::size_t target, const CompletionRequest &call);
-    [[nodiscard]] OrderResponse order(std::size_t target, const OrderRequest &call);
+    // These send a request to `targets[target]` and return after its response or failure.
+    [[nodiscard]] CompletionResult complete(std::size_t target, const CompletionRequest &request);
+    [[nodiscard]] OrderResponse order(std::size_t target, const OrderRequest &request);
 
 private:
     class Connections;
--- a/tools/load/runner.cpp
+++ b/tools/load/runner.cpp
@@ -23,8 +23,8 @@
 constexpr int MaxAttempts = 4;
 constexpr base::Duration MaxPause = base::seconds{2};
 constexpr base::Duration RetryPause = base::milliseconds{50};
-constexpr std::uint64_t DuplicatePercent = 30;
-constexpr std::uint64_t RepeatPercent = 20;
+constexpr std::uint64_t DuplicatePercent = 30; // orders sent to a second router concurrently
+constexpr std::uint64_t RepeatPercent = 20; // orders sent once more after the response
 
 void pauseFor(base::Duration duration)
 {
