--- a/bench/metricsbench.cpp
+++ b/bench/metricsbench.cpp
@@ -1,6 +1,6 @@
-// Cost of a metric: one record on a traffic thread, one rendering of all series.
+// Cost of metrics: recording a sample on a traffic thread, and rendering all series.
 //
-// The argument is the number of customers; each has a series for both classes.
+// The argument is the number of customers; each has series for both traffic classes.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -27,7 +27,7 @@
     return customers;
 }
 
-void learn(Metrics &metrics, const std::vector<CustomerId> &customers)
+void configureCustomers(Metrics &metrics, const std::vector<CustomerId> &customers)
 {
     carawaylatch::config::Tables tables;
     for (const auto &it : customers) {
@@ -36,7 +36,7 @@
     metrics.learnTables(tables);
 }
 
-void fill(Metrics &metrics, const std::vector<CustomerId> &customers)
+void recordSamples(Metrics &metrics, const std::vector<CustomerId> &customers)
 {
     for (const auto &it : customers) {
         for (const auto trafficClass : {TrafficClass::Interactive, TrafficClass::Batch}) {
@@ -54,7 +54,7 @@
     static Metrics *shared = nullptr;
     if (state.thread_index() == 0) {
         shared = new Metrics;
-        learn(*shared, customers);
+        configureCustomers(*shared, customers);
     }
     std::size_t i = 0;
     for (auto _ : state) {
@@ -71,8 +71,8 @@
     const auto customers = makeCustomers(state.range(0));
     const auto before = carawaylatch::telemetry::readProcessCost().residentBytes;
     Metrics metrics;
-    learn(metrics, customers);
-    fill(metrics, customers);
+    configureCustomers(metrics, customers);
+    recordSamples(metrics, customers);
     const auto after = carawaylatch::telemetry::readProcessCost().residentBytes;
     std::size_t bytes = 0;
     for (auto _ : state) {
@@ -85,7 +85,8 @@
 } // namespace
 
 BENCHMARK(recordTokenGap)->Arg(8)->Arg(640)->Threads(1)->Threads(4)->UseRealTime();
-// A fixed count of iterations makes one run each, so that series_bytes is the growth of a fresh heap.
+// With a fixed number of iterations each benchmark runs once, so that series_bytes is the
+// growth of a fresh heap.
 BENCHMARK(renderText)->Arg(640)->Arg(8)->Iterations(10)->Unit(benchmark::kMillisecond);
 
 BENCHMARK_MAIN();
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -1,10 +1,10 @@
-// Platform calls of orders: counted with the real parts for one order after the
-// other, and in virtual time for group commit under load.
+// Object store calls per order: counted with the real components for sequential orders,
+// and in virtual time for group commit under load.
 //
-// The second part is a discrete-event model of JournalRecordStore: routers with a
-// committer for each range, a platform with fixed latencies, orders that claim,
-// run for a while and record. A committer whose cached image is old loses its
-// conditional write, reads and writes again, as the real one does.
+// The second part is a discrete-event model of JournalRecordStore: routers with one
+// committer per range, a store with fixed latencies, and orders that write a claim, run
+// for a fixed time and write their result. A committer with an outdated cached image
+// fails its conditional write, then reads and writes again, as the real one does.
 #include <algorithm>
 #include <cmath>
 #include <cstdint>
@@ -29,7 +29,7 @@
 namespace orders = carawaylatch::orders;
 namespace store = carawaylatch::store;
 
-// Counts calls to a platform in memory.
+// An in-memory object store that counts its calls.
 class CountingStore : public store::MemoryStore
 {
 public:
@@ -48,7 +48,8 @@
     }
 };
 
-class CountedParts : public orders::ServiceConnection, public orders::UpstreamChooser, public orders::RouterLiveness
+// A service that always succeeds, chosen always, with claimants that are always live.
+class StubDependencies : public orders::ServiceConnection, public orders::UpstreamChooser, public orders::RouterLiveness
 {
 public:
     orders::ClaimantLiveness livenessOf(const base::RouterId & /*router*/, base::Incarnation /*incarnation*/) const override
@@ -65,12 +66,12 @@
     }
 };
 
-void countOrders(const char *name, CountingStore &store, orders::OrderRecordStore &claims)
+void countStoreCalls(const char *name, CountingStore &store, orders::OrderRecordStore &claims)
 {
     constexpr std::uint64_t Orders = 500;
     const base::SteadyClock clock;
-    CountedParts parts;
-    orders::OrderExecutor executor(base::RouterId("r1"), {1}, claims, parts, clock);
+    StubDependencies stubs;
+    orders::OrderExecutor executor(base::RouterId("r1"), {1}, claims, stubs, clock);
     for (const char *kind : {"new", "duplicate"}) {
         const std::uint64_t reads = store.reads;
         const std::uint64_t writes = store.writes;
@@ -80,7 +81,7 @@
             request.key = "booking-" + std::to_string(n);
             request.service.body = "{\"tonnes\":10}";
             request.deadline = clock.now() + base::seconds{30};
-            (void)executor.run(request, parts, parts);
+            (void)executor.run(request, stubs, stubs);
         }
         std::printf("| %s | %s | %.2f | %.2f |\n", name, kind, static_cast<double>(store.writes - writes) / Orders,
                     static_cast<double>(store.reads - reads) / Orders);
@@ -94,7 +95,7 @@
     double ordersPerSecond = 0; // over all routers
 };
 
-// The model; times in seconds.
+// The discrete-event model. Times are in seconds.
 class GroupCommitModel
 {
 public:
@@ -107,8 +108,8 @@
 
     void run()
     {
-        at(0, [this] {
-            arrive();
+        schedule(0, [this] {
+            onArrival();
         });
         while (!m_events.empty()) {
             const Event event = m_events.top();
@@ -128,7 +129,7 @@
 
 private:
     static constexpr double Seconds = 20;
-    static constexpr double CallLatency = 0.005; // of a read or write; it takes effect half way
+    static constexpr double CallLatency = 0.005; // of a read or write, which takes effect after half of it
     static constexpr double RunTime = 0.05; // of an order at the service
 
     struct Event
@@ -142,7 +143,7 @@
     };
     struct Record
     {
-        double since;
+        double enqueuedAt;
         bool isClaim;
     };
     struct Committer
@@ -152,20 +153,20 @@
         std::uint64_t version = 0; // of the cached image
     };
 
-    void at(double time, std::function<void()> action)
+    void schedule(double time, std::function<void()> action)
     {
         m_events.push(Event{time, std::move(action)});
     }
 
-    void arrive()
+    void onArrival()
     {
         if (m_now >= Seconds) {
             return;
         }
         ++m_orders;
         submit(m_random.below(m_committers.size()), true);
-        at(m_now - std::log1p(-m_random.unit()) / m_load.ordersPerSecond, [this] {
-            arrive();
+        schedule(m_now - std::log1p(-m_random.unit()) / m_load.ordersPerSecond, [this] {
+            onArrival();
         });
     }
 
@@ -182,25 +183,25 @@
         Committer &committer = m_committers[index];
         committer.isBusy = true;
         ++m_writes;
-        at(m_now + CallLatency / 2, [this, index, batch = std::move(batch)]() mutable {
+        schedule(m_now + CallLatency / 2, [this, index, batch = std::move(batch)]() mutable {
             std::uint64_t &version = m_versions[index % m_load.ranges];
             const bool isCurrent = version == m_committers[index].version;
             m_committers[index].version = isCurrent ? ++version : 0;
-            at(m_now + CallLatency / 2, [this, index, isCurrent, done = std::move(batch)]() mutable {
-                isCurrent ? finish(index, done) : readAgain(index, std::move(done));
+            schedule(m_now + CallLatency / 2, [this, index, isCurrent, done = std::move(batch)]() mutable {
+                isCurrent ? finish(index, done) : readAndRetry(index, std::move(done));
             });
         });
     }
 
-    void readAgain(std::size_t index, std::deque<Record> batch)
+    void readAndRetry(std::size_t index, std::deque<Record> batch)
     {
         ++m_conflicts;
         ++m_reads;
-        at(m_now + CallLatency / 2, [this, index] {
+        schedule(m_now + CallLatency / 2, [this, index] {
             m_committers[index].version = m_versions[index % m_load.ranges];
         });
-        at(m_now + CallLatency, [this, index, again = std::move(batch)]() mutable {
-            write(index, std::move(again));
+        schedule(m_now + CallLatency, [this, index, retried = std::move(batch)]() mutable {
+            write(index, std::move(retried));
         });
     }
 
@@ -208,8 +209,8 @@
     {
         for (const Record &it : batch) {
             if (it.isClaim) {
-                m_claimTimes.push_back(m_now - it.since);
-                at(m_now + RunTime, [this, index] {
+                m_claimTimes.push_back(m_now - it.enqueuedAt);
+                schedule(m_now + RunTime, [this, index] {
                     submit(index, false);
                 });
             }
@@ -221,17 +222,17 @@
         }
     }
 
-    [[nodiscard]] double percentile(double share) const
+    [[nodiscard]] double percentile(double fraction) const
     {
         std::vector<double> sorted = m_claimTimes;
         std::sort(sorted.begin(), sorted.end());
-        return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
+        return sorted.empty() ? 0 : sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
     }
 
     Load m_load;
     double m_now = 0;
     std::priority_queue<Event> m_events;
-    std::vector<Committer> m_committers; // of router r and range g at r * ranges + g
+    std::vector<Committer> m_committers; // router r and range g at index r * ranges + g
     std::vector<std::uint64_t> m_versions;
     base::Random m_random{1};
     std::uint64_t m_orders = 0;
@@ -248,12 +249,12 @@
     std::printf("| store | order | writes | reads |\n|---|---|---|---|\n");
     CountingStore single;
     orders::ObjectRecordStore singleClaims(single);
-    countOrders("single object", single, singleClaims);
+    countStoreCalls("single object", single, singleClaims);
     CountingStore journal;
     orders::JournalRecordStore journalClaims(journal, orders::JournalSettings{});
-    countOrders("journal", journal, journalClaims);
+    countStoreCalls("journal", journal, journalClaims);
 
-    std::printf("\n| routers | ranges | orders/s | writes an order | records a write | writes/s | reads/s | claim p50 ms | claim p99 ms |\n"
+    std::printf("\n| routers | ranges | orders/s | writes per order | records per write | writes/s | reads/s | claim p50 ms | claim p99 ms |\n"
                 "|---|---|---|---|---|---|---|---|---|\n");
     for (const std::uint32_t routers : {1U, 4U, 16U}) {
         for (const std::uint32_t ranges : {1U, 16U}) {
--- a/bench/policybench.cpp
+++ b/bench/policybench.cpp
@@ -1,12 +1,12 @@
-// The policy bench: every strategy under every fault on the same requests.
+// Benchmark of routing policies: every strategy under every fault on the same requests.
 //
 //   policybench [--quick] [--out DIR] [--seeds N] [--strategies A,B] [--scenarios A,B]
 //
-// Drives the real decision code against small fake engines in virtual time, prints
-// the table and the targets, and with --out writes policy.csv, policy.md and
-// policy.svg there. --quick runs one seed of calm and two faults. Ends with a
-// failure if a run measured no request, not if a target is missed: targets are for
-// people to judge.
+// Runs the real decision code against simulated engines in virtual time and prints the
+// tables and the targets; with --out it also writes policy.csv, policy.md and policy.svg
+// to that folder. --quick runs one seed of calm and two faults. Exits with a failure if a
+// run measured no request, but not if a target is missed: targets are for people to
+// evaluate.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -29,7 +29,7 @@
 ABSL_FLAG(unsigned, seeds, 5, "number of seeds");
 ABSL_FLAG(std::string, strategies, "", "only these strategies, separated by commas");
 ABSL_FLAG(std::string, scenarios, "", "only these scenarios, separated by commas");
-ABSL_FLAG(unsigned, threads, 4, "runs at the same time");
+ABSL_FLAG(unsigned, threads, 4, "number of concurrent runs");
 
 namespace carawaylatch::bench
 {
@@ -39,16 +39,16 @@
 
 constexpr std::uint64_t FirstSeed = 20'261'203;
 
-bool isWanted(const std::string &list, std::string_view name)
+bool isSelected(const std::string &list, std::string_view name)
 {
     const std::vector<std::string> names = absl::StrSplit(list, ',', absl::SkipEmpty());
     return names.empty() || std::find(names.begin(), names.end(), name) != names.end();
 }
 
-std::vector<Run> plan()
+std::vector<Run> plannedRuns()
 {
     const bool isQuick = absl::GetFlag(FLAGS_quick);
-    const std::string wantedScenarios = isQuick ? "calm,crash,event-loss" : absl::GetFlag(FLAGS_scenarios);
+    const std::string selectedScenarios = isQuick ? "calm,crash,event-loss" : absl::GetFlag(FLAGS_scenarios);
     const unsigned seeds = isQuick ? 1 : absl::GetFlag(FLAGS_seeds);
     std::vector<std::string_view> strategies(routing::StrategyNames.begin(), routing::StrategyNames.end());
     strategies.push_back(OracleFirstToken);
@@ -57,7 +57,7 @@
     for (const Workload *workload : {&groupement(), &brasaSinal()}) {
         for (const auto &scenario : scenarios()) {
             for (const auto strategy : strategies) {
-                const bool isPlanned = isWanted(wantedScenarios, scenario.name) && isWanted(absl::GetFlag(FLAGS_strategies), strategy);
+                const bool isPlanned = isSelected(selectedScenarios, scenario.name) && isSelected(absl::GetFlag(FLAGS_strategies), strategy);
                 for (unsigned i = 0; isPlanned && i < seeds; ++i) {
                     runs.push_back(Run{workload, &scenario, strategy, FirstSeed + i});
                 }
@@ -72,7 +72,7 @@
     std::ostringstream out;
     out << "| workload | scenario | target | measured | bound | met |\n|---|---|---|---|---|---|\n" << std::fixed;
     for (const auto &it : checkTargets(rows)) {
-        out << "| " << it.row->workload->name << " | " << it.row->scenario->name << " | " << it.what << " | " << std::setprecision(it.bound < 2 ? 3 : 0)
+        out << "| " << it.row->workload->name << " | " << it.row->scenario->name << " | " << it.description << " | " << std::setprecision(it.bound < 2 ? 3 : 0)
             << it.measured << " | " << it.bound << " | " << (it.isMet ? "yes" : "NO") << " |\n";
     }
     return out.str();
@@ -96,7 +96,7 @@
 
 int run()
 {
-    const std::vector<Run> runs = plan();
+    const std::vector<Run> runs = plannedRuns();
     std::cout << "seeds from " << FirstSeed << ", " << runs.size() << " runs\n";
     std::vector<Result> results(runs.size());
     const tbb::global_control limit(tbb::global_control::max_allowed_parallelism, absl::GetFlag(FLAGS_threads));
@@ -110,7 +110,7 @@
         writeFiles(absl::GetFlag(FLAGS_out), results, rows);
     }
     const bool isEmpty = std::any_of(results.begin(), results.end(), [](const Result &it) {
-        return it.figures.requests == 0;
+        return it.metrics.requests == 0;
     });
     return isEmpty ? EXIT_FAILURE : EXIT_SUCCESS;
 }
--- a/bench/policybench/report.h
+++ b/bench/policybench/report.h
@@ -13,19 +13,19 @@
 struct Result
 {
     Run run;
-    Figures figures;
+    RunMetrics metrics;
 };
 
-// Median and spread (greatest less least) of one column over the seeds.
+// Median and spread (maximum minus minimum) of one column over the seeds.
 struct Spread
 {
     double median = 0;
     double spread = 0;
 };
 
-using Column = double Figures::*;
+using Column = double RunMetrics::*;
 
-// The seeds of one row of the table.
+// One row of the tables: the results of a strategy under a scenario over all seeds.
 class Row
 {
 public:
@@ -50,7 +50,7 @@
 struct Target
 {
     const Row *row;
-    std::string_view what;
+    std::string_view description;
     double measured;
     double bound;
     bool isMet;
--- a/examples/orderguard.cpp
+++ b/examples/orderexecutor.cpp
@@ -1,9 +1,9 @@
-// Embeds the order guard alone: a booking that runs at most once.
+// Embeds order execution alone: a booking that runs at most once.
 //
-// The program brings three things: an object store (here in memory; in earnest
-// store::HttpObjectStore or an own implementation), a connection to the
-// service, and a word on which of its own processes live. The same key, sent
-// twice, runs once and is answered twice.
+// The program supplies an object store (here in memory; in production
+// store::HttpObjectStore or its own implementation), a connection to the service, and the
+// liveness of its own processes. An order sent twice under one key runs once; the second
+// answer is a replay.
 #include <iostream>
 
 #include <carawaylatch/base/incarnation.h>
@@ -17,7 +17,7 @@
 namespace
 {
 
-// The service that books trucks; counts what it ran.
+// A service that books trucks and counts its runs.
 class BookingService : public orders::ServiceConnection
 {
 public:
@@ -30,7 +30,7 @@
     int runs = 0;
 };
 
-class OneService : public orders::UpstreamChooser
+class SingleUpstreamChooser : public orders::UpstreamChooser
 {
 public:
     base::Result<orders::ChosenUpstream> choose(const std::vector<base::UpstreamId> &refused) override
@@ -42,8 +42,8 @@
     }
 };
 
-// This process is the only one.
-class OneProcess : public orders::RouterLiveness
+// Liveness for a program that is a single process.
+class SingleProcessLiveness : public orders::RouterLiveness
 {
 public:
     orders::ClaimantLiveness livenessOf(const base::RouterId &, base::Incarnation) const override
@@ -58,12 +58,12 @@
 {
     store::MemoryStore objects;
     orders::ObjectRecordStore claims(objects);
-    const OneProcess liveness;
+    const SingleProcessLiveness liveness;
     const base::SteadyClock clock;
     orders::OrderExecutor executor(base::RouterId("booking-1"), base::newIncarnation(), claims, liveness, clock);
 
     BookingService service;
-    OneService chooser;
+    SingleUpstreamChooser chooser;
     int done = 0;
     for (int i = 0; i < 2; ++i) {
         orders::OrderRequest request;
--- a/examples/placement.cpp
+++ b/examples/placement.cpp
@@ -1,8 +1,9 @@
 // Embeds the placement strategy alone: three engines, two customers, no network.
 //
-// A program that already talks to engines gives the registry their load reports
-// and asks the strategy where a prompt goes. Cached prefixes pull a request to
-// their holder; another customer's request for the same text doesn't follow.
+// A program that already talks to engines passes their load reports to the registry and
+// asks the strategy where to send a prompt. A request is placed on the engine that has
+// its prefix cached. Cache keys are separate for each customer, so another customer's
+// request for the same text finds no cached prefix.
 #include <atomic>
 #include <iostream>
 #include <string>
@@ -26,7 +27,7 @@
 
 constexpr std::uint32_t BlockBytes = 4000;
 
-config::Tables threeEngines()
+config::Tables makeTables()
 {
     config::Pool pool;
     pool.name = base::PoolName("readers");
@@ -41,14 +42,14 @@
     return tables;
 }
 
-// All that a placement needs to know.
+// A strategy with the routing state that it reads.
 class Placer
 {
 public:
     Placer()
         : m_strategy(routing::makeStrategy("adaptive", {&m_caches, &m_heat, &m_inflight, &m_routers}, 1).value())
     {
-        const auto tables = threeEngines();
+        const auto tables = makeTables();
         m_registry.configure(tables, m_now);
         for (const auto &it : tables.pools.front().members) {
             upstreams::LoadReport report;
@@ -100,11 +101,12 @@
     const std::string contract(40'000, 'c');
     const auto first = placer.place("acme", contract + "clause 1");
     const auto second = placer.place("acme", contract + "clause 2");
-    const auto rival = placer.place("rival", contract + "clause 1");
+    const auto otherCustomer = placer.place("rival", contract + "clause 1");
     std::cout << "first:  " << first.upstream << ", " << first.missingTokens << " tokens to compute\n"
               << "second: " << second.upstream << ", " << second.missingTokens << " tokens to compute\n"
-              << "rival:  " << rival.upstream << ", " << rival.missingTokens << " tokens to compute\n";
-    const bool holds = second.upstream == first.upstream && second.missingTokens < first.missingTokens && rival.missingTokens == first.missingTokens;
-    std::cout << (holds ? "the prefix was found, and only by its customer\n" : "unexpected placement\n");
-    return holds ? 0 : 1;
+              << "rival:  " << otherCustomer.upstream << ", " << otherCustomer.missingTokens << " tokens to compute\n";
+    const bool isExpected =
+        second.upstream == first.upstream && second.missingTokens < first.missingTokens && otherCustomer.missingTokens == first.missingTokens;
+    std::cout << (isExpected ? "the prefix was found for its own customer only\n" : "unexpected placement\n");
+    return isExpected ? 0 : 1;
 }
--- a/tools/common/commandline.cpp
+++ b/tools/common/commandline.cpp
@@ -1,8 +1,8 @@
-// Parsing over Abseil's reflection.
+// Command line parser on Abseil's flag reflection.
 //
-// absl::ParseCommandLine ends the process with status 1 at the first mistake and
-// knows no '-' in names. Its reflection gives each flag by name with its own
-// parser, so the loop over the arguments is all that stands here.
+// absl::ParseCommandLine ends the process with status 1 at the first error and doesn't
+// accept '-' in names. Reflection finds each flag by name and parses its value, so that
+// only the loop over the arguments is implemented here.
 #include "tools/common/commandline.h"
 
 #include <absl/flags/commandlineflag.h>
@@ -29,7 +29,7 @@
     return name;
 }
 
-// Sets one flag; returns how many arguments it took.
+// Sets the flag at the front. Returns the number of arguments consumed.
 base::Result<std::size_t> parseFlag(std::span<const char *const> arguments)
 {
     const std::string_view text = std::string_view(arguments.front()).substr(2);
@@ -39,7 +39,7 @@
     if (flag == nullptr) {
         return fail(ErrorKind::InvalidArgument, "unknown flag --" + std::string(text.substr(0, equals)) + "; --help lists all flags");
     }
-    std::size_t taken = 1;
+    std::size_t consumed = 1;
     std::string value = "true";
     if (equals != std::string_view::npos) {
         value = text.substr(equals + 1);
@@ -48,13 +48,13 @@
             return fail(ErrorKind::InvalidArgument, "--" + name + " needs a value; write --" + name + "=VALUE");
         }
         value = arguments[1];
-        taken = 2;
+        consumed = 2;
     }
     std::string error;
     if (!flag->ParseFrom(value, &error)) {
-        return fail(ErrorKind::InvalidArgument, "--" + name + ": '" + value + "' is not a value of this flag; --help shows what it takes");
+        return fail(ErrorKind::InvalidArgument, "--" + name + ": '" + value + "' is not a valid value; --help describes the flag");
     }
-    return taken;
+    return consumed;
 }
 
 } // namespace
@@ -75,23 +75,23 @@
 
 base::Result<std::vector<std::string>> parseCommandLine(std::span<const char *const> arguments)
 {
-    std::vector<std::string> words;
+    std::vector<std::string> operands;
     std::size_t i = 0;
     while (i < arguments.size()) {
         const std::string_view argument = arguments[i];
         if (!argument.starts_with("--")) {
-            words.emplace_back(argument);
+            operands.emplace_back(argument);
             ++i;
             continue;
         }
         if (argument == "--") {
-            words.insert(words.end(), arguments.begin() + static_cast<std::ptrdiff_t>(i) + 1, arguments.end());
+            operands.insert(operands.end(), arguments.begin() + static_cast<std::ptrdiff_t>(i) + 1, arguments.end());
             break;
         }
-        BOOST_OUTCOME_TRY(taken, parseFlag(arguments.subspan(i)));
-        i += taken;
+        BOOST_OUTCOME_TRY(consumed, parseFlag(arguments.subspan(i)));
+        i += consumed;
     }
-    return words;
+    return operands;
 }
 
 std::string flagsHelp(std::string_view folder)
--- a/tools/ctl/draincommand.cpp
+++ b/tools/ctl/draincommand.cpp
@@ -1,6 +1,6 @@
-// drain and undrain: an upstream takes no new work, or takes it again.
+// drain and undrain: stop and resume sending new requests to an upstream.
 //
-// One router is told; it spreads the mark to its peers at once.
+// The request goes to one router, which forwards the mark to its peers at once.
 #include <ostream>
 
 #include "tools/ctl/command.h"
@@ -11,40 +11,41 @@
 namespace
 {
 
-base::Result<void> print(CommandContext &context, const base::Result<std::string> &answer, std::string_view text)
+base::Result<void> printResult(CommandContext &context, const base::Result<std::string> &response, std::string_view text)
 {
-    if (!answer) {
-        return answer.error();
+    if (!response) {
+        return response.error();
     }
-    if (context.options.output == OutputForm::Json) {
-        context.out << answer.value() << '\n';
+    if (context.options.output == OutputFormat::Json) {
+        context.out << response.value() << '\n';
     } else {
-        context.out << context.words.front() << text << '\n';
+        context.out << context.operands.front() << text << '\n';
     }
     return base::ok();
 }
 
 base::Result<void> runDrain(CommandContext &context)
 {
-    return print(context, context.router.drain(context.words.front()), " is leaving: no new work within 3 seconds; what it runs is finished");
+    return printResult(context, context.router.drain(context.operands.front()),
+                       " is leaving: all routers stop sending it new requests within 3 seconds; running requests finish");
 }
 
 base::Result<void> runUndrain(CommandContext &context)
 {
-    return print(context, context.router.undrain(context.words.front()), " takes work again");
+    return printResult(context, context.router.undrain(context.operands.front()), " accepts new requests again");
 }
 
 } // namespace
 
 const Command &drainCommand()
 {
-    static const Command Instance{"drain", "UPSTREAM", "send an upstream no new work; what it runs is finished", 1, 1, runDrain};
+    static const Command Instance{"drain", "UPSTREAM", "stop sending an upstream new requests; running requests finish", 1, 1, runDrain};
     return Instance;
 }
 
 const Command &undrainCommand()
 {
-    static const Command Instance{"undrain", "UPSTREAM", "let a drained upstream take work again", 1, 1, runUndrain};
+    static const Command Instance{"undrain", "UPSTREAM", "resume sending requests to a drained upstream", 1, 1, runUndrain};
     return Instance;
 }
 
--- a/tools/ctl/explaincommand.cpp
+++ b/tools/ctl/explaincommand.cpp
@@ -1,4 +1,4 @@
-// explain: why a router would send a request where it would send it.
+// explain: shows where a router would send a request, and why.
 #include <nlohmann/json.hpp>
 
 #include <ostream>
@@ -41,9 +41,9 @@
     }
     BOOST_OUTCOME_TRY(prompt, readFile(options.promptFile));
     const json body{{"model", options.model}, {"prompt", prompt}, {"max_tokens", 1}, {"stream", true}};
-    const ExplainCall call{options.customerKey, options.trafficClass, body.dump(-1, ' ', false, json::error_handler_t::replace)};
-    BOOST_OUTCOME_TRY(text, context.router.explain(call));
-    if (options.output == OutputForm::Json) {
+    const ExplainRequest request{options.customerKey, options.trafficClass, body.dump(-1, ' ', false, json::error_handler_t::replace)};
+    BOOST_OUTCOME_TRY(text, context.router.explain(request));
+    if (options.output == OutputFormat::Json) {
         context.out << text << '\n';
         return base::ok();
     }
@@ -59,7 +59,8 @@
 
 const Command &explainCommand()
 {
-    static const Command Instance{"explain", "", "why a request would go where; --customer-key, --model, --prompt-file, --traffic-class", 0, 0, runExplain};
+    static const Command Instance{"explain", "", "show where a request would be sent and why; --customer-key, --model, --prompt-file, --traffic-class",
+                                  0,         0,  runExplain};
     return Instance;
 }
 
--- a/tools/ctl/main.cpp
+++ b/tools/ctl/main.cpp
@@ -1,6 +1,6 @@
-// carawaylatchctl: the operators' tool.
+// carawaylatchctl: the command-line tool for operators.
 //
-// Exit codes: 0 done, 2 wrong usage or tables, 3 refused, 4 platform or router
+// Exit codes: 0 success, 2 wrong usage or invalid tables, 3 refused, 4 platform or router
 // not reached.
 #include <absl/flags/flag.h>
 
@@ -17,17 +17,17 @@
 
 ABSL_FLAG(std::string, platform, "127.0.0.1:7000", "the platform's object API, ADDR:PORT");
 ABSL_FLAG(std::string, router, "127.0.0.1:8081", "operators' port of a router, ADDR:PORT");
-ABSL_FLAG(std::string, failure_domain, "operator", "failure domain named to the platform");
+ABSL_FLAG(std::string, failure_domain, "operator", "failure domain sent to the platform");
 ABSL_FLAG(std::uint32_t, timeout_ms, 5000, "timeout of one call to the platform");
 ABSL_FLAG(std::string, output, "text", "text or json");
-ABSL_FLAG(bool, dry_run, false, "apply: check and show, write nothing");
+ABSL_FLAG(bool, dry_run, false, "apply: validate and show the changes without writing");
 ABSL_FLAG(bool, whole, false, "apply, diff: remove rows that the files don't name");
 ABSL_FLAG(std::string, remove, "", "apply: rows to remove, such as 'route old,pool old'");
 ABSL_FLAG(std::string, author, "", "apply: name in the history, by default the user's");
 ABSL_FLAG(std::uint32_t, wait_seconds, 0, "apply: wait until the live routers have the edit in force");
 ABSL_FLAG(std::uint32_t, limit, 20, "history: edits to show");
 ABSL_FLAG(std::string, customer_key, "", "explain: bearer key of the customer");
-ABSL_FLAG(std::string, model, "", "explain: model asked for");
+ABSL_FLAG(std::string, model, "", "explain: requested model");
 ABSL_FLAG(std::string, prompt_file, "", "explain: file with the prompt");
 ABSL_FLAG(std::string, traffic_class, "", "explain: interactive or batch");
 ABSL_FLAG(bool, help, false, "show this text");
@@ -49,7 +49,7 @@
 {
     std::cout << "carawaylatchctl [flags] COMMAND: checks, applies and shows the configuration of carawaylatch\n\n";
     for (const auto *it : allCommands()) {
-        const std::string usage = std::string(it->name) + " " + std::string(it->words);
+        const std::string usage = std::string(it->name) + " " + std::string(it->operands);
         std::cout << "  " << usage << std::string(usage.size() < 18 ? 18 - usage.size() : 1, ' ') << it->help << '\n';
     }
     std::cout << '\n' << tools::flagsHelp("tools/ctl/");
@@ -77,7 +77,7 @@
     if (output != "text" && output != "json") {
         return base::fail(base::ErrorKind::InvalidArgument, "--output: write text or json");
     }
-    options.output = output == "json" ? OutputForm::Json : OutputForm::Text;
+    options.output = output == "json" ? OutputFormat::Json : OutputFormat::Text;
     options.applyMode = absl::GetFlag(FLAGS_dry_run) ? ApplyMode::DryRun : ApplyMode::Accept;
     options.scope = absl::GetFlag(FLAGS_whole) ? TableScope::Whole : TableScope::NamedRows;
     options.author = authorName();
@@ -95,22 +95,22 @@
     return options;
 }
 
-base::Result<void> runWords(std::vector<std::string> words)
+base::Result<void> runCommandLine(std::vector<std::string> operands)
 {
     BOOST_OUTCOME_TRY(options, optionsFromFlags());
     BOOST_OUTCOME_TRY(platform, tools::parseEndpointFlag("platform", absl::GetFlag(FLAGS_platform)));
     BOOST_OUTCOME_TRY(router, tools::parseEndpointFlag("router", absl::GetFlag(FLAGS_router)));
     store::HttpObjectStore objects(platform, base::FailureDomain(absl::GetFlag(FLAGS_failure_domain)), base::milliseconds{absl::GetFlag(FLAGS_timeout_ms)});
     const auto client = makeHttpRouterClient(router);
-    CommandContext context{options, std::move(words), objects, *client, std::cout};
+    CommandContext context{options, std::move(operands), objects, *client, std::cout};
     return runCommand(context);
 }
 
 int run(std::span<const char *const> arguments)
 {
-    auto words = tools::parseCommandLine(arguments);
-    if (!words) {
-        return fail(words.error());
+    auto operands = tools::parseCommandLine(arguments);
+    if (!operands) {
+        return fail(operands.error());
     }
     if (absl::GetFlag(FLAGS_help)) {
         printHelp();
@@ -120,7 +120,7 @@
         std::cout << "carawaylatchctl 0.1.0\n";
         return 0;
     }
-    const auto done = runWords(std::move(words).value());
+    const auto done = runCommandLine(std::move(operands).value());
     return done ? 0 : fail(done.error());
 }
 
--- a/tools/load/caller.cpp
+++ b/tools/load/loadclient.cpp
@@ -1,10 +1,10 @@
-// Calls over cpp-httplib.
+// HTTP client over cpp-httplib.
 //
-// A streamed body goes through the event splitter into the verifier as it
-// arrives; the times of the tokens are taken there. Of a refused call the body
-// is kept and its error read. httplib reports a body that ended early as a read
-// error, which is what tells an aborted transfer from a clean end.
-#include "tools/load/caller.h"
+// A streamed body passes through the event splitter into the verifier as it arrives; token
+// times are taken there. The body of a refused request is kept and its error parsed.
+// httplib reports a body that ended early as a read error, which distinguishes an aborted
+// transfer from a clean end.
+#include "tools/load/loadclient.h"
 
 #include <httplib.h>
 #include <nlohmann/json.hpp>
@@ -45,7 +45,7 @@
     return base::SteadyClock().now();
 }
 
-// Takes the body of one streamed answer.
+// Receives the body of one streamed response.
 class StreamReceiver
 {
 public:
@@ -72,12 +72,12 @@
         result.status = status;
         if (status != StatusOk && status != 0) {
             const auto error = parseErrorBody(m_errorBody);
-            result.end = CallEnd::Refused;
+            result.outcome = CallOutcome::Refused;
             result.errorType = error.type;
             result.retryAfter = error.retryAfter;
             return result;
         }
-        result.end = CallEnd::Streamed;
+        result.outcome = CallOutcome::Streamed;
         result.verdict = m_verifier.finish(end);
         result.errorType = m_verifier.errorType();
         result.usage = m_verifier.usage();
@@ -115,7 +115,7 @@
     return {{"Authorization", "Bearer " + bearerKey}, {"Content-Type", "application/json"}};
 }
 
-// Says whether a service's answer names another order than the one sent.
+// Returns whether a service's response names another order than the one sent.
 bool isForeignOrder(const std::string &body, const std::string &orderKey)
 {
     const auto value = json::parse(body, nullptr, false);
@@ -128,10 +128,10 @@
 
 } // namespace
 
-class Caller::Clients
+class LoadClient::Connections
 {
 public:
-    explicit Clients(const CallerOptions &options)
+    explicit Connections(const LoadClientOptions &options)
     {
         for (const auto &it : options.targets) {
             auto client = std::make_unique<httplib::Client>(it.address, it.port);
@@ -146,68 +146,68 @@
     std::vector<std::unique_ptr<httplib::Client>> clients;
 };
 
-Caller::Caller(const CallerOptions &options)
-    : m_clients(std::make_unique<Clients>(options))
+LoadClient::LoadClient(const LoadClientOptions &options)
+    : m_connections(std::make_unique<Connections>(options))
 {
 }
 
-Caller::~Caller() = default;
+LoadClient::~LoadClient() = default;
 
-CompletionResult Caller::complete(std::size_t target, const CompletionCall &call)
+CompletionResult LoadClient::complete(std::size_t target, const CompletionRequest &request)
 {
-    httplib::Request request;
-    request.method = "POST";
-    request.path = "/v1/completions";
-    request.headers = headersOf(call.key);
-    request.headers.emplace("X-Traffic-Class", call.trafficClass == base::TrafficClass::Interactive ? "interactive" : "batch");
-    request.headers.emplace("X-Request-Id", call.requestId);
-    if (call.deadline > base::Duration{}) {
-        request.headers.emplace("X-Deadline-Ms", std::to_string(base::toMilliseconds(call.deadline)));
+    httplib::Request httpRequest;
+    httpRequest.method = "POST";
+    httpRequest.path = "/v1/completions";
+    httpRequest.headers = headersOf(request.key);
+    httpRequest.headers.emplace("X-Traffic-Class", request.trafficClass == base::TrafficClass::Interactive ? "interactive" : "batch");
+    httpRequest.headers.emplace("X-Request-Id", request.requestId);
+    if (request.deadline > base::Duration{}) {
+        httpRequest.headers.emplace("X-Deadline-Ms", std::to_string(base::toMilliseconds(request.deadline)));
     }
-    request.body = json{{"model", call.model}, {"prompt", call.prompt}, {"max_tokens", call.maxTokens}, {"stream", true}}.dump();
-    StreamReceiver receiver(call.prompt);
+    httpRequest.body = json{{"model", request.model}, {"prompt", request.prompt}, {"max_tokens", request.maxTokens}, {"stream", true}}.dump();
+    StreamReceiver receiver(request.prompt);
     int status = 0;
-    request.response_handler = [&status](const httplib::Response &response) {
+    httpRequest.response_handler = [&status](const httplib::Response &response) {
         status = response.status;
         return true;
     };
-    request.content_receiver = [&](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
+    httpRequest.content_receiver = [&](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
         receiver.receive(status, std::string_view(data, n));
         return true;
     };
-    const auto answer = m_clients->clients.at(target)->send(request);
-    if (!answer && answer.error() == httplib::Error::Connection) {
+    const auto result = m_connections->clients.at(target)->send(httpRequest);
+    if (!result && result.error() == httplib::Error::Connection) {
         return {};
     }
-    return receiver.result(status, answer ? TransferEnd::Clean : TransferEnd::Broken);
+    return receiver.result(status, result ? TransferEnd::Clean : TransferEnd::Broken);
 }
 
-OrderAnswer Caller::order(std::size_t target, const OrderCall &call)
+OrderResponse LoadClient::order(std::size_t target, const OrderRequest &request)
 {
-    OrderAnswer answer;
-    answer.key = call.orderKey;
-    answer.target = target;
-    answer.sentAt = now();
-    auto headers = headersOf(call.bearerKey);
+    OrderResponse result;
+    result.key = request.orderKey;
+    result.target = target;
+    result.sentAt = now();
+    auto headers = headersOf(request.bearerKey);
     headers.erase("Content-Type");
-    headers.emplace("Idempotency-Key", call.orderKey);
-    const auto response = m_clients->clients.at(target)->Post("/v1/services/" + call.route + "/orders", headers, call.body, "application/json");
-    answer.answeredAt = now();
+    headers.emplace("Idempotency-Key", request.orderKey);
+    const auto response = m_connections->clients.at(target)->Post("/v1/services/" + request.route + "/orders", headers, request.body, "application/json");
+    result.receivedAt = now();
     if (!response) {
-        answer.outcome = response.error() == httplib::Error::Connection ? "not_reached" : "unclear";
-        return answer;
+        result.outcome = response.error() == httplib::Error::Connection ? "not_reached" : "unclear";
+        return result;
     }
-    answer.status = response->status;
-    answer.isReplayed = response->get_header_value("X-Order-Replayed") == "true";
-    answer.outcome = response->get_header_value("X-Order-Outcome");
-    if (answer.status != StatusOk) {
-        answer.errorType = parseErrorBody(response->body).type;
+    result.status = response->status;
+    result.isReplayed = response->get_header_value("X-Order-Replayed") == "true";
+    result.outcome = response->get_header_value("X-Order-Outcome");
+    if (result.status != StatusOk) {
+        result.errorType = parseErrorBody(response->body).type;
     }
-    if (answer.outcome.empty()) {
-        answer.outcome = "refused";
+    if (result.outcome.empty()) {
+        result.outcome = "refused";
     }
-    answer.isForeign = answer.outcome == "done" && isForeignOrder(response->body, call.orderKey);
-    return answer;
+    result.isForeign = result.outcome == "done" && isForeignOrder(response->body, request.orderKey);
+    return result;
 }
 
 } // namespace carawaylatch::load
--- a/tools/load/caller.h
+++ b/tools/load/loadclient.h
@@ -1,6 +1,6 @@
-// A caller of the routers: streamed completions and orders over HTTP.
+// Client of the routers: streamed completions and orders over HTTP.
 //
-// Each worker thread has a Caller of its own; connections are kept open.
+// Not thread-safe: each worker thread has a client of its own. Connections are kept alive.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +18,33 @@
 namespace carawaylatch::load
 {
 
-struct CallerOptions
+struct LoadClientOptions
 {
     std::vector<base::Endpoint> targets;
-    base::Duration timeout = base::seconds{60}; // of a connection without any byte
+    base::Duration timeout = base::seconds{60}; // read timeout, without any byte received
 };
 
-struct CompletionCall
+struct CompletionRequest
 {
     std::string key; // bearer key
     std::string model;
     std::string_view prompt;
     std::uint32_t maxTokens = 0;
     base::TrafficClass trafficClass = base::TrafficClass::Interactive;
-    base::Duration deadline{}; // zero leaves it to the route
+    base::Duration deadline{}; // zero: the route's default
     std::string requestId;
 };
 
-enum class CallEnd {
-    Streamed, // status 200; the verdict tells more
-    Refused, // an error status; the body names the code
-    NotReached, // no connection: nothing was sent
+enum class CallOutcome {
+    Streamed, // status 200; see the verdict
+    Refused, // an error status; the body has the error type
+    NotReached, // no connection; nothing was sent
 };
 
 struct CompletionResult
 {
-    CallEnd end = CallEnd::NotReached;
-    StreamVerdict verdict = StreamVerdict::Aborted; // of a streamed answer
+    CallOutcome outcome = CallOutcome::NotReached;
+    StreamVerdict verdict = StreamVerdict::Aborted; // of a streamed response
     int status = 0;
     std::string errorType; // of a refusal or an explicit error
     std::optional<base::Duration> retryAfter; // of a refusal
@@ -53,7 +53,7 @@
     std::vector<base::Duration> gaps; // between tokens
 };
 
-struct OrderCall
+struct OrderRequest
 {
     std::string bearerKey;
     std::string route;
@@ -61,9 +61,9 @@
     std::string body;
 };
 
-// One answer to an order; `outcome` is X-Order-Outcome, or "refused", "unclear"
-// (sent without an answer) or "not_reached" where there is none.
-struct OrderAnswer
+// Response to an order. `outcome` is the header X-Order-Outcome or, without it, "refused",
+// "unclear" (sent, but no response) or "not_reached".
+struct OrderResponse
 {
     std::string key;
     std::size_t target = 0;
@@ -73,23 +73,24 @@
     bool isReplayed = false;
     bool isForeign = false; // the body names another order
     base::TimePoint sentAt;
-    base::TimePoint answeredAt;
+    base::TimePoint receivedAt;
 };
 
-class Caller
+class LoadClient
 {
 public:
-    explicit Caller(const CallerOptions &options);
-    ~Caller();
-    Caller(const Caller &) = delete;
-    Caller &operator=(const Caller &) = delete;
+    explicit LoadClient(const LoadClientOptions &options);
+    ~LoadClient();
+    LoadClient(const LoadClient &) = delete;
+    LoadClient &operator=(const LoadClient &) = delete;
 
-    [[nodiscard]] CompletionResult complete(std::size_t target, const CompletionCall &call);
-    [[nodiscard]] OrderAnswer order(std::size_t target, const OrderCall &call);
+    // These send a request to `targets[target]` and return after its response or failure.
+    [[nodiscard]] CompletionResult complete(std::size_t target, const CompletionRequest &request);
+    [[nodiscard]] OrderResponse order(std::size_t target, const OrderRequest &request);
 
 private:
-    class Clients;
-    std::unique_ptr<Clients> m_clients;
+    class Connections;
+    std::unique_ptr<Connections> m_connections;
 };
 
 } // namespace carawaylatch::load
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "carawaylatch/base/time.h"
-#include "tools/load/judge.h"
+#include "tools/load/orderverifier.h"
 
 namespace carawaylatch::load
 {
 
-// Exact times of one class.
-struct ClassTimes
+// All latencies of one traffic class.
+struct ClassLatencies
 {
     std::vector<base::Duration> firstToken;
     std::vector<base::Duration> gaps;
@@ -28,7 +28,7 @@
     std::string workload;
     std::uint64_t seed = 0;
     std::uint64_t requests = 0;
-    std::uint64_t notReached = 0; // calls that found no router at last
+    std::uint64_t notReached = 0; // requests that reached no router after all retries
     std::uint64_t retries = 0;
     std::array<std::uint64_t, VerdictCount> verdicts{};
     std::map<std::string, std::uint64_t> refusals; // final ones, by type
@@ -36,18 +36,19 @@
     std::uint64_t promptTokens = 0;
     std::uint64_t cachedTokens = 0;
     std::uint64_t completionTokens = 0;
-    std::array<ClassTimes, ClassCount> times;
+    std::array<ClassLatencies, ClassCount> latencies;
     base::Duration elapsed{};
-    std::vector<OrderAnswer> orders;
-    std::uint64_t judgedServices = 0;
-    Judgement judgement;
+    std::vector<OrderResponse> orders;
+    std::uint64_t verifiedServices = 0;
+    OrderVerification verification;
 
     void merge(Report &&other);
-    [[nodiscard]] std::uint64_t brokenPromises() const;
+    [[nodiscard]] std::uint64_t totalViolations() const;
 };
 
-// Returns the value below which `share` of the values lie; zero without any. Sorts the values.
-[[nodiscard]] base::Duration quantile(std::vector<base::Duration> &values, double share);
+// Returns the nearest-rank quantile for a fraction from 0 to 1, zero without values. Sorts
+// the values.
+[[nodiscard]] base::Duration quantile(std::vector<base::Duration> &values, double fraction);
 
 [[nodiscard]] std::string renderText(Report &report);
 [[nodiscard]] std::string renderJson(Report &report);
--- a/tools/load/runner.cpp
+++ b/tools/load/runner.cpp
@@ -1,12 +1,12 @@
-// Concurrent callers over one shared sequence of work.
+// Concurrent clients over one shared sequence of tasks.
 //
-// Completions are repeated where the interface says that it is safe and useful:
-// no connection was made, or a refusal named a time to come back. Each repeat
-// goes to the next router, as through a balancer. A stream that began is never
-// repeated. Orders keep their key when they are repeated, so a repeat after an
-// unclear end is safe; a share of them is sent to a second router at the same
-// time, and another share once more after the answer. An order answered "not
-// run" is repeated for every second key only, so that the others can be judged.
+// A completion is retried where the API defines it as safe and useful: no connection was
+// made, or a refusal named a retry delay. Each retry goes to the next router, as behind a
+// load balancer. A stream that has started is never retried. An order keeps its
+// idempotency key when it is retried, so that a retry after an unclear result is safe. A
+// fraction of the orders is also sent to a second router concurrently, and another fraction
+// once more after the response. An order with the response "not run" is retried for every
+// second key only, so that the other keys can be verified.
 #include "tools/load/runner.h"
 
 #include <algorithm>
@@ -20,21 +20,21 @@
 namespace
 {
 
-constexpr int MaxTries = 4;
-constexpr base::Duration LongestPause = base::seconds{2};
-constexpr base::Duration UnreachedPause = base::milliseconds{50};
-constexpr std::uint64_t DuplicatePercent = 30;
-constexpr std::uint64_t RepeatPercent = 20;
+constexpr int MaxAttempts = 4;
+constexpr base::Duration MaxPause = base::seconds{2};
+constexpr base::Duration RetryPause = base::milliseconds{50};
+constexpr std::uint64_t DuplicatePercent = 30; // orders sent to a second router concurrently
+constexpr std::uint64_t RepeatPercent = 20; // orders sent once more after the response
 
 void pauseFor(base::Duration duration)
 {
-    std::this_thread::sleep_for(std::min(duration, LongestPause));
+    std::this_thread::sleep_for(std::min(duration, MaxPause));
 }
 
-class Run
+class LoadRun
 {
 public:
-    explicit Run(const RunOptions &options)
+    explicit LoadRun(const RunOptions &options)
         : m_options(options)
         , m_workload(options.workload, options.keys.size(), options.requests, options.seed, options.drawSeed)
     {
@@ -46,7 +46,7 @@
         std::vector<std::thread> threads;
         for (std::size_t i = 0; i < m_options.concurrency; ++i) {
             threads.emplace_back([this, i] {
-                work(i);
+                runWorker(i);
             });
         }
         for (auto &it : threads) {
@@ -71,37 +71,37 @@
         LoadRequest request;
     };
 
-    // Spreads the orders evenly over the completions.
-    Task take()
+    // Returns the next task. Orders are distributed evenly among the completions.
+    Task nextTask()
     {
         const std::lock_guard lock(m_mutex);
         const auto all = m_options.requests + m_options.orders;
         Task task;
-        if (m_taken == all) {
+        if (m_tasksStarted == all) {
             return task;
         }
-        ++m_taken;
-        if (m_ordersTaken * all < m_taken * m_options.orders && m_ordersTaken < m_options.orders) {
+        ++m_tasksStarted;
+        if (m_ordersStarted * all < m_tasksStarted * m_options.orders && m_ordersStarted < m_options.orders) {
             task.kind = Task::Kind::Order;
-            task.number = m_ordersTaken++;
+            task.number = m_ordersStarted++;
         } else {
             task.kind = Task::Kind::Completion;
-            task.number = m_taken;
+            task.number = m_tasksStarted;
             task.request = m_workload.next();
         }
         return task;
     }
 
-    void work(std::size_t worker)
+    void runWorker(std::size_t worker)
     {
-        Caller caller(m_options.caller);
+        LoadClient client(m_options.client);
         base::Random random(base::combineHashes(m_options.seed, worker));
         Report report;
-        for (auto task = take(); task.kind != Task::Kind::None; task = take()) {
+        for (auto task = nextTask(); task.kind != Task::Kind::None; task = nextTask()) {
             if (task.kind == Task::Kind::Order) {
-                runOrder(caller, random, task.number, report);
+                runOrder(client, random, task.number, report);
             } else {
-                runCompletion(caller, random, task, report);
+                runCompletion(client, random, task, report);
             }
             pauseFor(m_options.pause);
         }
@@ -109,39 +109,39 @@
         m_report.merge(std::move(report));
     }
 
-    void runCompletion(Caller &caller, base::Random &random, const Task &task, Report &report)
+    void runCompletion(LoadClient &client, base::Random &random, const Task &task, Report &report)
     {
-        CompletionCall call{.key = m_options.keys.at(task.request.customer),
-                            .model = m_options.model,
-                            .prompt = task.request.prompt,
-                            .maxTokens = task.request.maxTokens,
-                            .trafficClass = task.request.trafficClass,
-                            .deadline = m_options.deadline,
-                            .requestId = m_options.runId + "-" + std::to_string(task.number)};
+        CompletionRequest request{.key = m_options.keys.at(task.request.customer),
+                                  .model = m_options.model,
+                                  .prompt = task.request.prompt,
+                                  .maxTokens = task.request.maxTokens,
+                                  .trafficClass = task.request.trafficClass,
+                                  .deadline = m_options.deadline,
+                                  .requestId = m_options.runId + "-" + std::to_string(task.number)};
         ++report.requests;
-        const auto targets = m_options.caller.targets.size();
+        const auto targets = m_options.client.targets.size();
         auto target = random.below(targets);
         CompletionResult result;
-        for (int tries = 0; tries < MaxTries; ++tries) {
-            report.retries += tries > 0 ? 1 : 0;
-            result = caller.complete(target, call);
-            const bool mayRepeat = result.end == CallEnd::NotReached || (result.end == CallEnd::Refused && result.retryAfter);
-            if (!mayRepeat || tries + 1 == MaxTries) {
+        for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
+            report.retries += attempt > 0 ? 1 : 0;
+            result = client.complete(target, request);
+            const bool isRetryable = result.outcome == CallOutcome::NotReached || (result.outcome == CallOutcome::Refused && result.retryAfter);
+            if (!isRetryable || attempt + 1 == MaxAttempts) {
                 break;
             }
-            pauseFor(result.end == CallEnd::NotReached ? UnreachedPause : *result.retryAfter);
+            pauseFor(result.outcome == CallOutcome::NotReached ? RetryPause : *result.retryAfter);
             target = (target + 1) % targets;
         }
-        account(task.request.trafficClass, std::move(result), report);
+        recordResult(task.request.trafficClass, std::move(result), report);
     }
 
-    static void account(base::TrafficClass trafficClass, CompletionResult &&result, Report &report)
+    static void recordResult(base::TrafficClass trafficClass, CompletionResult &&result, Report &report)
     {
-        if (result.end == CallEnd::NotReached) {
+        if (result.outcome == CallOutcome::NotReached) {
             ++report.notReached;
             return;
         }
-        if (result.end == CallEnd::Refused) {
+        if (result.outcome == CallOutcome::Refused) {
             ++report.refusals[result.errorType];
             return;
         }
@@ -155,56 +155,56 @@
         report.promptTokens += result.usage.promptTokens;
         report.cachedTokens += result.usage.cachedTokens;
         report.completionTokens += result.usage.completionTokens;
-        auto &times = report.times.at(static_cast<std::size_t>(trafficClass));
-        times.firstToken.push_back(result.firstToken);
-        times.gaps.insert(times.gaps.end(), result.gaps.begin(), result.gaps.end());
+        auto &latencies = report.latencies.at(static_cast<std::size_t>(trafficClass));
+        latencies.firstToken.push_back(result.firstToken);
+        latencies.gaps.insert(latencies.gaps.end(), result.gaps.begin(), result.gaps.end());
     }
 
-    void runOrder(Caller &caller, base::Random &random, std::size_t number, Report &report)
+    void runOrder(LoadClient &client, base::Random &random, std::size_t number, Report &report)
     {
-        const OrderCall call{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
-                             .route = m_options.orderRoute,
-                             .orderKey = m_options.runId + "-order-" + std::to_string(number),
-                             .body = "{\"number\":" + std::to_string(number) + "}"};
-        const auto targets = m_options.caller.targets.size();
+        const OrderRequest request{.bearerKey = m_options.keys.at(number % m_options.keys.size()),
+                                   .route = m_options.orderRoute,
+                                   .orderKey = m_options.runId + "-order-" + std::to_string(number),
+                                   .body = "{\"number\":" + std::to_string(number) + "}"};
+        const auto targets = m_options.client.targets.size();
         const auto target = random.below(targets);
         const auto other = (target + 1) % targets;
-        OrderAnswer twin;
+        OrderResponse duplicateResponse;
         std::thread duplicate;
         if (random.below(100) < DuplicatePercent) {
             duplicate = std::thread([&] {
-                Caller second(m_options.caller);
-                twin = second.order(other, call);
+                LoadClient duplicateClient(m_options.client);
+                duplicateResponse = duplicateClient.order(other, request);
             });
         }
-        sendOrder(caller, target, call, number, report);
+        sendOrder(client, target, request, number, report);
         if (duplicate.joinable()) {
             duplicate.join();
-            report.orders.push_back(twin);
+            report.orders.push_back(duplicateResponse);
         }
         if (random.below(100) < RepeatPercent) {
-            report.orders.push_back(caller.order(other, call));
+            report.orders.push_back(client.order(other, request));
         }
     }
 
-    void sendOrder(Caller &caller, std::size_t target, const OrderCall &call, std::size_t number, Report &report)
+    void sendOrder(LoadClient &client, std::size_t target, const OrderRequest &request, std::size_t number, Report &report)
     {
-        for (int tries = 0; tries < MaxTries; ++tries) {
-            report.orders.push_back(caller.order((target + static_cast<std::size_t>(tries)) % m_options.caller.targets.size(), call));
+        for (int attempt = 0; attempt < MaxAttempts; ++attempt) {
+            report.orders.push_back(client.order((target + static_cast<std::size_t>(attempt)) % m_options.client.targets.size(), request));
             const auto &outcome = report.orders.back().outcome;
             const bool isSettled = outcome == "done" || outcome == "unknown" || (outcome == "not_run" && number % 2 == 1);
             if (isSettled) {
                 return;
             }
-            pauseFor(UnreachedPause);
+            pauseFor(RetryPause);
         }
     }
 
     const RunOptions &m_options;
-    std::mutex m_mutex; // guards all below
+    std::mutex m_mutex; // protects all members below
     Workload m_workload;
-    std::size_t m_taken = 0;
-    std::size_t m_ordersTaken = 0;
+    std::size_t m_tasksStarted = 0;
+    std::size_t m_ordersStarted = 0;
     Report m_report;
 };
 
@@ -212,7 +212,7 @@
 
 Report runLoad(const RunOptions &options)
 {
-    return Run(options).run();
+    return LoadRun(options).run();
 }
 
 } // namespace carawaylatch::load
--- a/tools/load/streamverifier.cpp
+++ b/tools/load/streamverifier.cpp
@@ -1,10 +1,9 @@
 // The verdict on a stream.
 //
-// The first broken promise is kept, since what follows it is often only its
-// consequence. Without one, the end decides: [DONE] after the last event is
-// complete, an error event is an explicit failure, a broken transfer is seen by
-// the caller's HTTP library, and a clean end with none of these is the quiet cut
-// that must never happen.
+// The first violation is kept, since later ones are often its consequences. Without a
+// violation the end decides: [DONE] after the last event is complete, an error event is an
+// explicit failure, and a broken transfer is detected by the client's HTTP library. A clean
+// end with none of these is a silent truncation, which must never happen.
 #include "tools/load/streamverifier.h"
 
 #include <array>
@@ -30,9 +29,9 @@
     return Names.at(static_cast<std::size_t>(verdict));
 }
 
-bool breaksPromise(StreamVerdict verdict)
+bool isViolation(StreamVerdict verdict)
 {
-    return verdict >= StreamVerdict::CutQuietly;
+    return verdict >= StreamVerdict::TruncatedSilently;
 }
 
 std::string expectedToken(std::string_view prompt, std::uint64_t index)
@@ -47,24 +46,24 @@
 {
 }
 
-void StreamVerifier::note(StreamVerdict verdict)
+void StreamVerifier::recordViolation(StreamVerdict verdict)
 {
-    if (m_fault == StreamVerdict::Complete) {
-        m_fault = verdict;
+    if (m_violation == StreamVerdict::Complete) {
+        m_violation = verdict;
     }
 }
 
 void StreamVerifier::addToken(const StreamEvent &event)
 {
-    if (m_sawLast || event.index < m_nextIndex) {
-        note(StreamVerdict::Repeated);
+    if (m_hasLastEvent || event.index < m_nextIndex) {
+        recordViolation(StreamVerdict::Repeated);
         return;
     }
     if (event.index > m_nextIndex) {
-        note(StreamVerdict::Gap);
+        recordViolation(StreamVerdict::Gap);
     }
     if (event.text != expectedToken(m_prompt, event.index)) {
-        note(StreamVerdict::ForeignToken);
+        recordViolation(StreamVerdict::ForeignToken);
     }
     m_nextIndex = event.index + 1;
 }
@@ -72,10 +71,10 @@
 void StreamVerifier::addLast(const StreamEvent &event)
 {
     m_usage = event.usage;
-    if (m_sawLast || event.tokenCount != m_nextIndex) {
-        note(StreamVerdict::WrongCount);
+    if (m_hasLastEvent || event.tokenCount != m_nextIndex) {
+        recordViolation(StreamVerdict::WrongCount);
     }
-    m_sawLast = true;
+    m_hasLastEvent = true;
 }
 
 void StreamVerifier::add(const StreamEvent &event)
@@ -91,26 +90,26 @@
         m_errorType = event.text;
         break;
     case StreamEvent::Kind::Done:
-        m_sawDone = true;
+        m_hasDoneEvent = true;
         break;
     case StreamEvent::Kind::Malformed:
-        note(StreamVerdict::Malformed);
+        recordViolation(StreamVerdict::Malformed);
         break;
     }
 }
 
 StreamVerdict StreamVerifier::finish(TransferEnd end) const
 {
-    if (m_fault != StreamVerdict::Complete) {
-        return m_fault;
+    if (m_violation != StreamVerdict::Complete) {
+        return m_violation;
     }
     if (!m_errorType.empty()) {
         return StreamVerdict::ExplicitError;
     }
-    if (m_sawLast && m_sawDone) {
+    if (m_hasLastEvent && m_hasDoneEvent) {
         return StreamVerdict::Complete;
     }
-    return end == TransferEnd::Broken ? StreamVerdict::Aborted : StreamVerdict::CutQuietly;
+    return end == TransferEnd::Broken ? StreamVerdict::Aborted : StreamVerdict::TruncatedSilently;
 }
 
 } // namespace carawaylatch::load
