--- a/carawaylatch/handover/shutdown.cpp
+++ b/carawaylatch/handover/shutdown.cpp
@@ -27,7 +27,7 @@
             enter(ShutdownStep::NotReady, now);
         } else if (!m_isCut && m_step != ShutdownStep::Departing && m_step != ShutdownStep::Exited) {
             m_isCut = true;
-            m_actions.push_back(ShutdownAction::CutStreams);
+            m_actions.push_back(ShutdownAction::AbortStreams);
         }
         break;
     case ShutdownEvent::HandedOver:
@@ -72,13 +72,13 @@
     if (m_step == ShutdownStep::NotReady && (m_isCut || now >= m_since + m_options.drainLag)) {
         enter(ShutdownStep::Refusing, now);
     }
-    if (m_step == ShutdownStep::Refusing && (m_isCut || m_isHandedOver || now >= m_since + m_options.handOver)) {
+    if (m_step == ShutdownStep::Refusing && (m_isCut || m_isHandedOver || now >= m_since + m_options.handOverTimeout)) {
         enter(ShutdownStep::Finishing, now);
     }
     if (m_step == ShutdownStep::Finishing && openStreams == 0) {
         enter(ShutdownStep::Departing, now);
     }
-    if (m_step == ShutdownStep::Departing && (m_isDeparted || now >= m_since + m_options.depart)) {
+    if (m_step == ShutdownStep::Departing && (m_isDeparted || now >= m_since + m_options.departTimeout)) {
         enter(ShutdownStep::Exited, now);
     }
 }
@@ -99,9 +99,9 @@
     case ShutdownStep::NotReady:
         return m_since + m_options.drainLag;
     case ShutdownStep::Refusing:
-        return m_since + m_options.handOver;
+        return m_since + m_options.handOverTimeout;
     case ShutdownStep::Departing:
-        return m_since + m_options.depart;
+        return m_since + m_options.departTimeout;
     case ShutdownStep::Running:
     case ShutdownStep::Finishing:
     case ShutdownStep::Exited:
--- a/carawaylatch/handover/shutdown.h
+++ b/carawaylatch/handover/shutdown.h
@@ -41,7 +41,7 @@
     BecomeNotReady, // /readyz says no; membership says Leaving
     RefuseRequests, // callers and peers
     HandOver, // send hot state to a peer, then report HandedOver
-    CutStreams, // an operator's second signal
+    AbortStreams, // an operator's second signal
     Depart, // tell peers, then report Departed
     Exit,
 };
@@ -49,8 +49,8 @@
 struct ShutdownOptions
 {
     base::Duration drainLag = base::seconds{2}; // of the balancer
-    base::Duration handOver = base::seconds{2}; // longest wait for a peer to take the hot state
-    base::Duration depart = base::milliseconds{500}; // longest wait for the last message
+    base::Duration handOverTimeout = base::seconds{2}; // longest wait for a peer to take the hot state
+    base::Duration departTimeout = base::milliseconds{500}; // longest wait for the last message
 };
 
 class Shutdown
--- a/carawaylatch/handover/snapshot.cpp
+++ b/carawaylatch/handover/snapshot.cpp
@@ -106,7 +106,7 @@
 {
     std::size_t bytes = 100 + (snapshot.rows.revision.value != 0 ? config::formatSnapshot(snapshot.rows).size() : 0);
     bytes += snapshot.members.size() * MemberBytes;
-    bytes += (snapshot.lives.size() + snapshot.marks.size() + snapshot.placements.upstreams.size()) * NamedBytes;
+    bytes += (snapshot.incarnations.size() + snapshot.marks.size() + snapshot.placements.upstreams.size()) * NamedBytes;
     bytes += snapshot.floors.size() * FloorBytes;
     bytes += blockCount(snapshot) * BlockBytes + snapshot.levels.levels.size() * LevelBytes;
     return bytes;
@@ -157,11 +157,11 @@
             return it.token > other.token;
         });
     mergeBy(
-        into.lives, from.lives,
-        [](const UpstreamLife &it) {
+        into.incarnations, from.incarnations,
+        [](const UpstreamIncarnation &it) {
             return std::pair(it.upstream, it.incarnation);
         },
-        [](const UpstreamLife &, const UpstreamLife &) {
+        [](const UpstreamIncarnation &, const UpstreamIncarnation &) {
             return false;
         });
     mergeBy(
--- a/carawaylatch/handover/snapshot.h
+++ b/carawaylatch/handover/snapshot.h
@@ -26,12 +26,12 @@
 };
 
 // The current life of an upstream.
-struct UpstreamLife
+struct UpstreamIncarnation
 {
     base::UpstreamId upstream;
     base::Incarnation incarnation;
 
-    bool operator==(const UpstreamLife &) const = default;
+    bool operator==(const UpstreamIncarnation &) const = default;
 };
 
 // All vectors are unordered and bounded by MaxSnapshotBytes together.
@@ -39,7 +39,7 @@
 {
     config::RowSet rows; // the configuration, revision included
     std::vector<membership::MemberRecord> members;
-    std::vector<UpstreamLife> lives;
+    std::vector<UpstreamIncarnation> incarnations;
     std::vector<upstreams::LeavingMark> marks;
     std::vector<FencingFloor> floors;
     prefix::HotPlacements placements;
--- a/carawaylatch/handover/snapshotserver.cpp
+++ b/carawaylatch/handover/snapshotserver.cpp
@@ -24,7 +24,7 @@
 {
 }
 
-const SnapshotServer::Encoded &SnapshotServer::current(base::TimePoint now)
+const SnapshotServer::EncodedSnapshot &SnapshotServer::current(base::TimePoint now)
 {
     if (m_encoded.empty() || now >= m_encoded.back().madeAt + m_lifetime) {
         auto bytes = m_source();
@@ -42,11 +42,11 @@
     const auto given = std::find_if(m_requests.begin(), m_requests.end(), [&](const auto &it) {
         return it.first == request.request;
     });
-    const auto held = std::find_if(m_encoded.begin(), m_encoded.end(), [&](const Encoded &it) {
+    const auto held = std::find_if(m_encoded.begin(), m_encoded.end(), [&](const EncodedSnapshot &it) {
         return given != m_requests.end() && it.digest == given->second;
     });
     const bool isStarted = request.part > 0 && held != m_encoded.end();
-    const Encoded &encoded = isStarted ? *held : current(now);
+    const EncodedSnapshot &encoded = isStarted ? *held : current(now);
     if (!isStarted) {
         m_requests.emplace_back(request.request, encoded.digest);
         while (m_requests.size() > MaxRequests) {
--- a/carawaylatch/handover/snapshotserver.h
+++ b/carawaylatch/handover/snapshotserver.h
@@ -25,17 +25,17 @@
     [[nodiscard]] SnapshotPart answer(const SnapshotRequest &request, base::TimePoint now);
 
 private:
-    struct Encoded
+    struct EncodedSnapshot
     {
         std::string bytes;
         std::uint64_t digest = 0;
         base::TimePoint madeAt;
     };
-    [[nodiscard]] const Encoded &current(base::TimePoint now);
+    [[nodiscard]] const EncodedSnapshot &current(base::TimePoint now);
 
     Source m_source;
     base::Duration m_lifetime; // how long one encoding is given to new requests
-    std::deque<Encoded> m_encoded; // newest last, at most two
+    std::deque<EncodedSnapshot> m_encoded; // newest last, at most two
     std::deque<std::pair<std::uint64_t, std::uint64_t>> m_requests; // request and digest it was given, at most MaxRequests
 };
 
--- a/carawaylatch/handover/testing/shutdowntest.cpp
+++ b/carawaylatch/handover/testing/shutdowntest.cpp
@@ -55,7 +55,7 @@
         case ShutdownAction::HandOver:
             check(seen.has(ShutdownAction::RefuseRequests), path, "state handed over while requests are taken");
             break;
-        case ShutdownAction::CutStreams:
+        case ShutdownAction::AbortStreams:
             check(seen.signals > 1, path, "streams cut without a second signal");
             break;
         case ShutdownAction::Depart:
@@ -115,7 +115,7 @@
         shutdown.onEvent(ShutdownEvent::Signal, 4, now);
         shutdown.onEvent(ShutdownEvent::Signal, 4, now);
         const auto actions = shutdown.takeActions();
-        CPPUNIT_ASSERT(std::find(actions.begin(), actions.end(), ShutdownAction::CutStreams) != actions.end());
+        CPPUNIT_ASSERT(std::find(actions.begin(), actions.end(), ShutdownAction::AbortStreams) != actions.end());
         CPPUNIT_ASSERT(shutdown.step() == ShutdownStep::Finishing);
     }
 
--- a/carawaylatch/handover/testing/warmstarttest.cpp
+++ b/carawaylatch/handover/testing/warmstarttest.cpp
@@ -34,7 +34,7 @@
     snapshot.levels.levels.push_back({1, 2.0F, 1});
     snapshot.marks.push_back({base::UpstreamId("e2"), {8}, 1});
     snapshot.floors.push_back({"lease/dakar-a", {41}});
-    snapshot.lives.push_back({base::UpstreamId("e1"), {7}});
+    snapshot.incarnations.push_back({base::UpstreamId("e1"), {7}});
     return snapshot;
 }
 
@@ -125,7 +125,7 @@
     {
         const auto actions = m_start.takeActions();
         for (const auto &it : actions) {
-            if (const auto *ask = std::get_if<AskPeer>(&it)) {
+            if (const auto *ask = std::get_if<SendSnapshotRequest>(&it)) {
                 answer(*ask);
             } else if (const auto *load = std::get_if<LoadSnapshot>(&it)) {
                 ++loads;
@@ -147,7 +147,7 @@
         }
         return *m_platformRevision == 0 ? Snapshot{} : hotSnapshot(*m_platformRevision);
     }
-    void answer(const AskPeer &ask)
+    void answer(const SendSnapshotRequest &ask)
     {
         auto &peer = m_peers.at(ask.peer);
         ++peer.answers;
@@ -229,7 +229,7 @@
         Start start({}, {});
         start.runFor(seconds{30});
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoConfiguration);
-        CPPUNIT_ASSERT(start.machine().notReadyBecause().find("platform: connection refused") != std::string::npos);
+        CPPUNIT_ASSERT(start.machine().notReadyMessage().find("platform: connection refused") != std::string::npos);
         CPPUNIT_ASSERT_MESSAGE("the platform is asked again, but not hammered", start.platformReads > 10 && start.platformReads <= 31);
     }
 
@@ -245,17 +245,17 @@
     void testNotReadyWhileBehindPeers()
     {
         Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        start.machine().onSeenRevision(Revision{5});
+        start.machine().onFleetRevision(Revision{5});
         start.runFor(milliseconds{100});
         start.machine().onState(Revision{3}, 2);
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::BehindPeers);
         start.machine().onState(Revision{5}, 2);
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
-        start.machine().onSeenRevision(Revision{8});
+        start.machine().onFleetRevision(Revision{8});
         CPPUNIT_ASSERT_MESSAGE("readiness doesn't flap with every edit", start.machine().readiness() == NotReadyReason::None);
 
         Start late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        late.machine().onSeenRevision(Revision{5});
+        late.machine().onFleetRevision(Revision{5});
         late.runFor(seconds{4});
         late.machine().onState(Revision{3}, 2);
         CPPUNIT_ASSERT_MESSAGE("the wait ends", late.machine().readiness() == NotReadyReason::None);
@@ -268,7 +268,7 @@
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoUpstream);
         start.machine().onState(Revision{3}, 1);
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
-        CPPUNIT_ASSERT_EQUAL(std::string{}, start.machine().notReadyBecause());
+        CPPUNIT_ASSERT_EQUAL(std::string{}, start.machine().notReadyMessage());
         start.machine().onStopping();
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::Stopping);
     }
--- a/carawaylatch/handover/warmstart.cpp
+++ b/carawaylatch/handover/warmstart.cpp
@@ -28,7 +28,7 @@
 bool isEmpty(const Snapshot &snapshot)
 {
     return snapshot.rows.revision.value == 0 && snapshot.placements.upstreams.empty() && snapshot.levels.levels.empty() && snapshot.marks.empty()
-           && snapshot.floors.empty() && snapshot.lives.empty();
+           && snapshot.floors.empty() && snapshot.incarnations.empty();
 }
 
 bool hasHotState(const Snapshot &snapshot)
@@ -38,7 +38,7 @@
 
 } // namespace
 
-std::string notReadyText(NotReadyReason reason, std::string_view platformError)
+std::string describeNotReady(NotReadyReason reason, std::string_view platformError)
 {
     switch (reason) {
     case NotReadyReason::None:
@@ -57,11 +57,11 @@
     return {};
 }
 
-WarmStart::WarmStart(WarmStartOptions options, Decode decode, TimePoint now)
+WarmStart::WarmStart(WarmStartOptions options, Decoder decoder, TimePoint now)
     : m_options(std::move(options))
-    , m_decode(std::move(decode))
+    , m_decoder(std::move(decoder))
     , m_random(m_options.seed)
-    , m_stepUntil(now + m_options.findPeers)
+    , m_stepUntil(now + m_options.findPeersTimeout)
 {
 }
 
@@ -69,7 +69,7 @@
 {
     m_peers.assign(peers.begin(), peers.end());
     if (m_step == WarmStartStep::FindPeers && !m_peers.empty()) {
-        enter(WarmStartStep::AskOwnDomain, now);
+        enter(WarmStartStep::QueryOwnDomain, now);
     }
     askMore(now);
 }
@@ -81,24 +81,24 @@
     switch (step) {
     case WarmStartStep::FindPeers:
         break;
-    case WarmStartStep::AskOwnDomain:
-        m_stepUntil = now + m_options.askDomain;
+    case WarmStartStep::QueryOwnDomain:
+        m_stepUntil = now + m_options.ownDomainTimeout;
         break;
-    case WarmStartStep::AskOthers:
-        m_stepUntil = now + m_options.askOthers;
+    case WarmStartStep::QueryOtherDomains:
+        m_stepUntil = now + m_options.otherDomainsTimeout;
         break;
-    case WarmStartStep::AskPlatform:
+    case WarmStartStep::QueryPlatform:
         m_stepUntil = now;
         break;
     case WarmStartStep::Done:
         m_stepUntil = TimePoint::max();
-        m_catchUpUntil = now + m_options.catchUp;
+        m_catchUpUntil = now + m_options.catchUpTimeout;
         break;
     }
     askMore(now);
-    if ((step == WarmStartStep::AskOwnDomain || step == WarmStartStep::AskOthers) && m_transfers.empty()) {
+    if ((step == WarmStartStep::QueryOwnDomain || step == WarmStartStep::QueryOtherDomains) && m_transfers.empty()) {
         advance(now);
-    } else if (step == WarmStartStep::AskPlatform) {
+    } else if (step == WarmStartStep::QueryPlatform) {
         onTick(now);
     }
 }
@@ -106,13 +106,13 @@
 bool WarmStart::mayAsk(const config::DistributionPeer &peer) const
 {
     const bool isOwn = peer.domain == m_options.domain;
-    return !m_asked.contains(peer.id) && (m_step == WarmStartStep::AskOwnDomain ? isOwn : m_step == WarmStartStep::AskOthers && !isOwn);
+    return !m_asked.contains(peer.id) && (m_step == WarmStartStep::QueryOwnDomain ? isOwn : m_step == WarmStartStep::QueryOtherDomains && !isOwn);
 }
 
 void WarmStart::askMore(TimePoint now)
 {
     for (const auto &it : m_peers) {
-        if (m_transfers.size() < m_options.askAtOnce && mayAsk(it)) {
+        if (m_transfers.size() < m_options.maxParallelTransfers && mayAsk(it)) {
             m_asked.insert(it.id);
             auto &transfer = m_transfers[it.id];
             transfer.request = m_random.next();
@@ -124,7 +124,7 @@
 void WarmStart::ask(const base::RouterId &peer, Transfer &transfer, TimePoint now)
 {
     transfer.askedAt = now;
-    m_actions.emplace_back(AskPeer{peer, {transfer.request, transfer.nextPart}});
+    m_actions.emplace_back(SendSnapshotRequest{peer, {transfer.request, transfer.nextPart}});
 }
 
 void WarmStart::onPart(const base::RouterId &from, const SnapshotPart &part, TimePoint now)
@@ -164,7 +164,7 @@
 {
     const auto transfer = std::move(m_transfers.extract(peer).mapped());
     if (base::hash64(transfer.bytes) == transfer.digest) {
-        if (const auto snapshot = m_decode(transfer.bytes); snapshot) {
+        if (const auto snapshot = m_decoder(transfer.bytes); snapshot) {
             mergeSnapshot(m_snapshot, snapshot.value());
         }
     }
@@ -183,23 +183,23 @@
     }
     if (m_hasHotState && m_revision.value != 0) {
         enter(WarmStartStep::Done, now);
-    } else if (m_step == WarmStartStep::FindPeers || m_step == WarmStartStep::AskOthers) {
-        enter(m_step == WarmStartStep::FindPeers ? WarmStartStep::AskOwnDomain : WarmStartStep::AskPlatform, now);
-    } else if (m_step == WarmStartStep::AskOwnDomain) {
-        enter(WarmStartStep::AskOthers, now);
+    } else if (m_step == WarmStartStep::FindPeers || m_step == WarmStartStep::QueryOtherDomains) {
+        enter(m_step == WarmStartStep::FindPeers ? WarmStartStep::QueryOwnDomain : WarmStartStep::QueryPlatform, now);
+    } else if (m_step == WarmStartStep::QueryOwnDomain) {
+        enter(WarmStartStep::QueryOtherDomains, now);
     }
 }
 
 void WarmStart::onPlatform(const base::Result<Snapshot> &result, TimePoint now)
 {
     m_hasAskedPlatform = false;
-    m_stepUntil = now + m_options.platformRetry;
+    m_stepUntil = now + m_options.platformRetryInterval;
     if (!result) {
         m_platformError = result.error().message;
         return;
     }
     m_platformError = result.value().rows.revision.value == 0 ? "it holds no tables yet" : "";
-    if (m_step != WarmStartStep::AskPlatform) {
+    if (m_step != WarmStartStep::QueryPlatform) {
         return;
     }
     auto snapshot = result.value();
@@ -221,7 +221,7 @@
     }
 }
 
-void WarmStart::onSeenRevision(base::Revision revision)
+void WarmStart::onFleetRevision(base::Revision revision)
 {
     if (m_step != WarmStartStep::Done) {
         m_seen = std::max(m_seen, revision);
@@ -252,10 +252,10 @@
         m_seen = m_step == WarmStartStep::Done && now >= m_catchUpUntil ? base::Revision{} : m_seen;
         return;
     }
-    if (m_step == WarmStartStep::AskPlatform) {
+    if (m_step == WarmStartStep::QueryPlatform) {
         if (!m_hasAskedPlatform) {
             m_hasAskedPlatform = true;
-            m_stepUntil = now + m_options.platformRetry;
+            m_stepUntil = now + m_options.platformRetryInterval;
             m_actions.emplace_back(ReadPlatform{});
         }
         if (m_revision.value != 0 && !m_platformError.empty()) {
@@ -290,9 +290,9 @@
     return m_answeringUpstreams == 0 ? NotReadyReason::NoUpstream : NotReadyReason::None;
 }
 
-std::string WarmStart::notReadyBecause() const
+std::string WarmStart::notReadyMessage() const
 {
-    return notReadyText(readiness(), m_platformError);
+    return describeNotReady(readiness(), m_platformError);
 }
 
 TimePoint WarmStart::nextDeadline() const
--- a/carawaylatch/handover/warmstart.h
+++ b/carawaylatch/handover/warmstart.h
@@ -6,7 +6,7 @@
 //
 //     WarmStart start(options, now);
 //     start.onPeers(peers, now);
-//     for (auto &it : start.takeActions()) ...   // AskPeer, ReadPlatform, Load
+//     for (auto &it : start.takeActions()) ...   // SendSnapshotRequest, ReadPlatform, Load
 //     start.readiness()                          // for /readyz and the log
 //
 // After an outage of everything the router waits and says why; it never takes a
@@ -35,28 +35,28 @@
 
 enum class WarmStartStep {
     FindPeers, // wait for the first view of members
-    AskOwnDomain,
-    AskOthers,
-    AskPlatform,
+    QueryOwnDomain,
+    QueryOtherDomains,
+    QueryPlatform,
     Done, // hot state was loaded, or there is none
 };
-constexpr WarmStartStep AllWarmStartSteps[] = {WarmStartStep::FindPeers, WarmStartStep::AskOwnDomain, WarmStartStep::AskOthers, WarmStartStep::AskPlatform,
-                                               WarmStartStep::Done};
+constexpr WarmStartStep AllWarmStartSteps[] = {WarmStartStep::FindPeers, WarmStartStep::QueryOwnDomain, WarmStartStep::QueryOtherDomains,
+                                               WarmStartStep::QueryPlatform, WarmStartStep::Done};
 
 struct WarmStartOptions
 {
     base::FailureDomain domain;
-    base::Duration findPeers = base::milliseconds{700}; // longest wait for members
-    base::Duration askDomain = base::seconds{1}; // longest wait for own domain's peers
-    base::Duration askOthers = base::seconds{1};
-    base::Duration platformRetry = base::seconds{1};
+    base::Duration findPeersTimeout = base::milliseconds{700}; // longest wait for members
+    base::Duration ownDomainTimeout = base::seconds{1}; // longest wait for own domain's peers
+    base::Duration otherDomainsTimeout = base::seconds{1};
+    base::Duration platformRetryInterval = base::seconds{1};
     base::Duration partTimeout = base::milliseconds{400}; // until a part is asked for again
-    base::Duration catchUp = base::seconds{2}; // longest wait for a greater revision that was seen
-    std::uint32_t askAtOnce = 2; // peers asked together
+    base::Duration catchUpTimeout = base::seconds{2}; // longest wait for a greater revision that was seen
+    std::uint32_t maxParallelTransfers = 2; // peers asked together
     std::uint64_t seed = 1; // of request numbers
 };
 
-struct AskPeer
+struct SendSnapshotRequest
 {
     base::RouterId peer;
     SnapshotRequest request;
@@ -73,7 +73,7 @@
     Snapshot snapshot;
 };
 
-using WarmStartAction = std::variant<AskPeer, ReadPlatform, LoadSnapshot>;
+using WarmStartAction = std::variant<SendSnapshotRequest, ReadPlatform, LoadSnapshot>;
 
 // Why the router can't serve yet.
 enum class NotReadyReason {
@@ -85,15 +85,15 @@
 };
 
 // Returns what is missing and what to look at, for /readyz and event RouterNotReady.
-[[nodiscard]] std::string notReadyText(NotReadyReason reason, std::string_view platformError);
+[[nodiscard]] std::string describeNotReady(NotReadyReason reason, std::string_view platformError);
 
 class WarmStart
 {
 public:
     // Decodes an encoded snapshot; peer::decodeSnapshot in the daemon.
-    using Decode = std::function<base::Result<Snapshot>(std::string_view bytes)>;
+    using Decoder = std::function<base::Result<Snapshot>(std::string_view bytes)>;
 
-    WarmStart(WarmStartOptions options, Decode decode, base::TimePoint now);
+    WarmStart(WarmStartOptions options, Decoder decoder, base::TimePoint now);
 
     // Live routers other than this one.
     void onPeers(std::span<const config::DistributionPeer> peers, base::TimePoint now);
@@ -103,7 +103,7 @@
     // Revision in force and number of upstreams that answer, whenever they change.
     void onState(base::Revision revision, std::size_t answeringUpstreams);
     // The greatest revision that live routers show, whenever it grows.
-    void onSeenRevision(base::Revision revision);
+    void onFleetRevision(base::Revision revision);
     void onStopping();
     void onTick(base::TimePoint now);
 
@@ -111,7 +111,7 @@
     [[nodiscard]] WarmStartStep step() const;
     [[nodiscard]] NotReadyReason readiness() const;
     // Readiness as text; empty when ready.
-    [[nodiscard]] std::string notReadyBecause() const;
+    [[nodiscard]] std::string notReadyMessage() const;
     [[nodiscard]] base::TimePoint nextDeadline() const;
 
 private:
@@ -136,7 +136,7 @@
     [[nodiscard]] bool mayAsk(const config::DistributionPeer &peer) const;
 
     WarmStartOptions m_options;
-    Decode m_decode;
+    Decoder m_decoder;
     base::Random m_random;
     WarmStartStep m_step = WarmStartStep::FindPeers;
     base::TimePoint m_stepUntil;
--- a/carawaylatch/router/routeplacer.cpp
+++ b/carawaylatch/router/completionplacer.cpp
@@ -2,7 +2,7 @@
 // at the moment, so the salt and the chain are made when the request is placed,
 // and anew if the version moved between two attempts. A continuation keeps the
 // version of the tokens already delivered.
-#include "carawaylatch/router/routeplacer.h"
+#include "carawaylatch/router/completionplacer.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 
 constexpr base::Duration ViewRetry = base::seconds{1};
 
-upstreams::AttemptOutcome noticeOf(const relay::AttemptOutcome &outcome)
+upstreams::AttemptOutcome toRegistryOutcome(const relay::AttemptOutcome &outcome)
 {
     if (outcome.result != relay::AttemptResult::Broken || !outcome.breakKind) {
         return upstreams::AttemptOutcome::Succeeded;
@@ -39,16 +39,16 @@
 
 } // namespace
 
-RoutePlacer::RoutePlacer(const PlacingParts &parts, const RequestContext &context)
-    : m_parts(parts)
+CompletionPlacer::CompletionPlacer(const PlacementDependencies &dependencies, const RequestContext &context)
+    : m_dependencies(dependencies)
     , m_context(context)
     , m_blockTokens(std::max(1U, context.pool->blockBytes / prefix::BytesPerToken))
 {
 }
 
-base::Result<relay::AttemptPlan> RoutePlacer::place(const relay::PlacementRequest &request)
+base::Result<relay::AttemptPlan> CompletionPlacer::place(const relay::PlacementRequest &request)
 {
-    const base::TimePoint now = m_parts.clock.now();
+    const base::TimePoint now = m_dependencies.clock.now();
     BOOST_OUTCOME_TRY(view, usableView(request.weightsVersion, now));
     const auto *pool = view->pool(m_context.pool->name);
     std::vector<base::UpstreamId> excluded;
@@ -58,20 +58,20 @@
             excluded.push_back(it.upstream);
         }
     }
-    BOOST_OUTCOME_TRY(placement, m_parts.strategy.place(routingRequest(excluded, now), *view));
+    BOOST_OUTCOME_TRY(placement, m_dependencies.strategy.place(routingRequest(excluded, now), *view));
     if (!view->maySend(placement.upstream, placement.incarnation, now)) {
         return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", ViewRetry);
     }
     Placed placed{placement.slot, placement.incarnation, placement.predictedBlocks, bestHeld(now), {}};
-    placed.ticket = m_parts.knowledge.inflight.begin(placement.slot, placement.missingTokens, now, m_context.head.trafficClass);
-    m_parts.knowledge.caches.recordPlacement(placement.slot, placement.incarnation, m_chain, now);
-    m_parts.knowledge.heat.record(base::hash64(m_context.pool->name.value()), m_chain, prefix::promptTokens(m_context.prompt),
-                                  static_cast<std::uint32_t>(std::max<std::size_t>(1, pool->eligible.size())), now);
+    placed.ticket = m_dependencies.routingState.inflight.begin(placement.slot, placement.missingTokens, now, m_context.head.trafficClass);
+    m_dependencies.routingState.caches.recordPlacement(placement.slot, placement.incarnation, m_chain, now);
+    m_dependencies.routingState.heat.record(base::hash64(m_context.pool->name.value()), m_chain, prefix::promptTokens(m_context.prompt),
+                                            static_cast<std::uint32_t>(std::max<std::size_t>(1, pool->eligible.size())), now);
     m_placed.emplace(placement.upstream, std::move(placed));
     return relay::AttemptPlan{placement.upstream, placement.endpoint, placement.incarnation, m_version, m_salt};
 }
 
-void RoutePlacer::firstToken(const relay::AttemptPlan &plan, base::Duration)
+void CompletionPlacer::firstToken(const relay::AttemptPlan &plan, base::Duration)
 {
     const auto it = m_placed.find(plan.upstream);
     if (it != m_placed.end()) {
@@ -79,7 +79,7 @@
     }
 }
 
-void RoutePlacer::ended(const relay::AttemptOutcome &outcome)
+void CompletionPlacer::ended(const relay::AttemptOutcome &outcome)
 {
     const auto it = m_placed.find(outcome.plan.upstream);
     if (it != m_placed.end()) {
@@ -87,31 +87,31 @@
         learn(outcome, it->second);
         m_placed.erase(it);
     }
-    m_parts.onAttempt({outcome.plan.upstream, outcome.plan.incarnation, noticeOf(outcome)});
+    m_dependencies.onAttempt({outcome.plan.upstream, outcome.plan.incarnation, toRegistryOutcome(outcome)});
 }
 
-std::uint64_t RoutePlacer::wastedTokens() const
+std::uint64_t CompletionPlacer::wastedTokens() const
 {
     return m_wastedTokens;
 }
 
-base::Result<routing::Placement> RoutePlacer::probe()
+base::Result<routing::Placement> CompletionPlacer::probe()
 {
-    const base::TimePoint now = m_parts.clock.now();
+    const base::TimePoint now = m_dependencies.clock.now();
     BOOST_OUTCOME_TRY(view, usableView(std::nullopt, now));
-    return m_parts.strategy.place(routingRequest({}, now), *view);
+    return m_dependencies.strategy.place(routingRequest({}, now), *view);
 }
 
-base::Result<routing::Explanation> RoutePlacer::explain()
+base::Result<routing::Explanation> CompletionPlacer::explain()
 {
-    const base::TimePoint now = m_parts.clock.now();
+    const base::TimePoint now = m_dependencies.clock.now();
     BOOST_OUTCOME_TRY(view, usableView(std::nullopt, now));
-    return m_parts.strategy.explain(routingRequest({}, now), *view);
+    return m_dependencies.strategy.explain(routingRequest({}, now), *view);
 }
 
-base::Result<std::shared_ptr<const upstreams::UpstreamView>> RoutePlacer::usableView(std::optional<base::WeightsVersion> version, base::TimePoint now)
+base::Result<std::shared_ptr<const upstreams::UpstreamView>> CompletionPlacer::usableView(std::optional<base::WeightsVersion> version, base::TimePoint now)
 {
-    auto view = m_parts.published.load()->upstreams;
+    auto view = m_dependencies.published.load()->upstreams;
     const auto *pool = view->pool(m_context.pool->name);
     if (pool == nullptr || !view->isUsable(now)) {
         return base::fail(base::ErrorKind::Unavailable, "the router has no fresh view of its upstreams; nothing ran, try again", ViewRetry);
@@ -120,7 +120,7 @@
     return view;
 }
 
-routing::PlacementRequest RoutePlacer::routingRequest(const std::vector<base::UpstreamId> &excluded, base::TimePoint now) const
+routing::PlacementRequest CompletionPlacer::routingRequest(const std::vector<base::UpstreamId> &excluded, base::TimePoint now) const
 {
     routing::PlacementRequest request;
     request.now = now;
@@ -135,7 +135,7 @@
     return request;
 }
 
-void RoutePlacer::prepareChain(base::WeightsVersion version)
+void CompletionPlacer::prepareChain(base::WeightsVersion version)
 {
     if (m_salt.value != 0 && version == m_version) {
         return;
@@ -145,10 +145,10 @@
     m_chain = prefix::blockHashChain(m_context.prompt, m_salt, m_context.pool->blockBytes);
 }
 
-std::uint32_t RoutePlacer::bestHeld(base::TimePoint now) const
+std::uint32_t CompletionPlacer::bestHeld(base::TimePoint now) const
 {
     std::vector<prefix::Holder> holders;
-    m_parts.knowledge.caches.findHolders(m_chain, now, holders);
+    m_dependencies.routingState.caches.findHolders(m_chain, now, holders);
     std::uint32_t best = 0;
     for (const auto &it : holders) {
         best = std::max(best, it.blocks);
@@ -156,13 +156,14 @@
     return best;
 }
 
-void RoutePlacer::learn(const relay::AttemptOutcome &outcome, const Placed &placed)
+void CompletionPlacer::learn(const relay::AttemptOutcome &outcome, const Placed &placed)
 {
     if (outcome.result != relay::AttemptResult::Finished || !outcome.usage || outcome.purpose == relay::AttemptPurpose::Continue) {
         return;
     }
     const auto cachedBlocks = static_cast<std::uint32_t>(outcome.usage->cachedTokens / m_blockTokens);
-    m_parts.knowledge.caches.recordAnswer({placed.slot, placed.incarnation, m_chain, placed.predictedBlocks, cachedBlocks}, m_parts.clock.now());
+    m_dependencies.routingState.caches.recordAnswer({placed.slot, placed.incarnation, m_chain, placed.predictedBlocks, cachedBlocks},
+                                                    m_dependencies.clock.now());
     if (placed.bestHeldBlocks > cachedBlocks) {
         m_wastedTokens += static_cast<std::uint64_t>(placed.bestHeldBlocks - cachedBlocks) * m_blockTokens;
     }
--- a/carawaylatch/router/routeplacer.h
+++ b/carawaylatch/router/completionplacer.h
@@ -10,36 +10,36 @@
 
 #include "carawaylatch/relay/attemptplan.h"
 #include "carawaylatch/router/filterchain.h"
-#include "carawaylatch/router/knowledge.h"
+#include "carawaylatch/router/routingstate.h"
 #include "carawaylatch/upstreams/registry.h"
 
 namespace carawaylatch::router
 {
 
 // What traffic threads tell the control thread about an attempt.
-struct AttemptNotice
+struct AttemptReport
 {
     base::UpstreamId upstream;
     base::Incarnation incarnation;
     upstreams::AttemptOutcome outcome = upstreams::AttemptOutcome::Succeeded;
 };
-using AttemptListener = std::function<void(const AttemptNotice &notice)>;
+using AttemptListener = std::function<void(const AttemptReport &attempt)>;
 
 // Parts that placing needs; all outlive the requests.
-struct PlacingParts
+struct PlacementDependencies
 {
-    const Published &published;
-    Knowledge &knowledge;
+    const ControlSnapshotPointer &published;
+    RoutingState &routingState;
     const routing::RoutingStrategy &strategy;
     const base::Clock &clock;
     AttemptListener onAttempt;
 };
 
-class RoutePlacer : public relay::Placer
+class CompletionPlacer : public relay::Placer
 {
 public:
     // Both outlive the placer.
-    RoutePlacer(const PlacingParts &parts, const RequestContext &context);
+    CompletionPlacer(const PlacementDependencies &dependencies, const RequestContext &context);
 
     [[nodiscard]] base::Result<relay::AttemptPlan> place(const relay::PlacementRequest &request) override;
     void firstToken(const relay::AttemptPlan &plan, base::Duration sinceStart) override;
@@ -71,7 +71,7 @@
     [[nodiscard]] std::uint32_t bestHeld(base::TimePoint now) const;
     void learn(const relay::AttemptOutcome &outcome, const Placed &placed);
 
-    const PlacingParts &m_parts;
+    const PlacementDependencies &m_dependencies;
     const RequestContext &m_context;
     std::uint32_t m_blockTokens = 1;
     base::WeightsVersion m_version; // of m_salt and m_chain
--- a/carawaylatch/router/configcontroller.cpp
+++ b/carawaylatch/router/configcontroller.cpp
@@ -37,11 +37,11 @@
 
 } // namespace
 
-ConfigController::ConfigController(const ControlParts &parts, PeerBus &bus, InForceHandler onInForce)
-    : m_parts(parts)
+ConfigController::ConfigController(const ControllerDependencies &dependencies, PeerBus &bus, InForceHandler onInForce)
+    : m_dependencies(dependencies)
     , m_bus(bus)
     , m_onInForce(std::move(onInForce))
-    , m_distributor(distributorOptions(parts.settings))
+    , m_distributor(distributorOptions(dependencies.settings))
 {
     m_bus.subscribe<config::ConfigUpdate>([this](const peer::PeerIdentity &sender, const config::ConfigUpdate &update, base::TimePoint now) {
         m_distributor.onUpdate(sender.id, update, now);
@@ -55,9 +55,9 @@
 
 void ConfigController::start()
 {
-    const config::DistributionPeer self{m_parts.settings.router.id, m_parts.settings.router.failureDomain};
+    const config::DistributionPeer self{m_dependencies.settings.router.id, m_dependencies.settings.router.failureDomain};
     m_distributor.onMembers({&self, 1});
-    carryOut(m_parts.clock.now());
+    carryOut(m_dependencies.clock.now());
     m_watcher = std::jthread([this](const std::stop_token &stop) {
         watch(stop);
     });
@@ -94,7 +94,7 @@
 {
     config::ConfigUpdate update;
     update.whole = std::make_shared<const config::RowSet>(rows);
-    m_distributor.onUpdate(m_parts.settings.router.id, update, now);
+    m_distributor.onUpdate(m_dependencies.settings.router.id, update, now);
     carryOut(now);
 }
 
@@ -135,7 +135,7 @@
 
 void ConfigController::watch(const std::stop_token &stop)
 {
-    config::HeadStore store(m_parts.objects);
+    config::HeadStore store(m_dependencies.objects);
     while (!stop.stop_requested()) {
         if (m_isWatcher) {
             watchOnce(store, stop);
@@ -152,11 +152,11 @@
         pause(RetryPause, stop);
         return;
     }
-    m_parts.loop.post([this, stored](base::TimePoint now) {
+    m_dependencies.loop.post([this, stored](base::TimePoint now) {
         m_distributor.onStored(stored.value().head, stored.value().rows);
         carryOut(now);
     });
-    const auto changes = m_parts.objects.watch(config::HeadName, stored.value().version, m_parts.settings.platform.watchWait);
+    const auto changes = m_dependencies.objects.watch(config::HeadName, stored.value().version, m_dependencies.settings.platform.watchWait);
     if (!changes) {
         pause(RetryPause, stop);
     }
--- a/carawaylatch/router/configcontroller.h
+++ b/carawaylatch/router/configcontroller.h
@@ -24,7 +24,7 @@
     using InForceHandler = std::function<void(std::shared_ptr<const config::Tables> tables, base::TimePoint now)>;
 
     // All outlive the controller.
-    ConfigController(const ControlParts &parts, PeerBus &bus, InForceHandler onInForce);
+    ConfigController(const ControllerDependencies &dependencies, PeerBus &bus, InForceHandler onInForce);
 
     void start();
     void stop();
@@ -42,7 +42,7 @@
     void watch(const std::stop_token &stop);
     void watchOnce(config::HeadStore &store, const std::stop_token &stop);
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     PeerBus &m_bus;
     const InForceHandler m_onInForce;
     config::Distributor m_distributor;
--- a/carawaylatch/router/published.h
+++ b/carawaylatch/router/controlsnapshot.h
@@ -13,9 +13,9 @@
 {
 
 // Whether new requests are taken; the balancer is told by /readyz.
-enum class Serving {
-    NotYet, // started, configuration or upstreams are missing
-    Yes,
+enum class ServingState {
+    NotReady, // started, configuration or upstreams are missing
+    Ready,
     Draining, // a planned stop began; requests that still come are served
     Refusing, // new requests are refused as not run
 };
@@ -25,17 +25,17 @@
     std::shared_ptr<const config::Tables> tables; // nullptr before the first configuration
     std::shared_ptr<const upstreams::UpstreamView> upstreams; // never nullptr
     std::shared_ptr<const membership::MembershipView> members; // nullptr before the first view
-    Serving serving = Serving::NotYet;
-    std::string notReadyBecause; // empty when ready
+    ServingState serving = ServingState::NotReady;
+    std::string notReadyMessage; // empty when ready
 };
 
 // The newest snapshot. Written by the control thread, read by all.
-class Published : public base::SnapshotPointer<ControlSnapshot>
+class ControlSnapshotPointer : public base::SnapshotPointer<ControlSnapshot>
 {
 public:
-    Published()
+    ControlSnapshotPointer()
         : SnapshotPointer(std::make_shared<const ControlSnapshot>(
-            ControlSnapshot{nullptr, std::make_shared<const upstreams::UpstreamView>(), nullptr, Serving::NotYet, "starting"}))
+            ControlSnapshot{nullptr, std::make_shared<const upstreams::UpstreamView>(), nullptr, ServingState::NotReady, "starting"}))
     {
     }
 };
--- a/carawaylatch/router/controlstate.cpp
+++ b/carawaylatch/router/controlstate.cpp
@@ -6,7 +6,7 @@
 namespace carawaylatch::router
 {
 
-ControlState::ControlState(Published &published)
+ControlState::ControlState(ControlSnapshotPointer &published)
     : m_published(published)
     , m_snapshot(*published.load())
 {
@@ -34,10 +34,10 @@
     }
 }
 
-void ControlState::setServing(Serving serving, std::string notReadyBecause)
+void ControlState::setServing(ServingState serving, std::string notReadyMessage)
 {
     m_snapshot.serving = serving;
-    m_snapshot.notReadyBecause = std::move(notReadyBecause);
+    m_snapshot.notReadyMessage = std::move(notReadyMessage);
     publish();
 }
 
--- a/carawaylatch/router/controlstate.h
+++ b/carawaylatch/router/controlstate.h
@@ -9,42 +9,42 @@
 #include "carawaylatch/base/eventloop.h"
 #include "carawaylatch/base/ids.h"
 #include "carawaylatch/config/settings.h"
-#include "carawaylatch/router/knowledge.h"
-#include "carawaylatch/router/published.h"
+#include "carawaylatch/router/controlsnapshot.h"
+#include "carawaylatch/router/routingstate.h"
 #include "carawaylatch/store/objectstore.h"
 
 namespace carawaylatch::router
 {
 
 // Parts that every controller uses; all outlive the controllers.
-struct ControlParts
+struct ControllerDependencies
 {
     const config::Settings &settings;
     const base::Clock &clock;
     const base::Incarnation incarnation;
     base::EventLoop &loop;
     store::ObjectStore &objects;
-    Knowledge &knowledge;
-    Published &published;
+    RoutingState &routingState;
+    ControlSnapshotPointer &published;
 };
 
 // The present state; each set function publishes a new snapshot. Control thread only.
 class ControlState
 {
 public:
-    explicit ControlState(Published &published);
+    explicit ControlState(ControlSnapshotPointer &published);
 
     void setTables(std::shared_ptr<const config::Tables> tables);
     void setUpstreams(std::shared_ptr<const upstreams::UpstreamView> view);
     void setMembers(std::shared_ptr<const membership::MembershipView> view);
-    void setServing(Serving serving, std::string notReadyBecause);
+    void setServing(ServingState serving, std::string notReadyMessage);
 
     [[nodiscard]] const ControlSnapshot &snapshot() const;
 
 private:
     void publish();
 
-    Published &m_published;
+    ControlSnapshotPointer &m_published;
     ControlSnapshot m_snapshot;
 };
 
--- a/carawaylatch/router/filterchain.cpp
+++ b/carawaylatch/router/filterchain.cpp
@@ -88,7 +88,7 @@
 base::Result<void> CheckServing::apply(RequestContext &context) const
 {
     const auto &snapshot = *context.snapshot;
-    if (snapshot.serving == Serving::Refusing) {
+    if (snapshot.serving == ServingState::Refusing) {
         return base::fail(base::ErrorKind::Unavailable, "this router is stopping; nothing ran, send the request to another one", NotServingRetry);
     }
     if (!snapshot.tables) {
--- a/carawaylatch/router/filterchain.h
+++ b/carawaylatch/router/filterchain.h
@@ -16,7 +16,7 @@
 #include "carawaylatch/base/time.h"
 #include "carawaylatch/config/tables.h"
 #include "carawaylatch/http/callerhandler.h"
-#include "carawaylatch/router/published.h"
+#include "carawaylatch/router/controlsnapshot.h"
 
 namespace carawaylatch::router
 {
--- a/carawaylatch/router/handovercontroller.cpp
+++ b/carawaylatch/router/handovercontroller.cpp
@@ -25,13 +25,13 @@
 constexpr std::size_t MaxLevels = 5'000;
 constexpr std::string_view SnapshotDuty = "snapshot";
 
-handover::WarmStartOptions startOptions(const ControlParts &parts)
+handover::WarmStartOptions startOptions(const ControllerDependencies &dependencies)
 {
     handover::WarmStartOptions options;
-    options.domain = parts.settings.router.failureDomain;
-    options.askDomain = parts.settings.timings.warmStart / 2;
-    options.askOthers = parts.settings.timings.warmStart / 2;
-    options.seed = base::combineHashes(parts.settings.routing.seed, parts.incarnation.value);
+    options.domain = dependencies.settings.router.failureDomain;
+    options.ownDomainTimeout = dependencies.settings.timings.warmStart / 2;
+    options.otherDomainsTimeout = dependencies.settings.timings.warmStart / 2;
+    options.seed = base::combineHashes(dependencies.settings.routing.seed, dependencies.incarnation.value);
     return options;
 }
 
@@ -84,21 +84,21 @@
 
 } // namespace
 
-HandoverController::HandoverController(const ControlParts &parts, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop,
+HandoverController::HandoverController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop,
                                        const HandoverSources &sources, ShutdownHooks hooks)
-    : m_parts(parts)
+    : m_dependencies(dependencies)
     , m_state(state)
     , m_bus(bus)
     , m_platformLoop(platformLoop)
     , m_sources(sources)
     , m_hooks(std::move(hooks))
-    , m_start(startOptions(parts), peer::decodeSnapshot, parts.clock.now())
+    , m_start(startOptions(dependencies), peer::decodeSnapshot, dependencies.clock.now())
     , m_server(
           [this] {
-              return peer::encodeSnapshot(makeSnapshot(m_parts.clock.now()));
+              return peer::encodeSnapshot(makeSnapshot(m_dependencies.clock.now()));
           },
           EncodingLifetime)
-    , m_stop(stopOptions(parts.settings))
+    , m_stop(stopOptions(dependencies.settings))
 {
     m_bus.subscribe<handover::SnapshotRequest>([this](const peer::PeerIdentity &sender, const handover::SnapshotRequest &request, base::TimePoint now) {
         m_bus.send(sender.id, m_server.answer(request, now));
@@ -108,18 +108,18 @@
         advance(now);
     });
     m_bus.subscribe<prefix::HotPlacements>([this](const auto &, const prefix::HotPlacements &placements, base::TimePoint now) {
-        m_parts.knowledge.caches.importHot(placements, now);
+        m_dependencies.routingState.caches.importHot(placements, now);
     });
 }
 
 void HandoverController::start(base::TimePoint now)
 {
-    m_tick = m_parts.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+    m_tick = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
         m_start.onTick(at);
         m_stop.onEvent(handover::ShutdownEvent::Tick, m_hooks.openRequests(), at);
         onState(at);
     });
-    m_snapshots = m_parts.loop.timers().every(now, m_parts.settings.timings.snapshot, [this](base::TimePoint at) {
+    m_snapshots = m_dependencies.loop.timers().every(now, m_dependencies.settings.timings.snapshot, [this](base::TimePoint at) {
         storeSnapshot(at);
     });
 }
@@ -128,7 +128,7 @@
 {
     m_start.onPeers(m_sources.members.peers(), now);
     if (const auto &members = m_state.snapshot().members) {
-        m_start.onSeenRevision(greatestRevision(*members));
+        m_start.onFleetRevision(greatestRevision(*members));
     }
     m_start.onState(m_sources.config.revision(), m_sources.upstreams.answeringCount(now));
     advance(now);
@@ -156,7 +156,7 @@
 void HandoverController::carryOutStart(base::TimePoint now)
 {
     for (const auto &it : m_start.takeActions()) {
-        if (const auto *ask = std::get_if<handover::AskPeer>(&it)) {
+        if (const auto *ask = std::get_if<handover::SendSnapshotRequest>(&it)) {
             m_bus.send(ask->peer, ask->request);
         } else if (const auto *loaded = std::get_if<handover::LoadSnapshot>(&it)) {
             load(loaded->snapshot, now);
@@ -173,7 +173,7 @@
     }
     m_sources.members.onRecords(snapshot.members, now);
     m_sources.upstreams.importMarks(snapshot.marks, now);
-    m_parts.knowledge.heat.importHot(snapshot.levels, now);
+    m_dependencies.routingState.heat.importHot(snapshot.levels, now);
     m_placements = snapshot.placements;
     m_importUntil = now + ImportPeriod;
     base::logEvent(base::LogEvent::WarmStartLoaded, {{"revision", std::to_string(snapshot.rows.revision.value)},
@@ -195,7 +195,7 @@
     ready.upstreams.assign(std::make_move_iterator(known), std::make_move_iterator(m_placements.upstreams.end()));
     m_placements.upstreams.erase(known, m_placements.upstreams.end());
     if (!ready.upstreams.empty()) {
-        m_parts.knowledge.caches.importHot(ready, now);
+        m_dependencies.routingState.caches.importHot(ready, now);
     }
     if (now > m_importUntil) {
         m_placements.upstreams.clear();
@@ -205,8 +205,8 @@
 void HandoverController::readPlatform()
 {
     m_platformLoop.post([this](base::TimePoint) {
-        auto stored = readStored(m_parts.objects, m_parts.settings.router.failureDomain);
-        m_parts.loop.post([this, stored = std::move(stored)](base::TimePoint now) {
+        auto stored = readStored(m_dependencies.objects, m_dependencies.settings.router.failureDomain);
+        m_dependencies.loop.post([this, stored = std::move(stored)](base::TimePoint now) {
             m_start.onPlatform(stored, now);
             advance(now);
         });
@@ -217,19 +217,19 @@
 {
     using handover::ShutdownStep;
     const auto &snapshot = m_state.snapshot();
-    Serving serving = m_start.readiness() == handover::NotReadyReason::None ? Serving::Yes : Serving::NotYet;
+    ServingState serving = m_start.readiness() == handover::NotReadyReason::None ? ServingState::Ready : ServingState::NotReady;
     if (m_stop.step() == ShutdownStep::NotReady) {
-        serving = Serving::Draining;
+        serving = ServingState::Draining;
     } else if (m_stop.step() != ShutdownStep::Running) {
-        serving = Serving::Refusing;
+        serving = ServingState::Refusing;
     }
-    const std::string because = m_start.notReadyBecause();
-    if (serving == snapshot.serving && because == snapshot.notReadyBecause) {
+    const std::string because = m_start.notReadyMessage();
+    if (serving == snapshot.serving && because == snapshot.notReadyMessage) {
         return;
     }
-    if (serving == Serving::Yes) {
+    if (serving == ServingState::Ready) {
         base::logEvent(base::LogEvent::RouterReady, {{"revision", std::to_string(m_sources.config.revision().value)},
-                                                     {"upstreams", std::to_string(m_sources.upstreams.answeringCount(m_parts.clock.now()))}});
+                                                     {"upstreams", std::to_string(m_sources.upstreams.answeringCount(m_dependencies.clock.now()))}});
     } else {
         base::logEvent(base::LogEvent::RouterNotReady, {{"reason", because}});
     }
@@ -251,8 +251,8 @@
             m_stop.onEvent(handover::ShutdownEvent::HandedOver, m_hooks.openRequests(), now);
             carryOutStop(now);
             break;
-        case handover::ShutdownAction::CutStreams:
-            m_hooks.cutStreams();
+        case handover::ShutdownAction::AbortStreams:
+            m_hooks.abortStreams();
             break;
         case handover::ShutdownAction::Depart:
             m_sources.members.depart(now);
@@ -270,7 +270,7 @@
 {
     const auto peers = m_sources.members.peers();
     if (!peers.empty()) {
-        m_bus.send(peers.front().id, m_parts.knowledge.caches.exportHot(MaxPlacements, m_parts.clock.now()));
+        m_bus.send(peers.front().id, m_dependencies.routingState.caches.exportHot(MaxPlacements, m_dependencies.clock.now()));
     }
 }
 
@@ -280,11 +280,11 @@
     snapshot.rows = *m_sources.config.rows();
     snapshot.members = m_sources.members.records();
     snapshot.marks = m_sources.upstreams.exportMarks();
-    snapshot.placements = m_parts.knowledge.caches.exportHot(MaxPlacements, now);
-    snapshot.levels = m_parts.knowledge.heat.exportHot(MaxLevels, now);
+    snapshot.placements = m_dependencies.routingState.caches.exportHot(MaxPlacements, now);
+    snapshot.levels = m_dependencies.routingState.heat.exportHot(MaxLevels, now);
     for (const auto &it : m_state.snapshot().upstreams->upstreams) {
         if (it.incarnation.value != 0) {
-            snapshot.lives.push_back({it.id, it.incarnation});
+            snapshot.incarnations.push_back({it.id, it.incarnation});
         }
     }
     handover::shrinkSnapshot(snapshot, handover::MaxSnapshotBytes);
@@ -300,7 +300,7 @@
     snapshot.rows = {};
     handover::shrinkSnapshot(snapshot, handover::MaxStoredSnapshotBytes);
     m_platformLoop.post([this, snapshot = std::move(snapshot)](base::TimePoint) {
-        const auto written = writeStored(m_parts.objects, m_parts.settings.router.failureDomain, snapshot);
+        const auto written = writeStored(m_dependencies.objects, m_dependencies.settings.router.failureDomain, snapshot);
         if (!written && written.error().kind != base::ErrorKind::Conflict) {
             base::logEvent(base::LogEvent::SnapshotNotStored, {{"problem", written.error().message}});
         }
@@ -310,7 +310,8 @@
 bool HandoverController::writesSnapshots() const
 {
     const auto &snapshot = m_state.snapshot();
-    return snapshot.serving == Serving::Yes && snapshot.members && snapshot.members->isSelfAmongFirst(1, SnapshotDuty, m_parts.settings.router.failureDomain);
+    return snapshot.serving == ServingState::Ready && snapshot.members
+           && snapshot.members->isSelfAmongFirst(1, SnapshotDuty, m_dependencies.settings.router.failureDomain);
 }
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/handovercontroller.h
+++ b/carawaylatch/router/handovercontroller.h
@@ -30,7 +30,7 @@
 {
     std::function<std::size_t()> openRequests;
     std::function<void()> refuseRequests; // waiting ones too
-    std::function<void()> cutStreams;
+    std::function<void()> abortStreams;
     std::function<void()> exit;
 };
 
@@ -38,8 +38,8 @@
 {
 public:
     // `platformLoop` runs blocking calls to the platform. All outlive the controller.
-    HandoverController(const ControlParts &parts, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop, const HandoverSources &sources,
-                       ShutdownHooks hooks);
+    HandoverController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop,
+                       const HandoverSources &sources, ShutdownHooks hooks);
 
     void start(base::TimePoint now);
     // Revision in force or answering upstreams may have changed.
@@ -60,7 +60,7 @@
     void storeSnapshot(base::TimePoint now);
     [[nodiscard]] bool writesSnapshots() const;
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     ControlState &m_state;
     PeerBus &m_bus;
     base::EventLoop &m_platformLoop;
--- a/carawaylatch/router/membercontroller.cpp
+++ b/carawaylatch/router/membercontroller.cpp
@@ -45,15 +45,17 @@
 
 } // namespace
 
-MemberController::MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
-                                   const base::Endpoint &peerEndpoint, ViewHandler onView, RevisionHandler onRevision)
-    : m_parts(parts)
+MemberController::MemberController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus,
+                                   admission::AdmissionController &admissionController, const base::Endpoint &peerEndpoint, ViewHandler onView,
+                                   RevisionHandler onRevision)
+    : m_dependencies(dependencies)
     , m_state(state)
     , m_bus(bus)
     , m_admissionController(admissionController)
     , m_onView(std::move(onView))
     , m_onRevision(std::move(onRevision))
-    , m_members(memberOptions(parts.settings, parts.incarnation), selfRecord(parts.settings, parts.incarnation, peerEndpoint), parts.clock.now())
+    , m_members(memberOptions(dependencies.settings, dependencies.incarnation), selfRecord(dependencies.settings, dependencies.incarnation, peerEndpoint),
+                dependencies.clock.now())
 {
     m_bus.setResolver([this](const base::RouterId &router) {
         return endpointOf(router);
@@ -82,12 +84,12 @@
 
 void MemberController::start(base::TimePoint now)
 {
-    m_members.onSeeds(m_parts.settings.peers.seeds);
-    m_tick = m_parts.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+    m_members.onSeeds(m_dependencies.settings.peers.seeds);
+    m_tick = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
         m_members.onTick(at);
         advance(at);
     });
-    m_shares = m_parts.loop.timers().every(now, ShareInterval, [this](base::TimePoint at) {
+    m_shares = m_dependencies.loop.timers().every(now, ShareInterval, [this](base::TimePoint at) {
         exchangeShares(at);
     });
 }
@@ -142,7 +144,7 @@
         }
     }
     std::stable_partition(peers.begin(), peers.end(), [this](const config::DistributionPeer &it) {
-        return it.domain == m_parts.settings.router.failureDomain;
+        return it.domain == m_dependencies.settings.router.failureDomain;
     });
     return peers;
 }
@@ -166,7 +168,7 @@
     const auto view = m_members.view();
     if (view != m_state.snapshot().members) {
         m_state.setMembers(view);
-        m_parts.knowledge.routers = static_cast<std::uint32_t>(std::max<std::size_t>(1, view->liveCount()));
+        m_dependencies.routingState.routers = static_cast<std::uint32_t>(std::max<std::size_t>(1, view->liveCount()));
         m_onView(*view, now);
     }
 }
--- a/carawaylatch/router/membercontroller.h
+++ b/carawaylatch/router/membercontroller.h
@@ -22,7 +22,7 @@
     using RevisionHandler = std::function<void(const base::RouterId &peer, base::Revision revision, base::TimePoint now)>;
 
     // All outlive the controller.
-    MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
+    MemberController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
                      const base::Endpoint &peerEndpoint, ViewHandler onView, RevisionHandler onRevision);
 
     void start(base::TimePoint now);
@@ -42,7 +42,7 @@
     void exchangeShares(base::TimePoint now);
     [[nodiscard]] base::Endpoint endpointOf(const base::RouterId &router) const;
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     ControlState &m_state;
     PeerBus &m_bus;
     admission::AdmissionController &m_admissionController;
--- a/carawaylatch/router/operatordesk.h
+++ b/carawaylatch/router/operatorrequesthandler.h
@@ -17,14 +17,14 @@
 {
 
 // Parts that outlive the desk.
-struct OperatorParts
+struct OperatorDependencies
 {
     const config::Settings &settings;
     base::Incarnation incarnation;
     const base::Clock &clock;
     base::EventLoop &loop;
-    const Published &published;
-    const Knowledge &knowledge;
+    const ControlSnapshotPointer &published;
+    const RoutingState &routingState;
     const admission::AdmissionController &admissionController;
     telemetry::Metrics &metrics;
     TrafficPlane &traffic;
@@ -33,10 +33,10 @@
     const store::HttpObjectStore &objects;
 };
 
-class OperatorDesk : public http::OperatorHandler
+class OperatorRequestHandler : public http::OperatorHandler
 {
 public:
-    explicit OperatorDesk(const OperatorParts &parts);
+    explicit OperatorRequestHandler(const OperatorDependencies &dependencies);
 
     [[nodiscard]] std::string notReadyBecause() override;
     [[nodiscard]] std::string metricsText() override;
@@ -55,7 +55,7 @@
     [[nodiscard]] telemetry::StatusReport report();
     [[nodiscard]] base::Result<void> known(const base::UpstreamId &upstream) const;
 
-    const OperatorParts m_parts;
+    const OperatorDependencies m_dependencies;
     const base::TimePoint m_startedAt;
     std::mutex m_mutex;
     // All below are guarded by m_mutex.
--- a/carawaylatch/router/platformduties.cpp
+++ b/carawaylatch/router/periodictasks.cpp
@@ -5,7 +5,7 @@
 //
 // Three loops: one for the platform's list and snapshots, one for orders, whose
 // outcomes must not wait behind anything, one for the fleet, which waits for engines.
-#include "carawaylatch/router/platformduties.h"
+#include "carawaylatch/router/periodictasks.h"
 
 #include <utility>
 
@@ -36,25 +36,25 @@
 
 } // namespace
 
-PlatformDuties::PlatformDuties(const ControlParts &parts, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList)
-    : m_parts(parts)
+PeriodicTasks::PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList)
+    : m_dependencies(dependencies)
     , m_executor(executor)
     , m_onList(std::move(onList))
-    , m_pruner(parts.objects, {})
-    , m_fleet({parts.settings.router.id, parts.incarnation, parts.settings.router.failureDomain}, parts.objects, engines, parts.clock,
-              fleetSettings(parts.settings))
-    , m_platformLoop(parts.clock)
-    , m_orderLoop(parts.clock)
-    , m_fleetLoop(parts.clock)
+    , m_pruner(dependencies.objects, {})
+    , m_fleet({dependencies.settings.router.id, dependencies.incarnation, dependencies.settings.router.failureDomain}, dependencies.objects, engines,
+              dependencies.clock, fleetSettings(dependencies.settings))
+    , m_platformLoop(dependencies.clock)
+    , m_orderLoop(dependencies.clock)
+    , m_fleetLoop(dependencies.clock)
 {
 }
 
-PlatformDuties::~PlatformDuties()
+PeriodicTasks::~PeriodicTasks()
 {
     stop();
 }
 
-void PlatformDuties::start(base::TimePoint now)
+void PeriodicTasks::start(base::TimePoint now)
 {
     m_timers.push_back(m_platformLoop.timers().every(now, ListInterval, [this](base::TimePoint) {
         readList();
@@ -73,7 +73,7 @@
     m_fleetLoop.start();
 }
 
-void PlatformDuties::stop()
+void PeriodicTasks::stop()
 {
     m_platformLoop.stop();
     m_orderLoop.stop();
@@ -81,46 +81,46 @@
     m_timers.clear();
 }
 
-base::EventLoop &PlatformDuties::platformLoop()
+base::EventLoop &PeriodicTasks::platformLoop()
 {
     return m_platformLoop;
 }
 
-void PlatformDuties::readList()
+void PeriodicTasks::readList()
 {
     if (!isAmongFirst(ListDuty, ListReaders)) {
         return;
     }
-    const auto vms = m_parts.objects.vms();
+    const auto vms = m_dependencies.objects.vms();
     if (!vms && !m_isListFailing) {
         base::logEvent(base::LogEvent::PlatformListFailed, {{"problem", vms.error().message}});
     }
     m_isListFailing = !vms;
     if (vms) {
-        m_parts.loop.post([this, list = vms.value()](base::TimePoint now) {
+        m_dependencies.loop.post([this, list = vms.value()](base::TimePoint now) {
             m_onList(list, now);
         });
     }
 }
 
-void PlatformDuties::stepFleet()
+void PeriodicTasks::stepFleet()
 {
-    const auto snapshot = m_parts.published.load();
-    if (snapshot->tables && snapshot->serving == Serving::Yes && isAmongFirst(FleetDuty, LeaseCandidates)) {
+    const auto snapshot = m_dependencies.published.load();
+    if (snapshot->tables && snapshot->serving == ServingState::Ready && isAmongFirst(FleetDuty, LeaseCandidates)) {
         m_fleet.step(snapshot->tables->pools);
     }
 }
 
-void PlatformDuties::stepRetention(base::TimePoint now)
+void PeriodicTasks::stepRetention(base::TimePoint now)
 {
     m_pruner.step(now, isAmongFirst(RetentionDuty, 1) ? orders::PrunerRole::Pruner : orders::PrunerRole::Observer);
     m_executor.setEpoch(m_pruner.epoch());
 }
 
-bool PlatformDuties::isAmongFirst(std::string_view duty, std::size_t n) const
+bool PeriodicTasks::isAmongFirst(std::string_view duty, std::size_t n) const
 {
-    const auto snapshot = m_parts.published.load();
-    return !snapshot->members || snapshot->members->isSelfAmongFirst(n, duty, m_parts.settings.router.failureDomain);
+    const auto snapshot = m_dependencies.published.load();
+    return !snapshot->members || snapshot->members->isSelfAmongFirst(n, duty, m_dependencies.settings.router.failureDomain);
 }
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/platformduties.h
+++ b/carawaylatch/router/periodictasks.h
@@ -14,14 +14,14 @@
 namespace carawaylatch::router
 {
 
-class PlatformDuties
+class PeriodicTasks
 {
 public:
     using ListHandler = std::function<void(const std::vector<store::VmRecord> &vms, base::TimePoint now)>;
 
     // All outlive the duties; `onList` is called on the control thread.
-    PlatformDuties(const ControlParts &parts, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList);
-    ~PlatformDuties();
+    PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList);
+    ~PeriodicTasks();
 
     void start(base::TimePoint now);
     void stop();
@@ -35,7 +35,7 @@
     // Tells whether this router is among the first n of its domain for a duty.
     [[nodiscard]] bool isAmongFirst(std::string_view duty, std::size_t n) const;
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     orders::OrderExecutor &m_executor;
     const ListHandler m_onList;
     orders::RecordPruner m_pruner; // order loop
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -19,8 +19,8 @@
 #include "carawaylatch/router/configcontroller.h"
 #include "carawaylatch/router/handovercontroller.h"
 #include "carawaylatch/router/membercontroller.h"
-#include "carawaylatch/router/operatordesk.h"
-#include "carawaylatch/router/platformduties.h"
+#include "carawaylatch/router/operatorrequesthandler.h"
+#include "carawaylatch/router/periodictasks.h"
 #include "carawaylatch/router/trafficplane.h"
 #include "carawaylatch/router/upstreamcontroller.h"
 #include "carawaylatch/store/httpobjectstore.h"
@@ -79,10 +79,10 @@
 }
 
 // What the published member list says of other routers.
-class PublishedLiveness : public orders::RouterLiveness
+class MembershipLiveness : public orders::RouterLiveness
 {
 public:
-    explicit PublishedLiveness(const Published &published)
+    explicit MembershipLiveness(const ControlSnapshotPointer &published)
         : m_published(published)
     {
     }
@@ -102,7 +102,7 @@
     }
 
 private:
-    const Published &m_published;
+    const ControlSnapshotPointer &m_published;
 };
 
 } // namespace
@@ -139,9 +139,9 @@
         UpstreamController upstreams;
         ConfigController config;
         MemberController members;
-        PlatformDuties duties;
+        PeriodicTasks tasks;
         HandoverController handover;
-        OperatorDesk desk;
+        OperatorRequestHandler operatorHandler;
     };
 
     void startControllers();
@@ -156,11 +156,11 @@
     const base::SteadyClock m_clock;
     const base::Incarnation m_incarnation = base::newIncarnation();
     base::EventLoop m_loop{m_clock};
-    Published m_published;
+    ControlSnapshotPointer m_published;
     telemetry::Metrics m_metrics;
-    Knowledge m_knowledge;
+    RoutingState m_routingState;
     store::HttpObjectStore m_objects;
-    const ControlParts m_controlParts;
+    const ControllerDependencies m_controllerDependencies;
     ControlState m_state{m_published};
     http::UpstreamClient m_upstreamClient{PollTimeout};
     peer::Http2Transport m_transport;
@@ -175,15 +175,15 @@
     http::ServiceClient m_serviceClient{ConnectTimeout};
     relay::RelayDriver m_relay;
     orders::ObjectRecordStore m_claims{m_objects};
-    const PublishedLiveness m_liveness{m_published};
+    const MembershipLiveness m_liveness{m_published};
     orders::OrderExecutor m_orderExecutor;
     std::unique_ptr<routing::RoutingStrategy> m_strategy;
     std::unique_ptr<TrafficPlane> m_traffic;
 
     std::unique_ptr<Controllers> m_controllers;
     // The operators' port forwards to the desk in m_controllers.
-    class OperatorFront;
-    std::unique_ptr<OperatorFront> m_operatorFront;
+    class RequestHandlerProxy;
+    std::unique_ptr<RequestHandlerProxy> m_handlerProxy;
     http::CallersServer m_callers;
     http::OperatorsServer m_operators;
     base::TimerService::Subscription m_sampleTimer;
@@ -195,41 +195,41 @@
 
 // The ports are bound after the controllers stand, but their types need a handler
 // from the start.
-class Router::Impl::OperatorFront : public http::OperatorHandler, public http::CallerHandler
+class Router::Impl::RequestHandlerProxy : public http::OperatorHandler, public http::CallerHandler
 {
 public:
-    explicit OperatorFront(Impl &router)
+    explicit RequestHandlerProxy(Impl &router)
         : m_router(router)
     {
     }
 
     std::string notReadyBecause() override
     {
-        return desk().notReadyBecause();
+        return operatorHandler().notReadyBecause();
     }
     std::string metricsText() override
     {
-        return desk().metricsText();
+        return operatorHandler().metricsText();
     }
     std::string statusJson() override
     {
-        return desk().statusJson();
+        return operatorHandler().statusJson();
     }
     std::string dashboard() override
     {
-        return desk().dashboard();
+        return operatorHandler().dashboard();
     }
     base::Result<std::string> explainJson(const http::CompletionCall &call) override
     {
-        return desk().explainJson(call);
+        return operatorHandler().explainJson(call);
     }
     base::Result<void> drain(const base::UpstreamId &upstream) override
     {
-        return desk().drain(upstream);
+        return operatorHandler().drain(upstream);
     }
     base::Result<void> undrain(const base::UpstreamId &upstream) override
     {
-        return desk().undrain(upstream);
+        return operatorHandler().undrain(upstream);
     }
     void complete(const http::CompletionCall &call, relay::CallerSink &sink) override
     {
@@ -245,43 +245,43 @@
     }
 
 private:
-    OperatorDesk &desk()
+    OperatorRequestHandler &operatorHandler()
     {
-        return m_router.m_controllers->desk;
+        return m_router.m_controllers->operatorHandler;
     }
 
     Impl &m_router;
 };
 
 Router::Impl::Controllers::Controllers(Impl &router)
-    : upstreams(router.m_controlParts, router.m_state, router.m_bus, router.m_upstreamClient, router.m_admissionController, router.m_metrics)
-    , config(router.m_controlParts, router.m_bus,
+    : upstreams(router.m_controllerDependencies, router.m_state, router.m_bus, router.m_upstreamClient, router.m_admissionController, router.m_metrics)
+    , config(router.m_controllerDependencies, router.m_bus,
              [&router](const auto &tables, base::TimePoint now) {
                  router.applyTables(tables, now);
              })
     , members(
-          router.m_controlParts, router.m_state, router.m_bus, router.m_admissionController, router.m_transport.endpoint(),
+          router.m_controllerDependencies, router.m_state, router.m_bus, router.m_admissionController, router.m_transport.endpoint(),
           [this](const auto &view, base::TimePoint now) {
               config.onMembers(view, now);
           },
           [this](const auto &peer, base::Revision revision, base::TimePoint now) {
               config.onPeerRevision(peer, revision, now);
           })
-    , duties(router.m_controlParts, router.m_orderExecutor, router.m_upstreamClient,
-             [&router](const auto &vms, base::TimePoint now) {
-                 router.onList(vms, now);
-             })
-    , handover(router.m_controlParts, router.m_state, router.m_bus, duties.platformLoop(), {config, members, upstreams}, router.shutdownHooks())
-    , desk({router.m_settings, router.m_incarnation, router.m_clock, router.m_loop, router.m_published, router.m_knowledge, router.m_admissionController,
-            router.m_metrics, *router.m_traffic, upstreams, router.m_transport, router.m_objects})
+    , tasks(router.m_controllerDependencies, router.m_orderExecutor, router.m_upstreamClient,
+            [&router](const auto &vms, base::TimePoint now) {
+                router.onList(vms, now);
+            })
+    , handover(router.m_controllerDependencies, router.m_state, router.m_bus, tasks.platformLoop(), {config, members, upstreams}, router.shutdownHooks())
+    , operatorHandler({router.m_settings, router.m_incarnation, router.m_clock, router.m_loop, router.m_published, router.m_routingState,
+                       router.m_admissionController, router.m_metrics, *router.m_traffic, upstreams, router.m_transport, router.m_objects})
 {
 }
 
 Router::Impl::Impl(const config::Settings &settings)
     : m_settings(settings)
-    , m_knowledge(indexOptions(settings))
+    , m_routingState(indexOptions(settings))
     , m_objects({settings.platform.address, settings.platform.port}, settings.router.failureDomain, settings.platform.timeout)
-    , m_controlParts{m_settings, m_clock, m_incarnation, m_loop, m_objects, m_knowledge, m_published}
+    , m_controllerDependencies{m_settings, m_clock, m_incarnation, m_loop, m_objects, m_routingState, m_published}
     , m_transport(transportOptions(settings, m_incarnation))
     , m_admissionController(admissionOptions(settings, m_incarnation), m_clock)
     , m_attemptIds(settings.router.id, m_incarnation)
@@ -294,9 +294,9 @@
                      })
     , m_relay(m_engineClient, m_clock, m_attemptIds, m_budgets, m_hedgeDelays)
     , m_orderExecutor(settings.router.id, m_incarnation, m_claims, m_liveness, m_clock)
-    , m_operatorFront(std::make_unique<OperatorFront>(*this))
-    , m_callers(callersOptions(settings), *m_operatorFront)
-    , m_operators({settings.operators.address, settings.operators.port}, *m_operatorFront)
+    , m_handlerProxy(std::make_unique<RequestHandlerProxy>(*this))
+    , m_callers(callersOptions(settings), *m_handlerProxy)
+    , m_operators({settings.operators.address, settings.operators.port}, *m_handlerProxy)
 {
 }
 
@@ -307,21 +307,21 @@
 
 base::Result<void> Router::Impl::start()
 {
-    BOOST_OUTCOME_TRY(strategy, routing::makeStrategy(m_settings.routing.strategy, m_knowledge.forStrategy(), m_settings.routing.seed));
+    BOOST_OUTCOME_TRY(strategy, routing::makeStrategy(m_settings.routing.strategy, m_routingState.sharedRoutingState(), m_settings.routing.seed));
     m_strategy = std::move(strategy);
-    const AttemptListener onAttempt = [this](const AttemptNotice &notice) {
-        m_loop.post([this, notice](base::TimePoint now) {
-            m_controllers->upstreams.onAttempt(notice, now);
+    const AttemptListener onAttempt = [this](const AttemptReport &attempt) {
+        m_loop.post([this, attempt](base::TimePoint now) {
+            m_controllers->upstreams.onAttempt(attempt, now);
         });
     };
-    m_traffic = std::make_unique<TrafficPlane>(TrafficParts{{m_published, m_knowledge, *m_strategy, m_clock, onAttempt},
-                                                            m_admissionController,
-                                                            m_relay,
-                                                            m_orderExecutor,
-                                                            m_serviceClient,
-                                                            m_attemptIds,
-                                                            m_metrics,
-                                                            m_settings.timings.upstreamTimeout});
+    m_traffic = std::make_unique<TrafficPlane>(TrafficDependencies{{m_published, m_routingState, *m_strategy, m_clock, onAttempt},
+                                                                   m_admissionController,
+                                                                   m_relay,
+                                                                   m_orderExecutor,
+                                                                   m_serviceClient,
+                                                                   m_attemptIds,
+                                                                   m_metrics,
+                                                                   m_settings.timings.upstreamTimeout});
     BOOST_OUTCOME_TRYV(m_transport.start([this](const peer::PeerEnvelope &envelope) {
         m_bus.deliver(envelope);
     }));
@@ -347,9 +347,9 @@
     m_controllers->members.start(now);
     m_controllers->upstreams.start(now);
     m_controllers->handover.start(now);
-    m_controllers->duties.start(now);
+    m_controllers->tasks.start(now);
     m_sampleTimer = m_loop.timers().every(now, SampleInterval, [this](base::TimePoint at) {
-        m_controllers->desk.sample(at);
+        m_controllers->operatorHandler.sample(at);
     });
     m_loop.start();
 }
@@ -382,8 +382,8 @@
     hooks.exit = [this] {
         noteStopped(StopKind::Graceful);
     };
-    hooks.cutStreams = [this] {
-        noteStopped(StopKind::Cut);
+    hooks.abortStreams = [this] {
+        noteStopped(StopKind::Forced);
     };
     return hooks;
 }
@@ -435,7 +435,7 @@
     if (m_controllers) {
         m_controllers->upstreams.stop();
         m_controllers->config.stop();
-        m_controllers->duties.stop();
+        m_controllers->tasks.stop();
     }
     m_loop.stop();
     m_transport.stop();
--- a/carawaylatch/router/router.h
+++ b/carawaylatch/router/router.h
@@ -21,7 +21,7 @@
 
 enum class StopKind {
     Graceful, // every open stream was finished
-    Cut, // a second request ended what was still open
+    Forced, // a second request ended what was still open
 };
 
 class Router
--- a/carawaylatch/router/knowledge.h
+++ b/carawaylatch/router/routingstate.h
@@ -13,14 +13,14 @@
 namespace carawaylatch::router
 {
 
-struct Knowledge
+struct RoutingState
 {
-    explicit Knowledge(const prefix::CacheIndexOptions &options)
+    explicit RoutingState(const prefix::CacheIndexOptions &options)
         : caches(options)
     {
     }
 
-    [[nodiscard]] routing::SharedRoutingState forStrategy() const
+    [[nodiscard]] routing::SharedRoutingState sharedRoutingState() const
     {
         return {&caches, &heat, &inflight, &routers};
     }
--- a/carawaylatch/router/servicechooser.cpp
+++ b/carawaylatch/router/servicechooser.cpp
@@ -12,8 +12,8 @@
 constexpr std::uint32_t CallTokens = 1; // load of one call in the in-flight table
 }
 
-ServiceChooser::ServiceChooser(const PlacingParts &parts, const RequestContext &context)
-    : m_parts(parts)
+ServiceChooser::ServiceChooser(const PlacementDependencies &dependencies, const RequestContext &context)
+    : m_dependencies(dependencies)
     , m_context(context)
 {
 }
@@ -21,8 +21,8 @@
 base::Result<orders::ChosenUpstream> ServiceChooser::choose(const std::vector<base::UpstreamId> &refused)
 {
     m_ticket.finish();
-    const base::TimePoint now = m_parts.clock.now();
-    const auto view = m_parts.published.load()->upstreams;
+    const base::TimePoint now = m_dependencies.clock.now();
+    const auto view = m_dependencies.published.load()->upstreams;
     routing::PlacementRequest request;
     request.now = now;
     request.pool = m_context.pool->name;
@@ -30,11 +30,11 @@
     request.deadline = m_context.deadline;
     request.excluded = refused;
     request.spreadKey = base::hash64(m_context.head.requestId);
-    BOOST_OUTCOME_TRY(placement, m_parts.strategy.place(request, *view));
+    BOOST_OUTCOME_TRY(placement, m_dependencies.strategy.place(request, *view));
     if (!view->maySend(placement.upstream, placement.incarnation, now)) {
         return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", base::seconds{1});
     }
-    m_ticket = m_parts.knowledge.inflight.begin(placement.slot, CallTokens, now, m_context.head.trafficClass);
+    m_ticket = m_dependencies.routingState.inflight.begin(placement.slot, CallTokens, now, m_context.head.trafficClass);
     return orders::ChosenUpstream{placement.upstream, placement.endpoint};
 }
 
--- a/carawaylatch/router/servicechooser.h
+++ b/carawaylatch/router/servicechooser.h
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "carawaylatch/orders/orderexecutor.h"
-#include "carawaylatch/router/routeplacer.h"
+#include "carawaylatch/router/completionplacer.h"
 
 namespace carawaylatch::router
 {
@@ -13,12 +13,12 @@
 {
 public:
     // Both outlive the chooser.
-    ServiceChooser(const PlacingParts &parts, const RequestContext &context);
+    ServiceChooser(const PlacementDependencies &dependencies, const RequestContext &context);
 
     [[nodiscard]] base::Result<orders::ChosenUpstream> choose(const std::vector<base::UpstreamId> &refused) override;
 
 private:
-    const PlacingParts &m_parts;
+    const PlacementDependencies &m_dependencies;
     const RequestContext &m_context;
     upstreams::InflightTable::Ticket m_ticket; // of the call under way
 };
--- a/carawaylatch/router/statusbuilder.cpp
+++ b/carawaylatch/router/statusbuilder.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "carawaylatch/router/shownstate.h"
+#include "carawaylatch/router/telemetrystate.h"
 #include "carawaylatch/telemetry/processcost.h"
 
 namespace carawaylatch::router
@@ -39,14 +39,15 @@
     }
 }
 
-telemetry::UpstreamStatus upstreamRow(const upstreams::UpstreamStatus &status, const base::PoolName &pool, const Knowledge &knowledge, base::TimePoint now)
+telemetry::UpstreamStatus upstreamRow(const upstreams::UpstreamStatus &status, const base::PoolName &pool, const RoutingState &routingState,
+                                      base::TimePoint now)
 {
     telemetry::UpstreamStatus row;
     row.id = status.id;
     row.pool = pool;
     row.domain = status.domain;
     row.endpoint = status.endpoint;
-    row.state = shownState(status.state);
+    row.state = toTelemetryState(status.state);
     row.incarnation = status.incarnation;
     row.weightsVersion = status.load.weightsVersion;
     row.running = status.load.running;
@@ -54,13 +55,13 @@
     row.queuedTokens = status.load.queuedTokens;
     row.usedBlocks = status.load.usedBlocks;
     row.capacityBlocks = status.load.capacityBlocks;
-    row.inFlight = knowledge.inflight.counts(status.slot, now, now).requests;
-    row.confidence = knowledge.caches.confidence(status.slot);
+    row.inFlight = routingState.inflight.counts(status.slot, now, now).requests;
+    row.confidence = routingState.caches.confidence(status.slot);
     row.reportAge = status.incarnation.value == 0 ? base::Duration{} : now - status.loadAt;
     return row;
 }
 
-void addPools(telemetry::StatusReport &report, const ControlSnapshot &snapshot, const Knowledge &knowledge, base::TimePoint now)
+void addPools(telemetry::StatusReport &report, const ControlSnapshot &snapshot, const RoutingState &routingState, base::TimePoint now)
 {
     for (const auto &pool : snapshot.tables->pools) {
         telemetry::PoolStatus row;
@@ -75,7 +76,7 @@
         report.pools.push_back(row);
         for (const auto &it : pool.members) {
             if (const auto *status = snapshot.upstreams->find(it.id)) {
-                report.upstreams.push_back(upstreamRow(*status, pool.name, knowledge, now));
+                report.upstreams.push_back(upstreamRow(*status, pool.name, routingState, now));
             }
         }
     }
@@ -145,12 +146,12 @@
     const auto snapshot = sources.published.load();
     telemetry::StatusReport report;
     report.router = sources.self;
-    report.router.readiness = snapshot->serving == Serving::Yes ? telemetry::Readiness::Ready : telemetry::Readiness::NotReady;
-    report.router.reason = snapshot->notReadyBecause;
+    report.router.readiness = snapshot->serving == ServingState::Ready ? telemetry::Readiness::Ready : telemetry::Readiness::NotReady;
+    report.router.reason = snapshot->notReadyMessage;
     addPeers(report, *snapshot);
     if (snapshot->tables) {
         report.router.revision = snapshot->tables->revision;
-        addPools(report, *snapshot, sources.knowledge, now);
+        addPools(report, *snapshot, sources.routingState, now);
         addRoutes(report, *snapshot->tables);
         addCustomers(report, *snapshot->tables, sources.admissionController, sources.rates, now);
     }
--- a/carawaylatch/router/statusbuilder.h
+++ b/carawaylatch/router/statusbuilder.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "carawaylatch/admission/admissioncontroller.h"
-#include "carawaylatch/router/knowledge.h"
-#include "carawaylatch/router/published.h"
+#include "carawaylatch/router/controlsnapshot.h"
+#include "carawaylatch/router/routingstate.h"
 #include "carawaylatch/telemetry/metrics.h"
 #include "carawaylatch/telemetry/statusreport.h"
 
@@ -29,8 +29,8 @@
 // Parts that the report is made of.
 struct StatusSources
 {
-    const Published &published;
-    const Knowledge &knowledge;
+    const ControlSnapshotPointer &published;
+    const RoutingState &routingState;
     const admission::AdmissionController &admissionController;
     const telemetry::Metrics &metrics;
     telemetry::RouterStatus self; // without what the snapshot holds
--- a/carawaylatch/router/shownstate.cpp
+++ b/carawaylatch/router/telemetrystate.cpp
@@ -1,10 +1,10 @@
 // Operators see five states; why an upstream takes no work is in the log.
-#include "carawaylatch/router/shownstate.h"
+#include "carawaylatch/router/telemetrystate.h"
 
 namespace carawaylatch::router
 {
 
-telemetry::UpstreamState shownState(upstreams::UpstreamState state)
+telemetry::UpstreamState toTelemetryState(upstreams::UpstreamState state)
 {
     switch (state) {
     case upstreams::UpstreamState::Live:
--- a/carawaylatch/router/shownstate.h
+++ b/carawaylatch/router/telemetrystate.h
@@ -8,6 +8,6 @@
 {
 
 // Returns the state that operators are shown.
-[[nodiscard]] telemetry::UpstreamState shownState(upstreams::UpstreamState state);
+[[nodiscard]] telemetry::UpstreamState toTelemetryState(upstreams::UpstreamState state);
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/testing/routerfaulttest.cpp
+++ b/carawaylatch/router/testing/routerfaulttest.cpp
@@ -6,7 +6,7 @@
 #include <thread>
 
 #include "carawaylatch/router/testing/faultyengine.h"
-#include "carawaylatch/router/testing/smallfleet.h"
+#include "carawaylatch/router/testing/testfleet.h"
 
 namespace carawaylatch::router::testing
 {
@@ -30,7 +30,7 @@
     void testOrdersAtEveryPlatformCall()
     {
         constexpr std::uint64_t Calls = 6;
-        SmallFleet fleet(1);
+        TestFleet fleet(1);
         int cases = 0;
         for (const char *mode : {"down", "lose_answers"}) {
             for (std::uint64_t skip = 0; skip < Calls; ++skip) {
@@ -53,7 +53,7 @@
         int whole = 0;
         for (const StreamFault fault : AllStreamFaults) {
             FaultyEngine faulty;
-            SmallFleet fleet(1, {faulty.endpoint()});
+            TestFleet fleet(1, {faulty.endpoint()});
             for (std::uint32_t step = 0; step < Tokens; ++step) {
                 faulty.setFault(fault, step);
                 whole += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
@@ -66,7 +66,7 @@
 
     void testConfigurationThroughOutageAndRestart()
     {
-        SmallFleet fleet(1);
+        TestFleet fleet(1);
         fleet.awaitStatus(0, "\"revision\":1");
         fleet.platform().injectFault({"down", 0, {}, {}, 0});
         fleet.stopRouter(1);
@@ -84,9 +84,9 @@
 
     void testPlannedStopFinishesStreams()
     {
-        SmallFleet fleet(1);
+        TestFleet fleet(1);
         constexpr std::uint32_t LongAnswer = 400;
-        CallerAnswer answer;
+        CallerResponse answer;
         std::jthread caller([&] {
             answer = fleet.complete(0, "a long answer", LongAnswer);
         });
@@ -101,7 +101,7 @@
 
     void testDrainReachesTheOtherRouter()
     {
-        SmallFleet fleet(2);
+        TestFleet fleet(2);
         fleet.drain(0, "engine-0");
         fleet.awaitStatus(1, "\"state\":\"leaving\"");
         const auto before = fleet.engine(0).model().counters().jobs;
@@ -113,7 +113,7 @@
 
     void testNewWeightsAreOrderedAndServed()
     {
-        SmallFleet fleet(2);
+        TestFleet fleet(2);
         fleet.applyTables(2);
         for (std::size_t i = 0; i < 2; ++i) {
             while (fleet.engine(i).model().loadReport().weights.value != 2) {
@@ -129,7 +129,7 @@
 
 private:
     // Returns whether the stream was whole.
-    static bool checkStream(SmallFleet &fleet, const std::string &prompt, std::size_t router)
+    static bool checkStream(TestFleet &fleet, const std::string &prompt, std::size_t router)
     {
         const auto answer = fleet.complete(router, prompt, Tokens);
         const std::string expected = expectedText(prompt, Tokens);
@@ -143,7 +143,7 @@
         return false;
     }
 
-    static void checkOrder(SmallFleet &fleet, const std::string &key)
+    static void checkOrder(TestFleet &fleet, const std::string &key)
     {
         bool wasDone = false;
         for (const std::size_t router : {0, 1, 0}) {
--- a/carawaylatch/router/testing/smallfleet.cpp
+++ b/carawaylatch/router/testing/testfleet.cpp
@@ -1,6 +1,6 @@
 // Waits here are loops until a condition holds: a slow machine makes a test slow,
 // never wrong.
-#include "carawaylatch/router/testing/smallfleet.h"
+#include "carawaylatch/router/testing/testfleet.h"
 
 #include <cppunit/TestAssert.h>
 #include <httplib.h>
@@ -36,7 +36,7 @@
 
 } // namespace
 
-std::string CallerAnswer::streamedText() const
+std::string CallerResponse::streamedText() const
 {
     constexpr std::string_view Field = "data: ";
     std::string whole;
@@ -52,12 +52,12 @@
     return whole;
 }
 
-bool CallerAnswer::isWholeStream() const
+bool CallerResponse::isWholeStream() const
 {
     return status == 200 && body.ends_with("data: [DONE]\n\n");
 }
 
-SmallFleet::SmallFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines)
+TestFleet::TestFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines)
     : m_platform({})
     , m_service({})
     , m_ownEngines(ownEngines)
@@ -80,23 +80,23 @@
     awaitReady(1);
 }
 
-SmallFleet::~SmallFleet() = default;
+TestFleet::~TestFleet() = default;
 
-void SmallFleet::startRouter(std::size_t index)
+void TestFleet::startRouter(std::size_t index)
 {
     m_routers[index] = std::make_unique<Router>(settingsOf(index));
     const auto started = m_routers[index]->start();
     CPPUNIT_ASSERT_MESSAGE(started ? "" : started.error().message, started.has_value());
 }
 
-void SmallFleet::stopRouter(std::size_t index)
+void TestFleet::stopRouter(std::size_t index)
 {
     m_routers[index]->requestStop();
     CPPUNIT_ASSERT(m_routers[index]->waitUntilStopped() == StopKind::Graceful);
     m_routers[index].reset();
 }
 
-void SmallFleet::awaitReady(std::size_t index)
+void TestFleet::awaitReady(std::size_t index)
 {
     auto client = clientOf(m_routers[index]->operatorsEndpoint());
     while (true) {
@@ -108,7 +108,7 @@
     }
 }
 
-void SmallFleet::awaitStatus(std::size_t index, std::string_view part)
+void TestFleet::awaitStatus(std::size_t index, std::string_view part)
 {
     auto client = clientOf(m_routers[index]->operatorsEndpoint());
     while (true) {
@@ -121,7 +121,7 @@
     }
 }
 
-void SmallFleet::applyTables(std::uint32_t weightsVersion)
+void TestFleet::applyTables(std::uint32_t weightsVersion)
 {
     std::string ini = "[customer desk]\nkey_digest = " + config::keyDigest("key") + "\n[pool readers]\nfencing = checked\nmodel = clause-1\nblock_bytes = 64\n";
     ini += "weights_version = " + std::to_string(weightsVersion) + "\n";
@@ -146,10 +146,10 @@
     CPPUNIT_ASSERT_MESSAGE(accepted ? "" : accepted.error().message, accepted.has_value());
 }
 
-CallerAnswer SmallFleet::complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens)
+CallerResponse TestFleet::complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens)
 {
     auto client = clientOf(m_routers[router]->callersEndpoint());
-    CallerAnswer answer;
+    CallerResponse answer;
     httplib::Request request;
     request.method = "POST";
     request.path = "/v1/completions";
@@ -164,7 +164,7 @@
     return answer;
 }
 
-CallerAnswer SmallFleet::order(std::size_t router, std::string_view key)
+CallerResponse TestFleet::order(std::size_t router, std::string_view key)
 {
     auto client = clientOf(m_routers[router]->callersEndpoint());
     const httplib::Headers headers{{"Authorization", "Bearer key"}, {"Idempotency-Key", std::string(key)}};
@@ -175,14 +175,14 @@
     return {result->status, result->body, result->get_header_value("X-Order-Outcome")};
 }
 
-void SmallFleet::drain(std::size_t router, std::string_view upstream)
+void TestFleet::drain(std::size_t router, std::string_view upstream)
 {
     auto client = clientOf(m_routers[router]->operatorsEndpoint());
     const auto result = client.Post("/v1/drain", nlohmann::json{{"upstream", upstream}}.dump(), "application/json");
     CPPUNIT_ASSERT_EQUAL(200, result->status);
 }
 
-std::size_t SmallFleet::runsOf(std::string_view key)
+std::size_t TestFleet::runsOf(std::string_view key)
 {
     const auto journal = nlohmann::json::parse(clientOf(m_service.endpoint()).Get("/journal")->body);
     std::size_t runs = 0;
@@ -192,17 +192,17 @@
     return runs;
 }
 
-standin::Platform &SmallFleet::platform()
+standin::Platform &TestFleet::platform()
 {
     return m_platform;
 }
 
-standin::Engine &SmallFleet::engine(std::size_t index)
+standin::Engine &TestFleet::engine(std::size_t index)
 {
     return *m_engines[index];
 }
 
-config::Settings SmallFleet::settingsOf(std::size_t index) const
+config::Settings TestFleet::settingsOf(std::size_t index) const
 {
     config::Settings settings;
     settings.router.id = base::RouterId("router-" + std::to_string(index));
--- a/carawaylatch/router/testing/smallfleet.h
+++ b/carawaylatch/router/testing/testfleet.h
@@ -16,7 +16,7 @@
 {
 
 // A caller's view of one answer.
-struct CallerAnswer
+struct CallerResponse
 {
     int status = 0; // zero if the transfer broke off
     std::string body;
@@ -27,12 +27,12 @@
     [[nodiscard]] bool isWholeStream() const;
 };
 
-class SmallFleet
+class TestFleet
 {
 public:
     // Engines that a test brings itself are members of the pool too.
-    explicit SmallFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines = {});
-    ~SmallFleet();
+    explicit TestFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines = {});
+    ~TestFleet();
 
     void startRouter(std::size_t index);
     void stopRouter(std::size_t index);
@@ -43,8 +43,8 @@
     // Accepts the tables: customer key "key", a route to the engines, one to the service.
     void applyTables(std::uint32_t weightsVersion);
 
-    [[nodiscard]] CallerAnswer complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens);
-    [[nodiscard]] CallerAnswer order(std::size_t router, std::string_view key);
+    [[nodiscard]] CallerResponse complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens);
+    [[nodiscard]] CallerResponse order(std::size_t router, std::string_view key);
     void drain(std::size_t router, std::string_view upstream);
     // How often the service ran an order.
     [[nodiscard]] std::size_t runsOf(std::string_view key);
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -106,11 +106,11 @@
         : m_plane(plane)
     {
         ++m_plane.m_open;
-        m_plane.m_parts.metrics.streamOpened();
+        m_plane.m_dependencies.metrics.streamOpened();
     }
     ~OpenRequest()
     {
-        m_plane.m_parts.metrics.streamClosed();
+        m_plane.m_dependencies.metrics.streamClosed();
         --m_plane.m_open;
     }
     OpenRequest(const OpenRequest &) = delete;
@@ -120,8 +120,8 @@
     TrafficPlane &m_plane;
 };
 
-TrafficPlane::TrafficPlane(const TrafficParts &parts)
-    : m_parts(parts)
+TrafficPlane::TrafficPlane(const TrafficDependencies &dependencies)
+    : m_dependencies(dependencies)
 {
     for (auto *it : {&m_filters, &m_explainFilters}) {
         it->push_back(std::make_unique<CheckServing>());
@@ -129,7 +129,7 @@
         it->push_back(std::make_unique<MatchRoute>());
         it->push_back(std::make_unique<CheckSize>());
     }
-    m_filters.push_back(std::make_unique<Admit>(m_parts.admissionController, *this, m_parts.placing.clock));
+    m_filters.push_back(std::make_unique<Admit>(m_dependencies.admissionController, *this, m_dependencies.placing.clock));
 }
 
 TrafficPlane::~TrafficPlane() = default;
@@ -146,7 +146,7 @@
         sink.abort(passed.error());
         return;
     }
-    RoutePlacer placer(m_parts.placing, context);
+    CompletionPlacer placer(m_dependencies.placing, context);
     relay::RelayRequest request;
     request.requestId = call.head.requestId;
     request.pool = context.pool->name;
@@ -158,8 +158,8 @@
     request.hedging = context.route->hedging;
     request.firstTokenDeadline = context.deadline;
     request.deadline = context.deadline;
-    TokenMeter meter(sink, m_parts.metrics, context.customer->id, call.head.trafficClass, m_parts.placing.clock);
-    const relay::RelayReport report = m_parts.relay.run(request, placer, meter);
+    TokenMeter meter(sink, m_dependencies.metrics, context.customer->id, call.head.trafficClass, m_dependencies.placing.clock);
+    const relay::RelayReport report = m_dependencies.relay.run(request, placer, meter);
     account(context, report, placer.wastedTokens());
 }
 
@@ -173,7 +173,7 @@
         return refusedReply(passed.error());
     }
     auto reply = context.route->idempotency == config::Idempotency::AtMostOnce ? runOrder(call, context) : runPlainCall(call, context);
-    m_parts.metrics.countRequest(context.route->name, outcomeOf(reply.error));
+    m_dependencies.metrics.countRequest(context.route->name, outcomeOf(reply.error));
     return reply;
 }
 
@@ -198,7 +198,7 @@
     context.model = call.model;
     context.prompt = call.prompt;
     BOOST_OUTCOME_TRYV(runFilters(m_explainFilters, context));
-    RoutePlacer placer(m_parts.placing, context);
+    CompletionPlacer placer(m_dependencies.placing, context);
     telemetry::ExplainReport report;
     report.customer = context.customer->id;
     report.route = context.route->name;
@@ -231,18 +231,18 @@
     if (context.pool->kind == config::UpstreamKind::Service) {
         return {};
     }
-    const auto placement = RoutePlacer(m_parts.placing, context).probe();
+    const auto placement = CompletionPlacer(m_dependencies.placing, context).probe();
     return placement ? placement.value().expectedFirstToken : base::Duration{};
 }
 
 RequestContext TrafficPlane::contextOf(const http::CallerHead &head) const
 {
-    return RequestContext{head, {}, {}, 0, m_parts.placing.clock.now(), m_parts.placing.published.load(), nullptr, nullptr, nullptr, {}, {}};
+    return RequestContext{head, {}, {}, 0, m_dependencies.placing.clock.now(), m_dependencies.placing.published.load(), nullptr, nullptr, nullptr, {}, {}};
 }
 
 void TrafficPlane::account(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens)
 {
-    auto &metrics = m_parts.metrics;
+    auto &metrics = m_dependencies.metrics;
     const auto &customer = context.customer->id;
     const auto trafficClass = context.head.trafficClass;
     metrics.countRequest(context.route->name, outcomeOf(report.error));
@@ -270,9 +270,9 @@
 
 void TrafficPlane::accountRefusal(const RequestContext &context, const base::Error &error)
 {
-    m_parts.metrics.countRefusal(error.kind);
+    m_dependencies.metrics.countRefusal(error.kind);
     if (context.route != nullptr) {
-        m_parts.metrics.countRequest(context.route->name, telemetry::RequestOutcome::Refused);
+        m_dependencies.metrics.countRequest(context.route->name, telemetry::RequestOutcome::Refused);
     }
 }
 
@@ -287,20 +287,20 @@
     request.key = call.idempotencyKey;
     request.service = serviceRequest(call, context);
     request.deadline = context.deadline;
-    ServiceChooser chooser(m_parts.placing, context);
-    auto reply = replyOf(m_parts.executor.run(request, m_parts.services, chooser));
-    m_parts.metrics.countOrder(metricOf(reply.outcome));
+    ServiceChooser chooser(m_dependencies.placing, context);
+    auto reply = replyOf(m_dependencies.executor.run(request, m_dependencies.services, chooser));
+    m_dependencies.metrics.countOrder(metricOf(reply.outcome));
     return reply;
 }
 
 http::ServiceReply TrafficPlane::runPlainCall(const http::ServiceCall &call, RequestContext &context)
 {
-    ServiceChooser chooser(m_parts.placing, context);
+    ServiceChooser chooser(m_dependencies.placing, context);
     orders::ServiceRequest request = serviceRequest(call, context);
-    request.timeout = std::min(m_parts.serviceTimeout, context.deadline - context.arrivedAt);
+    request.timeout = std::min(m_dependencies.serviceTimeout, context.deadline - context.arrivedAt);
     std::vector<base::UpstreamId> tried;
     base::Error error = base::fail(base::ErrorKind::Unavailable, "no service takes the call now; try again", base::seconds{1});
-    while (tried.size() < MaxServiceTries && m_parts.placing.clock.now() < context.deadline) {
+    while (tried.size() < MaxServiceTries && m_dependencies.placing.clock.now() < context.deadline) {
         const auto chosen = chooser.choose(tried);
         if (!chosen) {
             error = tried.empty() ? chosen.error() : error;
@@ -308,8 +308,8 @@
         }
         request.upstream = chosen.value().upstream;
         request.endpoint = chosen.value().endpoint;
-        request.attempt = m_parts.attemptIds.next();
-        auto answer = m_parts.services.call(request);
+        request.attempt = m_dependencies.attemptIds.next();
+        auto answer = m_dependencies.services.call(request);
         if (answer && answer.value().attempt == request.attempt) {
             http::ServiceReply reply;
             reply.answer = std::move(answer).value();
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -11,8 +11,8 @@
 #include "carawaylatch/http/callerhandler.h"
 #include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/relay/relaydriver.h"
+#include "carawaylatch/router/completionplacer.h"
 #include "carawaylatch/router/filterchain.h"
-#include "carawaylatch/router/routeplacer.h"
 #include "carawaylatch/telemetry/explainreport.h"
 #include "carawaylatch/telemetry/metrics.h"
 
@@ -20,9 +20,9 @@
 {
 
 // Parts that the traffic plane uses; all outlive it.
-struct TrafficParts
+struct TrafficDependencies
 {
-    PlacingParts placing;
+    PlacementDependencies placing;
     admission::AdmissionController &admissionController;
     relay::RelayDriver &relay;
     orders::OrderExecutor &executor;
@@ -35,7 +35,7 @@
 class TrafficPlane : public http::CallerHandler, public WaitEstimator
 {
 public:
-    explicit TrafficPlane(const TrafficParts &parts);
+    explicit TrafficPlane(const TrafficDependencies &dependencies);
     ~TrafficPlane() override;
 
     void complete(const http::CompletionCall &call, relay::CallerSink &sink) override;
@@ -59,7 +59,7 @@
     [[nodiscard]] http::ServiceReply runPlainCall(const http::ServiceCall &call, RequestContext &context);
     [[nodiscard]] orders::ServiceRequest serviceRequest(const http::ServiceCall &call, const RequestContext &context) const;
 
-    TrafficParts m_parts;
+    TrafficDependencies m_dependencies;
     std::vector<std::unique_ptr<Filter>> m_filters; // of every request
     std::vector<std::unique_ptr<Filter>> m_explainFilters; // the same without admission
     std::atomic<std::size_t> m_open = 0;
--- a/carawaylatch/router/upstreamcontroller.cpp
+++ b/carawaylatch/router/upstreamcontroller.cpp
@@ -10,7 +10,7 @@
 #include <variant>
 
 #include "carawaylatch/base/logevents.h"
-#include "carawaylatch/router/shownstate.h"
+#include "carawaylatch/router/telemetrystate.h"
 
 namespace carawaylatch::router
 {
@@ -27,20 +27,20 @@
 
 } // namespace
 
-UpstreamController::UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
+UpstreamController::UpstreamController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
                                        admission::AdmissionController &admissionController, telemetry::Metrics &metrics)
-    : m_parts(parts)
+    : m_dependencies(dependencies)
     , m_state(state)
     , m_bus(bus)
     , m_admissionController(admissionController)
     , m_metrics(metrics)
-    , m_poller(client, parts.knowledge.caches, parts.settings.timings.loadPoll,
+    , m_poller(client, dependencies.routingState.caches, dependencies.settings.timings.loadPoll,
                [this](const auto &id, const auto &report) {
-                   m_parts.loop.post([this, id, report](base::TimePoint now) {
+                   m_dependencies.loop.post([this, id, report](base::TimePoint now) {
                        onReport(id, report, now);
                    });
                })
-    , m_random(base::combineHashes(parts.settings.routing.seed, parts.incarnation.value))
+    , m_random(base::combineHashes(dependencies.settings.routing.seed, dependencies.incarnation.value))
 {
     m_bus.subscribe<peer::MarksMessage>([this](const auto &, const peer::MarksMessage &message, base::TimePoint now) {
         importMarks(message.marks, now);
@@ -54,10 +54,10 @@
 
 void UpstreamController::start(base::TimePoint now)
 {
-    m_tick = m_parts.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+    m_tick = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
         advance(at);
     });
-    m_spread = m_parts.loop.timers().every(now, SpreadInterval, [this](base::TimePoint at) {
+    m_spread = m_dependencies.loop.timers().every(now, SpreadInterval, [this](base::TimePoint at) {
         spreadRecent(at);
     });
     m_poller.start();
@@ -75,10 +75,10 @@
     retarget(tables);
 }
 
-void UpstreamController::onAttempt(const AttemptNotice &notice, base::TimePoint now)
+void UpstreamController::onAttempt(const AttemptReport &attempt, base::TimePoint now)
 {
-    m_registry.onAttempt(notice.upstream, notice.incarnation, notice.outcome, now);
-    if (notice.outcome != upstreams::AttemptOutcome::Succeeded) {
+    m_registry.onAttempt(attempt.upstream, attempt.incarnation, attempt.outcome, now);
+    if (attempt.outcome != upstreams::AttemptOutcome::Succeeded) {
         advance(now);
     }
 }
@@ -130,7 +130,7 @@
     m_registry.onLoadReport(id, report.value(), now);
     const auto *status = m_registry.view()->find(id);
     if (status != nullptr && status->incarnation == report.value().incarnation) {
-        m_parts.knowledge.inflight.onLoadReport(status->slot, report.value());
+        m_dependencies.routingState.inflight.onLoadReport(status->slot, report.value());
     }
     advance(now);
 }
@@ -151,8 +151,8 @@
 void UpstreamController::carryOut(const upstreams::RegistryAction &action, base::TimePoint now)
 {
     if (const auto *adopted = std::get_if<upstreams::AdoptIncarnation>(&action)) {
-        auto &caches = m_parts.knowledge.caches;
-        m_parts.knowledge.inflight.onIncarnation(adopted->slot);
+        auto &caches = m_dependencies.routingState.caches;
+        m_dependencies.routingState.inflight.onIncarnation(adopted->slot);
         if (adopted->incarnation.value == 0) {
             caches.invalidate(adopted->slot);
         } else {
@@ -164,7 +164,7 @@
     } else {
         const auto others = otherRouters();
         if (others.empty()) {
-            m_registry.onMarksSynchronised(m_parts.clock.now());
+            m_registry.onMarksSynchronised(m_dependencies.clock.now());
         }
         for (const auto &it : others) {
             m_bus.send(it, peer::MarksRequest{});
@@ -232,9 +232,9 @@
     std::uint32_t capacity = 0;
     for (const auto &it : view.upstreams) {
         if (it.state == upstreams::UpstreamState::Live) {
-            capacity += m_parts.knowledge.inflight.limit(it.slot);
+            capacity += m_dependencies.routingState.inflight.limit(it.slot);
         }
-        m_metrics.setUpstreamState(it.id, shownState(it.state));
+        m_metrics.setUpstreamState(it.id, toTelemetryState(it.state));
     }
     m_admissionController.setCapacity(std::max(MinCapacity, capacity));
 }
--- a/carawaylatch/router/upstreamcontroller.h
+++ b/carawaylatch/router/upstreamcontroller.h
@@ -11,9 +11,9 @@
 #include "carawaylatch/admission/admissioncontroller.h"
 #include "carawaylatch/base/hash.h"
 #include "carawaylatch/http/upstreamclient.h"
+#include "carawaylatch/router/completionplacer.h"
 #include "carawaylatch/router/controlstate.h"
 #include "carawaylatch/router/peerbus.h"
-#include "carawaylatch/router/routeplacer.h"
 #include "carawaylatch/router/upstreampoller.h"
 #include "carawaylatch/telemetry/metrics.h"
 #include "carawaylatch/upstreams/registry.h"
@@ -26,13 +26,13 @@
 {
 public:
     // All outlive the controller.
-    UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
+    UpstreamController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
                        admission::AdmissionController &admissionController, telemetry::Metrics &metrics);
 
     void start(base::TimePoint now);
     void stop();
     void configure(const config::Tables &tables, base::TimePoint now);
-    void onAttempt(const AttemptNotice &notice, base::TimePoint now);
+    void onAttempt(const AttemptReport &attempt, base::TimePoint now);
     void onLeaving(const base::UpstreamId &id, upstreams::LeavingSource source, base::TimePoint now);
     void onUndrain(const base::UpstreamId &id, base::TimePoint now);
     void onPlatformList(std::span<const store::VmRecord> vms, base::TimePoint now);
@@ -52,7 +52,7 @@
     void updateCapacity(const upstreams::UpstreamView &view);
     [[nodiscard]] std::vector<base::RouterId> otherRouters() const;
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     ControlState &m_state;
     PeerBus &m_bus;
     admission::AdmissionController &m_admissionController;
