--- a/carawaylatch/handover/shutdown.cpp
+++ b/carawaylatch/handover/shutdown.cpp
@@ -25,8 +25,8 @@
     case ShutdownEvent::Signal:
         if (m_step == ShutdownStep::Running) {
             enter(ShutdownStep::NotReady, now);
-        } else if (!m_isCut && m_step != ShutdownStep::Departing && m_step != ShutdownStep::Exited) {
-            m_isCut = true;
+        } else if (!m_isForced && m_step != ShutdownStep::Departing && m_step != ShutdownStep::Exited) {
+            m_isForced = true;
             m_actions.push_back(ShutdownAction::AbortStreams);
         }
         break;
@@ -46,7 +46,7 @@
 void Shutdown::enter(ShutdownStep step, TimePoint now)
 {
     m_step = step;
-    m_since = now;
+    m_stepSince = now;
     switch (step) {
     case ShutdownStep::NotReady:
         m_actions.push_back(ShutdownAction::BecomeNotReady);
@@ -69,16 +69,16 @@
 
 void Shutdown::advance(std::size_t openStreams, TimePoint now)
 {
-    if (m_step == ShutdownStep::NotReady && (m_isCut || now >= m_since + m_options.drainLag)) {
+    if (m_step == ShutdownStep::NotReady && (m_isForced || now >= m_stepSince + m_options.drainLag)) {
         enter(ShutdownStep::Refusing, now);
     }
-    if (m_step == ShutdownStep::Refusing && (m_isCut || m_isHandedOver || now >= m_since + m_options.handOverTimeout)) {
+    if (m_step == ShutdownStep::Refusing && (m_isForced || m_isHandedOver || now >= m_stepSince + m_options.handOverTimeout)) {
         enter(ShutdownStep::Finishing, now);
     }
     if (m_step == ShutdownStep::Finishing && openStreams == 0) {
         enter(ShutdownStep::Departing, now);
     }
-    if (m_step == ShutdownStep::Departing && (m_isDeparted || now >= m_since + m_options.departTimeout)) {
+    if (m_step == ShutdownStep::Departing && (m_isDeparted || now >= m_stepSince + m_options.departTimeout)) {
         enter(ShutdownStep::Exited, now);
     }
 }
@@ -97,11 +97,11 @@
 {
     switch (m_step) {
     case ShutdownStep::NotReady:
-        return m_since + m_options.drainLag;
+        return m_stepSince + m_options.drainLag;
     case ShutdownStep::Refusing:
-        return m_since + m_options.handOverTimeout;
+        return m_stepSince + m_options.handOverTimeout;
     case ShutdownStep::Departing:
-        return m_since + m_options.departTimeout;
+        return m_stepSince + m_options.departTimeout;
     case ShutdownStep::Running:
     case ShutdownStep::Finishing:
     case ShutdownStep::Exited:
--- a/carawaylatch/handover/shutdown.h
+++ b/carawaylatch/handover/shutdown.h
@@ -71,10 +71,10 @@
 
     ShutdownOptions m_options;
     ShutdownStep m_step = ShutdownStep::Running;
-    base::TimePoint m_since; // of the step
+    base::TimePoint m_stepSince; // of the step
     bool m_isHandedOver = false;
     bool m_isDeparted = false;
-    bool m_isCut = false;
+    bool m_isForced = false;
     std::vector<ShutdownAction> m_actions;
 };
 
--- a/carawaylatch/handover/snapshot.cpp
+++ b/carawaylatch/handover/snapshot.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t BlockBytes = 14;
 constexpr std::size_t LevelBytes = 16;
 constexpr std::size_t MemberBytes = 180;
-constexpr std::size_t NamedBytes = 90; // a life, a mark, or what stands around an upstream's blocks
+constexpr std::size_t UpstreamBytes = 90; // a life, a mark, or what stands around an upstream's blocks
 constexpr std::size_t FloorBytes = 220;
 
 std::size_t blockCount(const Snapshot &snapshot)
@@ -34,7 +34,7 @@
 }
 
 // Keeps the `count` blocks that were touched last.
-void keepBlocks(prefix::HotPlacements &placements, std::size_t count)
+void keepNewestBlocks(prefix::HotPlacements &placements, std::size_t count)
 {
     std::vector<std::uint32_t> ages;
     for (const auto &it : placements.upstreams) {
@@ -54,7 +54,7 @@
     }
 }
 
-void keepLevels(prefix::HotLevels &levels, std::size_t count)
+void keepHottestLevels(prefix::HotLevels &levels, std::size_t count)
 {
     std::sort(levels.levels.begin(), levels.levels.end(), [](const prefix::HotLevel &first, const prefix::HotLevel &second) {
         return first.heat > second.heat;
@@ -82,14 +82,14 @@
 void mergePlacements(prefix::HotPlacements &into, const prefix::HotPlacements &from)
 {
     for (const auto &it : from.upstreams) {
-        const auto same = std::find_if(into.upstreams.begin(), into.upstreams.end(), [&](const prefix::HotUpstream &other) {
+        const auto existing = std::find_if(into.upstreams.begin(), into.upstreams.end(), [&](const prefix::HotUpstream &other) {
             return other.upstream == it.upstream && other.incarnation == it.incarnation;
         });
-        if (same == into.upstreams.end()) {
+        if (existing == into.upstreams.end()) {
             into.upstreams.push_back(it);
         } else {
             mergeBy(
-                same->blocks, it.blocks,
+                existing->blocks, it.blocks,
                 [](const prefix::HotBlock &block) {
                     return block.key;
                 },
@@ -106,7 +106,7 @@
 {
     std::size_t bytes = 100 + (snapshot.rows.revision.value != 0 ? config::formatSnapshot(snapshot.rows).size() : 0);
     bytes += snapshot.members.size() * MemberBytes;
-    bytes += (snapshot.incarnations.size() + snapshot.marks.size() + snapshot.placements.upstreams.size()) * NamedBytes;
+    bytes += (snapshot.incarnations.size() + snapshot.marks.size() + snapshot.placements.upstreams.size()) * UpstreamBytes;
     bytes += snapshot.floors.size() * FloorBytes;
     bytes += blockCount(snapshot) * BlockBytes + snapshot.levels.levels.size() * LevelBytes;
     return bytes;
@@ -120,11 +120,11 @@
     }
     const auto blockBytes = blockCount(snapshot) * BlockBytes;
     const auto levelBytes = snapshot.levels.levels.size() * LevelBytes;
-    const auto fixed = bytes - blockBytes - levelBytes;
-    const auto left = maxBytes > fixed ? maxBytes - fixed : 0;
-    const auto forLevels = std::min(levelBytes, left / 4);
-    keepLevels(snapshot.levels, forLevels / LevelBytes);
-    keepBlocks(snapshot.placements, (left - forLevels) / BlockBytes);
+    const auto fixedBytes = bytes - blockBytes - levelBytes;
+    const auto available = maxBytes > fixedBytes ? maxBytes - fixedBytes : 0;
+    const auto levelBudget = std::min(levelBytes, available / 4);
+    keepHottestLevels(snapshot.levels, levelBudget / LevelBytes);
+    keepNewestBlocks(snapshot.placements, (available - levelBudget) / BlockBytes);
 }
 
 void mergeSnapshot(Snapshot &into, const Snapshot &from)
--- a/carawaylatch/handover/snapshotserver.cpp
+++ b/carawaylatch/handover/snapshotserver.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t MaxEncoded = 2;
+constexpr std::size_t MaxEncodings = 2;
 constexpr std::size_t MaxRequests = 256;
 
 } // namespace
@@ -24,29 +24,29 @@
 {
 }
 
-const SnapshotServer::EncodedSnapshot &SnapshotServer::current(base::TimePoint now)
+const SnapshotServer::EncodedSnapshot &SnapshotServer::currentEncoding(base::TimePoint now)
 {
-    if (m_encoded.empty() || now >= m_encoded.back().madeAt + m_lifetime) {
+    if (m_encoded.empty() || now >= m_encoded.back().encodedAt + m_lifetime) {
         auto bytes = m_source();
         const auto digest = base::hash64(bytes);
         m_encoded.push_back({std::move(bytes), digest, now});
-        while (m_encoded.size() > MaxEncoded) {
+        while (m_encoded.size() > MaxEncodings) {
             m_encoded.pop_front();
         }
     }
     return m_encoded.back();
 }
 
-SnapshotPart SnapshotServer::answer(const SnapshotRequest &request, base::TimePoint now)
+SnapshotPart SnapshotServer::serve(const SnapshotRequest &request, base::TimePoint now)
 {
-    const auto given = std::find_if(m_requests.begin(), m_requests.end(), [&](const auto &it) {
+    const auto assigned = std::find_if(m_requests.begin(), m_requests.end(), [&](const auto &it) {
         return it.first == request.request;
     });
-    const auto held = std::find_if(m_encoded.begin(), m_encoded.end(), [&](const EncodedSnapshot &it) {
-        return given != m_requests.end() && it.digest == given->second;
+    const auto encoding = std::find_if(m_encoded.begin(), m_encoded.end(), [&](const EncodedSnapshot &it) {
+        return assigned != m_requests.end() && it.digest == assigned->second;
     });
-    const bool isStarted = request.part > 0 && held != m_encoded.end();
-    const EncodedSnapshot &encoded = isStarted ? *held : current(now);
+    const bool isStarted = request.part > 0 && encoding != m_encoded.end();
+    const EncodedSnapshot &encoded = isStarted ? *encoding : currentEncoding(now);
     if (!isStarted) {
         m_requests.emplace_back(request.request, encoded.digest);
         while (m_requests.size() > MaxRequests) {
--- a/carawaylatch/handover/snapshotserver.h
+++ b/carawaylatch/handover/snapshotserver.h
@@ -22,16 +22,16 @@
     using Source = std::function<std::string()>;
 
     SnapshotServer(Source source, base::Duration lifetime);
-    [[nodiscard]] SnapshotPart answer(const SnapshotRequest &request, base::TimePoint now);
+    [[nodiscard]] SnapshotPart serve(const SnapshotRequest &request, base::TimePoint now);
 
 private:
     struct EncodedSnapshot
     {
         std::string bytes;
         std::uint64_t digest = 0;
-        base::TimePoint madeAt;
+        base::TimePoint encodedAt;
     };
-    [[nodiscard]] const EncodedSnapshot &current(base::TimePoint now);
+    [[nodiscard]] const EncodedSnapshot &currentEncoding(base::TimePoint now);
 
     Source m_source;
     base::Duration m_lifetime; // how long one encoding is given to new requests
--- a/carawaylatch/handover/testing/warmstarttest.cpp
+++ b/carawaylatch/handover/testing/warmstarttest.cpp
@@ -84,25 +84,25 @@
     explicit Start(std::map<base::RouterId, FakePeer> peers, std::optional<std::uint64_t> platformRevision)
         : m_peers(std::move(peers))
         , m_platformRevision(platformRevision)
-        , m_start(options(), peer::decodeSnapshot, m_now)
+        , m_warmStart(options(), peer::decodeSnapshot, m_now)
     {
         std::vector<config::DistributionPeer> members;
         for (const auto &it : m_peers) {
             members.push_back({it.first, it.second.domain});
         }
-        m_start.onPeers(members, m_now);
+        m_warmStart.onPeers(members, m_now);
     }
 
     void runFor(base::Duration duration)
     {
         for (const auto end = m_now + duration; m_now < end; m_now += milliseconds{10}) {
-            m_start.onTick(m_now);
+            m_warmStart.onTick(m_now);
             for (int rounds = 0; rounds < 50 && act(); ++rounds) {}
         }
     }
     WarmStart &machine()
     {
-        return m_start;
+        return m_warmStart;
     }
     TimePoint now() const
     {
@@ -123,19 +123,19 @@
     }
     bool act()
     {
-        const auto actions = m_start.takeActions();
+        const auto actions = m_warmStart.takeActions();
         for (const auto &it : actions) {
-            if (const auto *ask = std::get_if<SendSnapshotRequest>(&it)) {
-                answer(*ask);
+            if (const auto *send = std::get_if<SendSnapshotRequest>(&it)) {
+                answer(*send);
             } else if (const auto *load = std::get_if<LoadSnapshot>(&it)) {
                 ++loads;
                 mergeSnapshot(loaded, load->snapshot);
             } else {
                 ++platformReads;
-                m_start.onPlatform(platform(), m_now);
+                m_warmStart.onPlatform(platform(), m_now);
             }
         }
-        if (m_start.step() == WarmStartStep::Done && !doneAt) {
+        if (m_warmStart.step() == WarmStartStep::Done && !doneAt) {
             doneAt = m_now;
         }
         return !actions.empty();
@@ -147,9 +147,9 @@
         }
         return *m_platformRevision == 0 ? Snapshot{} : hotSnapshot(*m_platformRevision);
     }
-    void answer(const SendSnapshotRequest &ask)
+    void answer(const SendSnapshotRequest &send)
     {
-        auto &peer = m_peers.at(ask.peer);
+        auto &peer = m_peers.at(send.peer);
         ++peer.answers;
         const bool isLost = peer.fault == PeerFault::Silent || (peer.fault == PeerFault::LosesFirst && peer.answers == 1)
                             || (peer.fault == PeerFault::DiesAfterFirst && peer.answers > 1);
@@ -161,7 +161,7 @@
                 return peer.fault == PeerFault::Empty ? std::string{} : encodedSnapshot(peer.revision);
             },
             seconds{1});
-        auto part = server.answer(ask.request, m_now);
+        auto part = server.serve(send.request, m_now);
         if (peer.fault == PeerFault::Damaged && !part.bytes.empty()) {
             part.bytes[part.bytes.size() / 2] ^= 1;
         } else if (peer.fault == PeerFault::Changes && part.part > 0) {
@@ -169,16 +169,16 @@
         } else if (peer.fault == PeerFault::AbsurdCount) {
             part.parts = 4'000'000'000U;
         }
-        m_start.onPart(ask.peer, part, m_now);
+        m_warmStart.onPart(send.peer, part, m_now);
         if (peer.fault == PeerFault::Doubles) {
-            m_start.onPart(ask.peer, part, m_now);
+            m_warmStart.onPart(send.peer, part, m_now);
         }
     }
 
     std::map<base::RouterId, FakePeer> m_peers;
     std::optional<std::uint64_t> m_platformRevision; // nothing: down
     TimePoint m_now{base::hours{1}};
-    WarmStart m_start;
+    WarmStart m_warmStart;
 };
 
 const base::FailureDomain Own("own");
@@ -247,9 +247,9 @@
         Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
         start.machine().onFleetRevision(Revision{5});
         start.runFor(milliseconds{100});
-        start.machine().onState(Revision{3}, 2);
+        start.machine().onStateChanged(Revision{3}, 2);
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::BehindPeers);
-        start.machine().onState(Revision{5}, 2);
+        start.machine().onStateChanged(Revision{5}, 2);
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
         start.machine().onFleetRevision(Revision{8});
         CPPUNIT_ASSERT_MESSAGE("readiness doesn't flap with every edit", start.machine().readiness() == NotReadyReason::None);
@@ -257,7 +257,7 @@
         Start late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
         late.machine().onFleetRevision(Revision{5});
         late.runFor(seconds{4});
-        late.machine().onState(Revision{3}, 2);
+        late.machine().onStateChanged(Revision{3}, 2);
         CPPUNIT_ASSERT_MESSAGE("the wait ends", late.machine().readiness() == NotReadyReason::None);
     }
 
@@ -266,7 +266,7 @@
         Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
         start.runFor(milliseconds{100});
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoUpstream);
-        start.machine().onState(Revision{3}, 1);
+        start.machine().onStateChanged(Revision{3}, 1);
         CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
         CPPUNIT_ASSERT_EQUAL(std::string{}, start.machine().notReadyMessage());
         start.machine().onStopping();
--- a/carawaylatch/handover/warmstart.cpp
+++ b/carawaylatch/handover/warmstart.cpp
@@ -22,7 +22,7 @@
 namespace
 {
 
-constexpr std::uint32_t MaxRepeats = 2; // of one part
+constexpr std::uint32_t MaxPartRetries = 2; // of one part
 constexpr std::uint32_t MaxParts = MaxSnapshotBytes / SnapshotPartBytes + 1;
 
 bool isEmpty(const Snapshot &snapshot)
@@ -61,7 +61,7 @@
     : m_options(std::move(options))
     , m_decoder(std::move(decoder))
     , m_random(m_options.seed)
-    , m_stepUntil(now + m_options.findPeersTimeout)
+    , m_stepDeadline(now + m_options.findPeersTimeout)
 {
 }
 
@@ -71,7 +71,7 @@
     if (m_step == WarmStartStep::FindPeers && !m_peers.empty()) {
         enter(WarmStartStep::QueryOwnDomain, now);
     }
-    askMore(now);
+    startTransfers(now);
 }
 
 void WarmStart::enter(WarmStartStep step, TimePoint now)
@@ -82,48 +82,48 @@
     case WarmStartStep::FindPeers:
         break;
     case WarmStartStep::QueryOwnDomain:
-        m_stepUntil = now + m_options.ownDomainTimeout;
+        m_stepDeadline = now + m_options.ownDomainTimeout;
         break;
     case WarmStartStep::QueryOtherDomains:
-        m_stepUntil = now + m_options.otherDomainsTimeout;
+        m_stepDeadline = now + m_options.otherDomainsTimeout;
         break;
     case WarmStartStep::QueryPlatform:
-        m_stepUntil = now;
+        m_stepDeadline = now;
         break;
     case WarmStartStep::Done:
-        m_stepUntil = TimePoint::max();
-        m_catchUpUntil = now + m_options.catchUpTimeout;
+        m_stepDeadline = TimePoint::max();
+        m_catchUpDeadline = now + m_options.catchUpTimeout;
         break;
     }
-    askMore(now);
+    startTransfers(now);
     if ((step == WarmStartStep::QueryOwnDomain || step == WarmStartStep::QueryOtherDomains) && m_transfers.empty()) {
-        advance(now);
+        finishStep(now);
     } else if (step == WarmStartStep::QueryPlatform) {
         onTick(now);
     }
 }
 
-bool WarmStart::mayAsk(const config::DistributionPeer &peer) const
+bool WarmStart::mayQuery(const config::DistributionPeer &peer) const
 {
-    const bool isOwn = peer.domain == m_options.domain;
-    return !m_asked.contains(peer.id) && (m_step == WarmStartStep::QueryOwnDomain ? isOwn : m_step == WarmStartStep::QueryOtherDomains && !isOwn);
+    const bool isOwnDomain = peer.domain == m_options.domain;
+    return !m_queried.contains(peer.id) && (m_step == WarmStartStep::QueryOwnDomain ? isOwnDomain : m_step == WarmStartStep::QueryOtherDomains && !isOwnDomain);
 }
 
-void WarmStart::askMore(TimePoint now)
+void WarmStart::startTransfers(TimePoint now)
 {
     for (const auto &it : m_peers) {
-        if (m_transfers.size() < m_options.maxParallelTransfers && mayAsk(it)) {
-            m_asked.insert(it.id);
+        if (m_transfers.size() < m_options.maxParallelTransfers && mayQuery(it)) {
+            m_queried.insert(it.id);
             auto &transfer = m_transfers[it.id];
             transfer.request = m_random.next();
-            ask(it.id, transfer, now);
+            requestPart(it.id, transfer, now);
         }
     }
 }
 
-void WarmStart::ask(const base::RouterId &peer, Transfer &transfer, TimePoint now)
+void WarmStart::requestPart(const base::RouterId &peer, Transfer &transfer, TimePoint now)
 {
-    transfer.askedAt = now;
+    transfer.requestedAt = now;
     m_actions.emplace_back(SendSnapshotRequest{peer, {transfer.request, transfer.nextPart}});
 }
 
@@ -135,32 +135,32 @@
     }
     auto &transfer = it->second;
     const bool isFirst = part.part == 0;
-    const bool isOther = !isFirst && (part.digest != transfer.digest || part.parts != transfer.parts);
-    if (part.parts == 0 || part.parts > MaxParts || isOther || part.bytes.size() > SnapshotPartBytes) {
-        drop(from, now);
+    const bool isInconsistent = !isFirst && (part.digest != transfer.digest || part.parts != transfer.parts);
+    if (part.parts == 0 || part.parts > MaxParts || isInconsistent || part.bytes.size() > SnapshotPartBytes) {
+        abandonTransfer(from, now);
         return;
     }
     transfer.parts = part.parts;
     transfer.digest = part.digest;
     transfer.bytes += part.bytes;
-    transfer.repeats = 0;
+    transfer.retries = 0;
     if (++transfer.nextPart < transfer.parts) {
-        ask(from, transfer, now);
+        requestPart(from, transfer, now);
     } else {
-        complete(from, now);
+        completeTransfer(from, now);
     }
 }
 
-void WarmStart::drop(const base::RouterId &peer, TimePoint now)
+void WarmStart::abandonTransfer(const base::RouterId &peer, TimePoint now)
 {
     m_transfers.erase(peer);
-    askMore(now);
+    startTransfers(now);
     if (m_transfers.empty()) {
-        advance(now);
+        finishStep(now);
     }
 }
 
-void WarmStart::complete(const base::RouterId &peer, TimePoint now)
+void WarmStart::completeTransfer(const base::RouterId &peer, TimePoint now)
 {
     const auto transfer = std::move(m_transfers.extract(peer).mapped());
     if (base::hash64(transfer.bytes) == transfer.digest) {
@@ -169,12 +169,12 @@
         }
     }
     if (m_transfers.empty()) {
-        advance(now);
+        finishStep(now);
     }
 }
 
 // Ends a step: loads what was found, or goes on to the next.
-void WarmStart::advance(TimePoint now)
+void WarmStart::finishStep(TimePoint now)
 {
     if (!isEmpty(m_snapshot)) {
         m_hasHotState = m_hasHotState || hasHotState(m_snapshot);
@@ -192,8 +192,8 @@
 
 void WarmStart::onPlatform(const base::Result<Snapshot> &result, TimePoint now)
 {
-    m_hasAskedPlatform = false;
-    m_stepUntil = now + m_options.platformRetryInterval;
+    m_isPlatformReadPending = false;
+    m_stepDeadline = now + m_options.platformRetryInterval;
     if (!result) {
         m_platformError = result.error().message;
         return;
@@ -212,19 +212,19 @@
     }
 }
 
-void WarmStart::onState(base::Revision revision, std::size_t answeringUpstreams)
+void WarmStart::onStateChanged(base::Revision revision, std::size_t availableUpstreams)
 {
     m_revision = std::max(m_revision, revision);
-    m_answeringUpstreams = answeringUpstreams;
-    if (m_step == WarmStartStep::Done && m_revision >= m_seen) {
-        m_seen = {};
+    m_availableUpstreams = availableUpstreams;
+    if (m_step == WarmStartStep::Done && m_revision >= m_requiredRevision) {
+        m_requiredRevision = {};
     }
 }
 
 void WarmStart::onFleetRevision(base::Revision revision)
 {
     if (m_step != WarmStartStep::Done) {
-        m_seen = std::max(m_seen, revision);
+        m_requiredRevision = std::max(m_requiredRevision, revision);
     }
 }
 
@@ -235,34 +235,34 @@
 
 void WarmStart::onTick(TimePoint now)
 {
-    std::vector<base::RouterId> silent;
+    std::vector<base::RouterId> timedOut;
     for (auto &[peer, transfer] : m_transfers) {
-        if (now >= transfer.askedAt + m_options.partTimeout) {
-            if (++transfer.repeats > MaxRepeats) {
-                silent.push_back(peer);
+        if (now >= transfer.requestedAt + m_options.partTimeout) {
+            if (++transfer.retries > MaxPartRetries) {
+                timedOut.push_back(peer);
             } else {
-                ask(peer, transfer, now);
+                requestPart(peer, transfer, now);
             }
         }
     }
-    for (const auto &it : silent) {
-        drop(it, now);
+    for (const auto &it : timedOut) {
+        abandonTransfer(it, now);
     }
-    if (m_step == WarmStartStep::Done || now < m_stepUntil) {
-        m_seen = m_step == WarmStartStep::Done && now >= m_catchUpUntil ? base::Revision{} : m_seen;
+    if (m_step == WarmStartStep::Done || now < m_stepDeadline) {
+        m_requiredRevision = m_step == WarmStartStep::Done && now >= m_catchUpDeadline ? base::Revision{} : m_requiredRevision;
         return;
     }
     if (m_step == WarmStartStep::QueryPlatform) {
-        if (!m_hasAskedPlatform) {
-            m_hasAskedPlatform = true;
-            m_stepUntil = now + m_options.platformRetryInterval;
+        if (!m_isPlatformReadPending) {
+            m_isPlatformReadPending = true;
+            m_stepDeadline = now + m_options.platformRetryInterval;
             m_actions.emplace_back(ReadPlatform{});
         }
         if (m_revision.value != 0 && !m_platformError.empty()) {
             enter(WarmStartStep::Done, now); // a peer's configuration came meanwhile
         }
     } else {
-        advance(now);
+        finishStep(now);
     }
 }
 
@@ -284,10 +284,10 @@
     if (m_revision.value == 0) {
         return NotReadyReason::NoConfiguration;
     }
-    if (m_revision < m_seen) {
+    if (m_revision < m_requiredRevision) {
         return NotReadyReason::BehindPeers;
     }
-    return m_answeringUpstreams == 0 ? NotReadyReason::NoUpstream : NotReadyReason::None;
+    return m_availableUpstreams == 0 ? NotReadyReason::NoUpstream : NotReadyReason::None;
 }
 
 std::string WarmStart::notReadyMessage() const
@@ -297,9 +297,9 @@
 
 TimePoint WarmStart::nextDeadline() const
 {
-    auto next = m_step == WarmStartStep::Done && m_seen.value != 0 ? m_catchUpUntil : m_stepUntil;
+    auto next = m_step == WarmStartStep::Done && m_requiredRevision.value != 0 ? m_catchUpDeadline : m_stepDeadline;
     for (const auto &it : m_transfers) {
-        next = std::min(next, it.second.askedAt + m_options.partTimeout);
+        next = std::min(next, it.second.requestedAt + m_options.partTimeout);
     }
     return next;
 }
--- a/carawaylatch/handover/warmstart.h
+++ b/carawaylatch/handover/warmstart.h
@@ -101,7 +101,7 @@
     // What the platform gave: a snapshot with the stored configuration in `rows`, or why not.
     void onPlatform(const base::Result<Snapshot> &result, base::TimePoint now);
     // Revision in force and number of upstreams that answer, whenever they change.
-    void onState(base::Revision revision, std::size_t answeringUpstreams);
+    void onStateChanged(base::Revision revision, std::size_t availableUpstreams);
     // The greatest revision that live routers show, whenever it grows.
     void onFleetRevision(base::Revision revision);
     void onStopping();
@@ -123,34 +123,34 @@
         std::uint32_t nextPart = 0;
         std::uint64_t digest = 0;
         std::string bytes;
-        base::TimePoint askedAt;
-        std::uint32_t repeats = 0;
+        base::TimePoint requestedAt;
+        std::uint32_t retries = 0;
     };
 
     void enter(WarmStartStep step, base::TimePoint now);
-    void askMore(base::TimePoint now);
-    void ask(const base::RouterId &peer, Transfer &transfer, base::TimePoint now);
-    void drop(const base::RouterId &peer, base::TimePoint now);
-    void complete(const base::RouterId &peer, base::TimePoint now);
-    void advance(base::TimePoint now);
-    [[nodiscard]] bool mayAsk(const config::DistributionPeer &peer) const;
+    void startTransfers(base::TimePoint now);
+    void requestPart(const base::RouterId &peer, Transfer &transfer, base::TimePoint now);
+    void abandonTransfer(const base::RouterId &peer, base::TimePoint now);
+    void completeTransfer(const base::RouterId &peer, base::TimePoint now);
+    void finishStep(base::TimePoint now);
+    [[nodiscard]] bool mayQuery(const config::DistributionPeer &peer) const;
 
     WarmStartOptions m_options;
     Decoder m_decoder;
     base::Random m_random;
     WarmStartStep m_step = WarmStartStep::FindPeers;
-    base::TimePoint m_stepUntil;
+    base::TimePoint m_stepDeadline;
     std::vector<config::DistributionPeer> m_peers;
-    std::set<base::RouterId> m_asked; // never asked twice
+    std::set<base::RouterId> m_queried; // never asked twice
     std::map<base::RouterId, Transfer> m_transfers;
     Snapshot m_snapshot; // merged so far
     bool m_hasHotState = false;
-    bool m_hasAskedPlatform = false; // an answer is due
+    bool m_isPlatformReadPending = false; // an answer is due
     std::string m_platformError;
     base::Revision m_revision;
-    base::Revision m_seen; // the revision to reach before the first readiness; fixed once done
-    base::TimePoint m_catchUpUntil;
-    std::size_t m_answeringUpstreams = 0;
+    base::Revision m_requiredRevision; // the revision to reach before the first readiness; fixed once done
+    base::TimePoint m_catchUpDeadline;
+    std::size_t m_availableUpstreams = 0;
     bool m_isStopping = false;
     std::vector<WarmStartAction> m_actions;
 };
--- a/carawaylatch/router/completionplacer.cpp
+++ b/carawaylatch/router/completionplacer.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr base::Duration ViewRetry = base::seconds{1};
+constexpr base::Duration ViewRetryAfter = base::seconds{1};
 
 upstreams::AttemptOutcome toRegistryOutcome(const relay::AttemptOutcome &outcome)
 {
@@ -49,7 +49,7 @@
 base::Result<relay::AttemptPlan> CompletionPlacer::place(const relay::PlacementRequest &request)
 {
     const base::TimePoint now = m_dependencies.clock.now();
-    BOOST_OUTCOME_TRY(view, usableView(request.weightsVersion, now));
+    BOOST_OUTCOME_TRY(view, prepareView(request.weightsVersion, now));
     const auto *pool = view->pool(m_context.pool->name);
     std::vector<base::UpstreamId> excluded;
     for (const auto &it : request.excluded) {
@@ -60,32 +60,32 @@
     }
     BOOST_OUTCOME_TRY(placement, m_dependencies.strategy.place(routingRequest(excluded, now), *view));
     if (!view->maySend(placement.upstream, placement.incarnation, now)) {
-        return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", ViewRetry);
+        return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", ViewRetryAfter);
     }
-    Placed placed{placement.slot, placement.incarnation, placement.predictedBlocks, bestHeld(now), {}};
-    placed.ticket = m_dependencies.routingState.inflight.begin(placement.slot, placement.missingTokens, now, m_context.head.trafficClass);
+    OpenPlacement openPlacement{placement.slot, placement.incarnation, placement.predictedBlocks, findMaxCachedBlocks(now), {}};
+    openPlacement.ticket = m_dependencies.routingState.inflight.begin(placement.slot, placement.missingTokens, now, m_context.head.trafficClass);
     m_dependencies.routingState.caches.recordPlacement(placement.slot, placement.incarnation, m_chain, now);
     m_dependencies.routingState.heat.record(base::hash64(m_context.pool->name.value()), m_chain, prefix::promptTokens(m_context.prompt),
                                             static_cast<std::uint32_t>(std::max<std::size_t>(1, pool->eligible.size())), now);
-    m_placed.emplace(placement.upstream, std::move(placed));
+    m_openPlacements.emplace(placement.upstream, std::move(openPlacement));
     return relay::AttemptPlan{placement.upstream, placement.endpoint, placement.incarnation, m_version, m_salt};
 }
 
 void CompletionPlacer::firstToken(const relay::AttemptPlan &plan, base::Duration)
 {
-    const auto it = m_placed.find(plan.upstream);
-    if (it != m_placed.end()) {
+    const auto it = m_openPlacements.find(plan.upstream);
+    if (it != m_openPlacements.end()) {
         it->second.ticket.onFirstToken();
     }
 }
 
 void CompletionPlacer::ended(const relay::AttemptOutcome &outcome)
 {
-    const auto it = m_placed.find(outcome.plan.upstream);
-    if (it != m_placed.end()) {
+    const auto it = m_openPlacements.find(outcome.plan.upstream);
+    if (it != m_openPlacements.end()) {
         it->second.ticket.finish();
-        learn(outcome, it->second);
-        m_placed.erase(it);
+        recordUsage(outcome, it->second);
+        m_openPlacements.erase(it);
     }
     m_dependencies.onAttempt({outcome.plan.upstream, outcome.plan.incarnation, toRegistryOutcome(outcome)});
 }
@@ -95,26 +95,26 @@
     return m_wastedTokens;
 }
 
-base::Result<routing::Placement> CompletionPlacer::probe()
+base::Result<routing::Placement> CompletionPlacer::previewPlacement()
 {
     const base::TimePoint now = m_dependencies.clock.now();
-    BOOST_OUTCOME_TRY(view, usableView(std::nullopt, now));
+    BOOST_OUTCOME_TRY(view, prepareView(std::nullopt, now));
     return m_dependencies.strategy.place(routingRequest({}, now), *view);
 }
 
 base::Result<routing::Explanation> CompletionPlacer::explain()
 {
     const base::TimePoint now = m_dependencies.clock.now();
-    BOOST_OUTCOME_TRY(view, usableView(std::nullopt, now));
+    BOOST_OUTCOME_TRY(view, prepareView(std::nullopt, now));
     return m_dependencies.strategy.explain(routingRequest({}, now), *view);
 }
 
-base::Result<std::shared_ptr<const upstreams::UpstreamView>> CompletionPlacer::usableView(std::optional<base::WeightsVersion> version, base::TimePoint now)
+base::Result<std::shared_ptr<const upstreams::UpstreamView>> CompletionPlacer::prepareView(std::optional<base::WeightsVersion> version, base::TimePoint now)
 {
     auto view = m_dependencies.published.load()->upstreams;
     const auto *pool = view->pool(m_context.pool->name);
     if (pool == nullptr || !view->isUsable(now)) {
-        return base::fail(base::ErrorKind::Unavailable, "the router has no fresh view of its upstreams; nothing ran, try again", ViewRetry);
+        return base::fail(base::ErrorKind::Unavailable, "the router has no fresh view of its upstreams; nothing ran, try again", ViewRetryAfter);
     }
     prepareChain(version.value_or(pool->servingVersion));
     return view;
@@ -145,7 +145,7 @@
     m_chain = prefix::blockHashChain(m_context.prompt, m_salt, m_context.pool->blockBytes);
 }
 
-std::uint32_t CompletionPlacer::bestHeld(base::TimePoint now) const
+std::uint32_t CompletionPlacer::findMaxCachedBlocks(base::TimePoint now) const
 {
     std::vector<prefix::Holder> holders;
     m_dependencies.routingState.caches.findHolders(m_chain, now, holders);
@@ -156,16 +156,16 @@
     return best;
 }
 
-void CompletionPlacer::learn(const relay::AttemptOutcome &outcome, const Placed &placed)
+void CompletionPlacer::recordUsage(const relay::AttemptOutcome &outcome, const OpenPlacement &openPlacement)
 {
     if (outcome.result != relay::AttemptResult::Finished || !outcome.usage || outcome.purpose == relay::AttemptPurpose::Continue) {
         return;
     }
     const auto cachedBlocks = static_cast<std::uint32_t>(outcome.usage->cachedTokens / m_blockTokens);
-    m_dependencies.routingState.caches.recordAnswer({placed.slot, placed.incarnation, m_chain, placed.predictedBlocks, cachedBlocks},
+    m_dependencies.routingState.caches.recordAnswer({openPlacement.slot, openPlacement.incarnation, m_chain, openPlacement.predictedBlocks, cachedBlocks},
                                                     m_dependencies.clock.now());
-    if (placed.bestHeldBlocks > cachedBlocks) {
-        m_wastedTokens += static_cast<std::uint64_t>(placed.bestHeldBlocks - cachedBlocks) * m_blockTokens;
+    if (openPlacement.maxCachedBlocks > cachedBlocks) {
+        m_wastedTokens += static_cast<std::uint64_t>(openPlacement.maxCachedBlocks - cachedBlocks) * m_blockTokens;
     }
 }
 
--- a/carawaylatch/router/completionplacer.h
+++ b/carawaylatch/router/completionplacer.h
@@ -49,27 +49,27 @@
     // the request was placed; known once an attempt has finished.
     [[nodiscard]] std::uint64_t wastedTokens() const;
     // Returns the placement that a new request would get, without taking it.
-    [[nodiscard]] base::Result<routing::Placement> probe();
+    [[nodiscard]] base::Result<routing::Placement> previewPlacement();
     // Returns every candidate of that placement with its estimate.
     [[nodiscard]] base::Result<routing::Explanation> explain();
 
 private:
     // One placement, until its attempt ends.
-    struct Placed
+    struct OpenPlacement
     {
         upstreams::Slot slot;
         base::Incarnation incarnation;
         std::uint32_t predictedBlocks = 0;
-        std::uint32_t bestHeldBlocks = 0; // by any live upstream
+        std::uint32_t maxCachedBlocks = 0; // by any live upstream
         upstreams::InflightTable::Ticket ticket;
     };
 
     [[nodiscard]] routing::PlacementRequest routingRequest(const std::vector<base::UpstreamId> &excluded, base::TimePoint now) const;
     void prepareChain(base::WeightsVersion version);
     // Returns a view that may be used now, its chain prepared.
-    [[nodiscard]] base::Result<std::shared_ptr<const upstreams::UpstreamView>> usableView(std::optional<base::WeightsVersion> version, base::TimePoint now);
-    [[nodiscard]] std::uint32_t bestHeld(base::TimePoint now) const;
-    void learn(const relay::AttemptOutcome &outcome, const Placed &placed);
+    [[nodiscard]] base::Result<std::shared_ptr<const upstreams::UpstreamView>> prepareView(std::optional<base::WeightsVersion> version, base::TimePoint now);
+    [[nodiscard]] std::uint32_t findMaxCachedBlocks(base::TimePoint now) const;
+    void recordUsage(const relay::AttemptOutcome &outcome, const OpenPlacement &openPlacement);
 
     const PlacementDependencies &m_dependencies;
     const RequestContext &m_context;
@@ -77,7 +77,7 @@
     base::WeightsVersion m_version; // of m_salt and m_chain
     base::CacheSalt m_salt;
     std::vector<std::uint64_t> m_chain;
-    std::multimap<base::UpstreamId, Placed> m_placed; // open attempts, a handful
+    std::multimap<base::UpstreamId, OpenPlacement> m_openPlacements; // open attempts, a handful
     std::uint64_t m_wastedTokens = 0;
 };
 
--- a/carawaylatch/router/configcontroller.cpp
+++ b/carawaylatch/router/configcontroller.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-constexpr base::Duration RetryPause = base::seconds{1};
-constexpr base::Duration IdlePause = base::milliseconds{200}; // while this router isn't a watcher
+constexpr base::Duration RetryInterval = base::seconds{1};
+constexpr base::Duration IdlePollInterval = base::milliseconds{200}; // while this router isn't a watcher
 
 config::DistributorOptions distributorOptions(const config::Settings &settings)
 {
@@ -26,11 +26,11 @@
     return options;
 }
 
-void pause(base::Duration duration, const std::stop_token &stop)
+void sleepFor(base::Duration duration, const std::stop_token &stop)
 {
     const base::SteadyClock clock;
-    const base::TimePoint until = clock.now() + duration;
-    while (!stop.stop_requested() && clock.now() < until) {
+    const base::TimePoint deadline = clock.now() + duration;
+    while (!stop.stop_requested() && clock.now() < deadline) {
         std::this_thread::sleep_for(base::milliseconds{20});
     }
 }
@@ -45,11 +45,11 @@
 {
     m_bus.subscribe<config::ConfigUpdate>([this](const peer::PeerIdentity &sender, const config::ConfigUpdate &update, base::TimePoint now) {
         m_distributor.onUpdate(sender.id, update, now);
-        carryOut(now);
+        executeActions(now);
     });
     m_bus.subscribe<config::ConfigRequest>([this](const peer::PeerIdentity &sender, const config::ConfigRequest &request, base::TimePoint now) {
         m_distributor.onRequest(sender.id, request);
-        carryOut(now);
+        executeActions(now);
     });
 }
 
@@ -57,7 +57,7 @@
 {
     const config::DistributionPeer self{m_dependencies.settings.router.id, m_dependencies.settings.router.failureDomain};
     m_distributor.onMembers({&self, 1});
-    carryOut(m_dependencies.clock.now());
+    executeActions(m_dependencies.clock.now());
     m_watcher = std::jthread([this](const std::stop_token &stop) {
         watch(stop);
     });
@@ -75,19 +75,19 @@
 {
     std::vector<config::DistributionPeer> peers;
     for (const auto &it : members.members) {
-        const bool takesDuties = it.record.state == membership::MemberState::Alive || it.record.state == membership::MemberState::Suspect;
-        if (takesDuties || it.record.id == members.self) {
+        const bool isLive = it.record.state == membership::MemberState::Alive || it.record.state == membership::MemberState::Suspect;
+        if (isLive || it.record.id == members.self) {
             peers.push_back({it.record.id, it.record.domain});
         }
     }
     m_distributor.onMembers(peers);
-    carryOut(now);
+    executeActions(now);
 }
 
 void ConfigController::onPeerRevision(const base::RouterId &peer, base::Revision revision, base::TimePoint now)
 {
     m_distributor.onPeerRevision(peer, revision, now);
-    carryOut(now);
+    executeActions(now);
 }
 
 void ConfigController::onRows(const config::RowSet &rows, base::TimePoint now)
@@ -95,7 +95,7 @@
     config::ConfigUpdate update;
     update.whole = std::make_shared<const config::RowSet>(rows);
     m_distributor.onUpdate(m_dependencies.settings.router.id, update, now);
-    carryOut(now);
+    executeActions(now);
 }
 
 base::Revision ConfigController::revision() const
@@ -108,7 +108,7 @@
     return m_distributor.rows();
 }
 
-void ConfigController::carryOut(base::TimePoint now)
+void ConfigController::executeActions(base::TimePoint now)
 {
     for (const auto &it : m_distributor.takeActions()) {
         if (const auto *update = std::get_if<config::SendUpdate>(&it)) {
@@ -116,14 +116,14 @@
         } else if (const auto *request = std::get_if<config::SendRequest>(&it)) {
             m_bus.send(request->to, request->request);
         } else if (const auto *inForce = std::get_if<config::ConfigInForce>(&it)) {
-            carryOut(*inForce, now);
+            onConfigInForce(*inForce, now);
         } else {
             m_isWatcher = std::holds_alternative<config::StartWatch>(it);
         }
     }
 }
 
-void ConfigController::carryOut(const config::ConfigInForce &inForce, base::TimePoint now)
+void ConfigController::onConfigInForce(const config::ConfigInForce &inForce, base::TimePoint now)
 {
     if (!inForce.tables) {
         base::logEvent(base::LogEvent::ConfigUnreadable, {{"revision", std::to_string(inForce.revision.value)}, {"problem", inForce.problem}});
@@ -138,27 +138,27 @@
     config::HeadStore store(m_dependencies.objects);
     while (!stop.stop_requested()) {
         if (m_isWatcher) {
-            watchOnce(store, stop);
+            loadAndWatch(store, stop);
         } else {
-            pause(IdlePause, stop);
+            sleepFor(IdlePollInterval, stop);
         }
     }
 }
 
-void ConfigController::watchOnce(config::HeadStore &store, const std::stop_token &stop)
+void ConfigController::loadAndWatch(config::HeadStore &store, const std::stop_token &stop)
 {
     const auto stored = store.load();
     if (!stored) {
-        pause(RetryPause, stop);
+        sleepFor(RetryInterval, stop);
         return;
     }
     m_dependencies.loop.post([this, stored](base::TimePoint now) {
         m_distributor.onStored(stored.value().head, stored.value().rows);
-        carryOut(now);
+        executeActions(now);
     });
     const auto changes = m_dependencies.objects.watch(config::HeadName, stored.value().version, m_dependencies.settings.platform.watchWait);
     if (!changes) {
-        pause(RetryPause, stop);
+        sleepFor(RetryInterval, stop);
     }
 }
 
--- a/carawaylatch/router/configcontroller.h
+++ b/carawaylatch/router/configcontroller.h
@@ -36,11 +36,11 @@
     [[nodiscard]] std::shared_ptr<const config::RowSet> rows() const;
 
 private:
-    void carryOut(base::TimePoint now);
-    void carryOut(const config::ConfigInForce &inForce, base::TimePoint now);
+    void executeActions(base::TimePoint now);
+    void onConfigInForce(const config::ConfigInForce &inForce, base::TimePoint now);
     // The watching thread.
     void watch(const std::stop_token &stop);
-    void watchOnce(config::HeadStore &store, const std::stop_token &stop);
+    void loadAndWatch(config::HeadStore &store, const std::stop_token &stop);
 
     const ControllerDependencies &m_dependencies;
     PeerBus &m_bus;
--- a/carawaylatch/router/filterchain.cpp
+++ b/carawaylatch/router/filterchain.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr base::Duration NotServingRetry = base::seconds{1};
+constexpr base::Duration NotServingRetryAfter = base::seconds{1};
 
 // A route's path matches itself and, for services, everything below it.
 bool matchesPath(const config::Route &route, std::string_view path)
@@ -23,14 +23,14 @@
     return path == route.path || (route.model.isEmpty() && path.starts_with(route.path) && path.substr(route.path.size()).starts_with('/'));
 }
 
-bool servesCustomer(const config::Route &route, const base::CustomerId &customer)
+bool allowsCustomer(const config::Route &route, const base::CustomerId &customer)
 {
     return route.customers.empty() || std::find(route.customers.begin(), route.customers.end(), customer) != route.customers.end();
 }
 
 // How far a request got in matching; the furthest route explains a refusal best.
 enum class MatchLevel {
-    Nothing,
+    None,
     Path,
     Model,
     Customer,
@@ -40,21 +40,21 @@
 MatchLevel matchLevel(const config::Route &route, const RequestContext &context)
 {
     if (!matchesPath(route, context.head.path)) {
-        return MatchLevel::Nothing;
+        return MatchLevel::None;
     }
     if (route.model != context.model) {
         return MatchLevel::Path;
     }
-    if (!servesCustomer(route, context.customer->id)) {
+    if (!allowsCustomer(route, context.customer->id)) {
         return MatchLevel::Model;
     }
     return !route.trafficClass || *route.trafficClass == context.head.trafficClass ? MatchLevel::All : MatchLevel::Customer;
 }
 
-base::Error noRoute(MatchLevel level, const RequestContext &context)
+base::Error noRouteError(MatchLevel level, const RequestContext &context)
 {
     switch (level) {
-    case MatchLevel::Nothing:
+    case MatchLevel::None:
         return base::fail(base::ErrorKind::NotFound, "no route serves " + context.head.path + "; GET /v1/models lists models, operators list routes");
     case MatchLevel::Path:
         return base::fail(base::ErrorKind::NotFound, "no route serves model '" + context.model.value() + "'; GET /v1/models lists the models");
@@ -89,10 +89,10 @@
 {
     const auto &snapshot = *context.snapshot;
     if (snapshot.serving == ServingState::Refusing) {
-        return base::fail(base::ErrorKind::Unavailable, "this router is stopping; nothing ran, send the request to another one", NotServingRetry);
+        return base::fail(base::ErrorKind::Unavailable, "this router is stopping; nothing ran, send the request to another one", NotServingRetryAfter);
     }
     if (!snapshot.tables) {
-        return base::fail(base::ErrorKind::Unavailable, "this router holds no configuration yet; nothing ran, try another one", NotServingRetry);
+        return base::fail(base::ErrorKind::Unavailable, "this router holds no configuration yet; nothing ran, try another one", NotServingRetryAfter);
     }
     return base::ok();
 }
@@ -116,7 +116,7 @@
 
 base::Result<void> MatchRoute::apply(RequestContext &context) const
 {
-    MatchLevel best = MatchLevel::Nothing;
+    MatchLevel best = MatchLevel::None;
     for (const auto &it : context.snapshot->tables->routes) {
         const MatchLevel level = matchLevel(it, context);
         best = std::max(best, level);
@@ -126,14 +126,14 @@
         }
     }
     if (context.route == nullptr) {
-        return noRoute(best, context);
+        return noRouteError(best, context);
     }
     context.pool = findPool(*context.snapshot->tables, context.route->pool);
     if (context.pool == nullptr) {
         return base::fail(base::ErrorKind::Internal, "pool " + context.route->pool.value() + " is not configured; operators: add it or change the route");
     }
-    const base::Duration longest = context.route->deadline;
-    context.deadline = context.arrivedAt + std::min(context.head.deadline.value_or(longest), longest);
+    const base::Duration routeDeadline = context.route->deadline;
+    context.deadline = context.arrivedAt + std::min(context.head.deadline.value_or(routeDeadline), routeDeadline);
     return base::ok();
 }
 
--- a/carawaylatch/router/handovercontroller.cpp
+++ b/carawaylatch/router/handovercontroller.cpp
@@ -19,13 +19,13 @@
 {
 
 constexpr base::Duration TickInterval = base::milliseconds{50};
-constexpr base::Duration ImportPeriod = base::seconds{5};
+constexpr base::Duration ImportRetryPeriod = base::seconds{5};
 constexpr base::Duration EncodingLifetime = base::milliseconds{500};
 constexpr std::size_t MaxPlacements = 60'000; // blocks in one snapshot
 constexpr std::size_t MaxLevels = 5'000;
-constexpr std::string_view SnapshotDuty = "snapshot";
+constexpr std::string_view SnapshotTask = "snapshot";
 
-handover::WarmStartOptions startOptions(const ControllerDependencies &dependencies)
+handover::WarmStartOptions warmStartOptions(const ControllerDependencies &dependencies)
 {
     handover::WarmStartOptions options;
     options.domain = dependencies.settings.router.failureDomain;
@@ -35,7 +35,7 @@
     return options;
 }
 
-handover::ShutdownOptions stopOptions(const config::Settings &settings)
+handover::ShutdownOptions shutdownOptions(const config::Settings &settings)
 {
     handover::ShutdownOptions options;
     options.drainLag = settings.timings.drainLag;
@@ -51,17 +51,17 @@
     return greatest;
 }
 
-std::string storedName(const base::FailureDomain &domain)
+std::string storedSnapshotName(const base::FailureDomain &domain)
 {
     return std::string(handover::StoredSnapshotPrefix) + domain.value();
 }
 
 // Reads what the platform holds: the configuration must be there, hot state may be.
-base::Result<handover::Snapshot> readStored(store::ObjectStore &objects, const base::FailureDomain &domain)
+base::Result<handover::Snapshot> readStoredSnapshot(store::ObjectStore &objects, const base::FailureDomain &domain)
 {
     BOOST_OUTCOME_TRY(stored, config::HeadStore(objects).load());
     handover::Snapshot snapshot;
-    if (const auto object = objects.read(storedName(domain)); object) {
+    if (const auto object = objects.read(storedSnapshotName(domain)); object) {
         if (auto decoded = peer::decodeSnapshot(object.value().value); decoded) {
             snapshot = std::move(decoded).value();
         }
@@ -70,9 +70,9 @@
     return snapshot;
 }
 
-base::Result<void> writeStored(store::ObjectStore &objects, const base::FailureDomain &domain, const handover::Snapshot &snapshot)
+base::Result<void> writeStoredSnapshot(store::ObjectStore &objects, const base::FailureDomain &domain, const handover::Snapshot &snapshot)
 {
-    const std::string name = storedName(domain);
+    const std::string name = storedSnapshotName(domain);
     const auto present = objects.read(name);
     if (!present && present.error().kind != base::ErrorKind::NotFound) {
         return present.error();
@@ -92,19 +92,19 @@
     , m_platformLoop(platformLoop)
     , m_sources(sources)
     , m_hooks(std::move(hooks))
-    , m_start(startOptions(dependencies), peer::decodeSnapshot, dependencies.clock.now())
-    , m_server(
+    , m_warmStart(warmStartOptions(dependencies), peer::decodeSnapshot, dependencies.clock.now())
+    , m_snapshotServer(
           [this] {
-              return peer::encodeSnapshot(makeSnapshot(m_dependencies.clock.now()));
+              return peer::encodeSnapshot(collectSnapshot(m_dependencies.clock.now()));
           },
           EncodingLifetime)
-    , m_stop(stopOptions(dependencies.settings))
+    , m_shutdown(shutdownOptions(dependencies.settings))
 {
     m_bus.subscribe<handover::SnapshotRequest>([this](const peer::PeerIdentity &sender, const handover::SnapshotRequest &request, base::TimePoint now) {
-        m_bus.send(sender.id, m_server.answer(request, now));
+        m_bus.send(sender.id, m_snapshotServer.serve(request, now));
     });
     m_bus.subscribe<handover::SnapshotPart>([this](const peer::PeerIdentity &sender, const handover::SnapshotPart &part, base::TimePoint now) {
-        m_start.onPart(sender.id, part, now);
+        m_warmStart.onPart(sender.id, part, now);
         advance(now);
     });
     m_bus.subscribe<prefix::HotPlacements>([this](const auto &, const prefix::HotPlacements &placements, base::TimePoint now) {
@@ -114,59 +114,59 @@
 
 void HandoverController::start(base::TimePoint now)
 {
-    m_tick = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
-        m_start.onTick(at);
-        m_stop.onEvent(handover::ShutdownEvent::Tick, m_hooks.openRequests(), at);
-        onState(at);
+    m_tickTimer = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+        m_warmStart.onTick(at);
+        m_shutdown.onEvent(handover::ShutdownEvent::Tick, m_hooks.openRequests(), at);
+        onStateChanged(at);
     });
-    m_snapshots = m_dependencies.loop.timers().every(now, m_dependencies.settings.timings.snapshot, [this](base::TimePoint at) {
+    m_snapshotTimer = m_dependencies.loop.timers().every(now, m_dependencies.settings.timings.snapshot, [this](base::TimePoint at) {
         storeSnapshot(at);
     });
 }
 
-void HandoverController::onState(base::TimePoint now)
+void HandoverController::onStateChanged(base::TimePoint now)
 {
-    m_start.onPeers(m_sources.members.peers(), now);
+    m_warmStart.onPeers(m_sources.members.peers(), now);
     if (const auto &members = m_state.snapshot().members) {
-        m_start.onFleetRevision(greatestRevision(*members));
+        m_warmStart.onFleetRevision(greatestRevision(*members));
     }
-    m_start.onState(m_sources.config.revision(), m_sources.upstreams.answeringCount(now));
+    m_warmStart.onStateChanged(m_sources.config.revision(), m_sources.upstreams.availableCount(now));
     advance(now);
 }
 
 void HandoverController::onSignal(base::TimePoint now)
 {
     const std::size_t streams = m_hooks.openRequests();
-    if (m_stop.step() == handover::ShutdownStep::Running) {
+    if (m_shutdown.step() == handover::ShutdownStep::Running) {
         base::logEvent(base::LogEvent::RouterStopping, {{"streams", std::to_string(streams)}});
-        m_start.onStopping();
+        m_warmStart.onStopping();
     }
-    m_stop.onEvent(handover::ShutdownEvent::Signal, streams, now);
+    m_shutdown.onEvent(handover::ShutdownEvent::Signal, streams, now);
     advance(now);
 }
 
 void HandoverController::advance(base::TimePoint now)
 {
-    carryOutStart(now);
+    executeWarmStartActions(now);
     importPlacements(now);
-    carryOutStop(now);
+    executeShutdownActions(now);
     updateServing();
 }
 
-void HandoverController::carryOutStart(base::TimePoint now)
+void HandoverController::executeWarmStartActions(base::TimePoint now)
 {
-    for (const auto &it : m_start.takeActions()) {
-        if (const auto *ask = std::get_if<handover::SendSnapshotRequest>(&it)) {
-            m_bus.send(ask->peer, ask->request);
+    for (const auto &it : m_warmStart.takeActions()) {
+        if (const auto *send = std::get_if<handover::SendSnapshotRequest>(&it)) {
+            m_bus.send(send->peer, send->request);
         } else if (const auto *loaded = std::get_if<handover::LoadSnapshot>(&it)) {
-            load(loaded->snapshot, now);
+            loadSnapshot(loaded->snapshot, now);
         } else {
-            readPlatform();
+            readPlatformSnapshot();
         }
     }
 }
 
-void HandoverController::load(const handover::Snapshot &snapshot, base::TimePoint now)
+void HandoverController::loadSnapshot(const handover::Snapshot &snapshot, base::TimePoint now)
 {
     if (snapshot.rows.revision.value > 0) {
         m_sources.config.onRows(snapshot.rows, now);
@@ -174,8 +174,8 @@
     m_sources.members.onRecords(snapshot.members, now);
     m_sources.upstreams.importMarks(snapshot.marks, now);
     m_dependencies.routingState.heat.importHot(snapshot.levels, now);
-    m_placements = snapshot.placements;
-    m_importUntil = now + ImportPeriod;
+    m_pendingPlacements = snapshot.placements;
+    m_importDeadline = now + ImportRetryPeriod;
     base::logEvent(base::LogEvent::WarmStartLoaded, {{"revision", std::to_string(snapshot.rows.revision.value)},
                                                      {"placements", std::to_string(snapshot.placements.upstreams.size())},
                                                      {"marks", std::to_string(snapshot.marks.size())}});
@@ -183,31 +183,31 @@
 
 void HandoverController::importPlacements(base::TimePoint now)
 {
-    if (m_placements.upstreams.empty()) {
+    if (m_pendingPlacements.upstreams.empty()) {
         return;
     }
     const auto view = m_state.snapshot().upstreams;
-    const auto known = std::partition(m_placements.upstreams.begin(), m_placements.upstreams.end(), [&](const prefix::HotUpstream &it) {
+    const auto known = std::partition(m_pendingPlacements.upstreams.begin(), m_pendingPlacements.upstreams.end(), [&](const prefix::HotUpstream &it) {
         const auto *status = view->find(it.upstream);
         return status == nullptr || status->incarnation.value == 0;
     });
     prefix::HotPlacements ready;
-    ready.upstreams.assign(std::make_move_iterator(known), std::make_move_iterator(m_placements.upstreams.end()));
-    m_placements.upstreams.erase(known, m_placements.upstreams.end());
+    ready.upstreams.assign(std::make_move_iterator(known), std::make_move_iterator(m_pendingPlacements.upstreams.end()));
+    m_pendingPlacements.upstreams.erase(known, m_pendingPlacements.upstreams.end());
     if (!ready.upstreams.empty()) {
         m_dependencies.routingState.caches.importHot(ready, now);
     }
-    if (now > m_importUntil) {
-        m_placements.upstreams.clear();
+    if (now > m_importDeadline) {
+        m_pendingPlacements.upstreams.clear();
     }
 }
 
-void HandoverController::readPlatform()
+void HandoverController::readPlatformSnapshot()
 {
     m_platformLoop.post([this](base::TimePoint) {
-        auto stored = readStored(m_dependencies.objects, m_dependencies.settings.router.failureDomain);
+        auto stored = readStoredSnapshot(m_dependencies.objects, m_dependencies.settings.router.failureDomain);
         m_dependencies.loop.post([this, stored = std::move(stored)](base::TimePoint now) {
-            m_start.onPlatform(stored, now);
+            m_warmStart.onPlatform(stored, now);
             advance(now);
         });
     });
@@ -217,28 +217,28 @@
 {
     using handover::ShutdownStep;
     const auto &snapshot = m_state.snapshot();
-    ServingState serving = m_start.readiness() == handover::NotReadyReason::None ? ServingState::Ready : ServingState::NotReady;
-    if (m_stop.step() == ShutdownStep::NotReady) {
+    ServingState serving = m_warmStart.readiness() == handover::NotReadyReason::None ? ServingState::Ready : ServingState::NotReady;
+    if (m_shutdown.step() == ShutdownStep::NotReady) {
         serving = ServingState::Draining;
-    } else if (m_stop.step() != ShutdownStep::Running) {
+    } else if (m_shutdown.step() != ShutdownStep::Running) {
         serving = ServingState::Refusing;
     }
-    const std::string because = m_start.notReadyMessage();
-    if (serving == snapshot.serving && because == snapshot.notReadyMessage) {
+    const std::string message = m_warmStart.notReadyMessage();
+    if (serving == snapshot.serving && message == snapshot.notReadyMessage) {
         return;
     }
     if (serving == ServingState::Ready) {
         base::logEvent(base::LogEvent::RouterReady, {{"revision", std::to_string(m_sources.config.revision().value)},
-                                                     {"upstreams", std::to_string(m_sources.upstreams.answeringCount(m_dependencies.clock.now()))}});
+                                                     {"upstreams", std::to_string(m_sources.upstreams.availableCount(m_dependencies.clock.now()))}});
     } else {
-        base::logEvent(base::LogEvent::RouterNotReady, {{"reason", because}});
+        base::logEvent(base::LogEvent::RouterNotReady, {{"reason", message}});
     }
-    m_state.setServing(serving, because);
+    m_state.setServing(serving, message);
 }
 
-void HandoverController::carryOutStop(base::TimePoint now)
+void HandoverController::executeShutdownActions(base::TimePoint now)
 {
-    for (const auto it : m_stop.takeActions()) {
+    for (const auto it : m_shutdown.takeActions()) {
         switch (it) {
         case handover::ShutdownAction::BecomeNotReady:
             m_sources.members.leave(now);
@@ -247,17 +247,17 @@
             m_hooks.refuseRequests();
             break;
         case handover::ShutdownAction::HandOver:
-            handOver();
-            m_stop.onEvent(handover::ShutdownEvent::HandedOver, m_hooks.openRequests(), now);
-            carryOutStop(now);
+            sendHotPlacements();
+            m_shutdown.onEvent(handover::ShutdownEvent::HandedOver, m_hooks.openRequests(), now);
+            executeShutdownActions(now);
             break;
         case handover::ShutdownAction::AbortStreams:
             m_hooks.abortStreams();
             break;
         case handover::ShutdownAction::Depart:
             m_sources.members.depart(now);
-            m_stop.onEvent(handover::ShutdownEvent::Departed, m_hooks.openRequests(), now);
-            carryOutStop(now);
+            m_shutdown.onEvent(handover::ShutdownEvent::Departed, m_hooks.openRequests(), now);
+            executeShutdownActions(now);
             break;
         case handover::ShutdownAction::Exit:
             m_hooks.exit();
@@ -266,7 +266,7 @@
     }
 }
 
-void HandoverController::handOver()
+void HandoverController::sendHotPlacements()
 {
     const auto peers = m_sources.members.peers();
     if (!peers.empty()) {
@@ -274,7 +274,7 @@
     }
 }
 
-handover::Snapshot HandoverController::makeSnapshot(base::TimePoint now) const
+handover::Snapshot HandoverController::collectSnapshot(base::TimePoint now) const
 {
     handover::Snapshot snapshot;
     snapshot.rows = *m_sources.config.rows();
@@ -293,25 +293,25 @@
 
 void HandoverController::storeSnapshot(base::TimePoint now)
 {
-    if (!writesSnapshots()) {
+    if (!isSnapshotWriter()) {
         return;
     }
-    auto snapshot = makeSnapshot(now);
+    auto snapshot = collectSnapshot(now);
     snapshot.rows = {};
     handover::shrinkSnapshot(snapshot, handover::MaxStoredSnapshotBytes);
     m_platformLoop.post([this, snapshot = std::move(snapshot)](base::TimePoint) {
-        const auto written = writeStored(m_dependencies.objects, m_dependencies.settings.router.failureDomain, snapshot);
+        const auto written = writeStoredSnapshot(m_dependencies.objects, m_dependencies.settings.router.failureDomain, snapshot);
         if (!written && written.error().kind != base::ErrorKind::Conflict) {
             base::logEvent(base::LogEvent::SnapshotNotStored, {{"problem", written.error().message}});
         }
     });
 }
 
-bool HandoverController::writesSnapshots() const
+bool HandoverController::isSnapshotWriter() const
 {
     const auto &snapshot = m_state.snapshot();
     return snapshot.serving == ServingState::Ready && snapshot.members
-           && snapshot.members->isSelfAmongFirst(1, SnapshotDuty, m_dependencies.settings.router.failureDomain);
+           && snapshot.members->isSelfAmongFirst(1, SnapshotTask, m_dependencies.settings.router.failureDomain);
 }
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/handovercontroller.h
+++ b/carawaylatch/router/handovercontroller.h
@@ -43,22 +43,22 @@
 
     void start(base::TimePoint now);
     // Revision in force or answering upstreams may have changed.
-    void onState(base::TimePoint now);
+    void onStateChanged(base::TimePoint now);
     // A signal to stop; the second one cuts open streams.
     void onSignal(base::TimePoint now);
 
 private:
     void advance(base::TimePoint now);
-    void carryOutStart(base::TimePoint now);
-    void load(const handover::Snapshot &snapshot, base::TimePoint now);
+    void executeWarmStartActions(base::TimePoint now);
+    void loadSnapshot(const handover::Snapshot &snapshot, base::TimePoint now);
     void importPlacements(base::TimePoint now);
-    void readPlatform();
+    void readPlatformSnapshot();
     void updateServing();
-    void carryOutStop(base::TimePoint now);
-    void handOver();
-    [[nodiscard]] handover::Snapshot makeSnapshot(base::TimePoint now) const;
+    void executeShutdownActions(base::TimePoint now);
+    void sendHotPlacements();
+    [[nodiscard]] handover::Snapshot collectSnapshot(base::TimePoint now) const;
     void storeSnapshot(base::TimePoint now);
-    [[nodiscard]] bool writesSnapshots() const;
+    [[nodiscard]] bool isSnapshotWriter() const;
 
     const ControllerDependencies &m_dependencies;
     ControlState &m_state;
@@ -66,14 +66,14 @@
     base::EventLoop &m_platformLoop;
     HandoverSources m_sources;
     const ShutdownHooks m_hooks;
-    handover::WarmStart m_start;
-    handover::SnapshotServer m_server;
-    handover::Shutdown m_stop;
-    // Placements of lives that this router doesn't know yet; tried again until m_importUntil.
-    prefix::HotPlacements m_placements;
-    base::TimePoint m_importUntil;
-    base::TimerService::Subscription m_tick;
-    base::TimerService::Subscription m_snapshots;
+    handover::WarmStart m_warmStart;
+    handover::SnapshotServer m_snapshotServer;
+    handover::Shutdown m_shutdown;
+    // Placements of lives that this router doesn't know yet; tried again until m_importDeadline.
+    prefix::HotPlacements m_pendingPlacements;
+    base::TimePoint m_importDeadline;
+    base::TimerService::Subscription m_tickTimer;
+    base::TimerService::Subscription m_snapshotTimer;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/membercontroller.cpp
+++ b/carawaylatch/router/membercontroller.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr base::Duration TickInterval = base::milliseconds{50};
-constexpr base::Duration ShareInterval = base::milliseconds{500};
+constexpr base::Duration DemandReportInterval = base::milliseconds{500};
 
 membership::MemberListOptions memberOptions(const config::Settings &settings, base::Incarnation incarnation)
 {
@@ -85,12 +85,12 @@
 void MemberController::start(base::TimePoint now)
 {
     m_members.onSeeds(m_dependencies.settings.peers.seeds);
-    m_tick = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+    m_tickTimer = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
         m_members.onTick(at);
         advance(at);
     });
-    m_shares = m_dependencies.loop.timers().every(now, ShareInterval, [this](base::TimePoint at) {
-        exchangeShares(at);
+    m_demandReportTimer = m_dependencies.loop.timers().every(now, DemandReportInterval, [this](base::TimePoint at) {
+        sendDemandReport(at);
     });
 }
 
@@ -173,13 +173,13 @@
     }
 }
 
-void MemberController::exchangeShares(base::TimePoint now)
+void MemberController::sendDemandReport(base::TimePoint now)
 {
     const auto others = peers();
     if (others.empty()) {
         return;
     }
-    const auto &to = others[m_nextShare++ % others.size()].id;
+    const auto &to = others[m_nextReportPeer++ % others.size()].id;
     m_bus.send(to, m_admissionController.report(to, now));
 }
 
--- a/carawaylatch/router/membercontroller.h
+++ b/carawaylatch/router/membercontroller.h
@@ -39,7 +39,7 @@
     template <typename Message>
     void subscribe();
     void advance(base::TimePoint now);
-    void exchangeShares(base::TimePoint now);
+    void sendDemandReport(base::TimePoint now);
     [[nodiscard]] base::Endpoint endpointOf(const base::RouterId &router) const;
 
     const ControllerDependencies &m_dependencies;
@@ -49,9 +49,9 @@
     const ViewHandler m_onView;
     const RevisionHandler m_onRevision;
     membership::MemberList m_members;
-    std::size_t m_nextShare = 0; // index into peers() of the next report
-    base::TimerService::Subscription m_tick;
-    base::TimerService::Subscription m_shares;
+    std::size_t m_nextReportPeer = 0; // index into peers() of the next report
+    base::TimerService::Subscription m_tickTimer;
+    base::TimerService::Subscription m_demandReportTimer;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/operatorrequesthandler.cpp
+++ b/carawaylatch/router/operatorrequesthandler.cpp
@@ -49,7 +49,7 @@
 
 base::Result<void> OperatorRequestHandler::drain(const base::UpstreamId &upstream)
 {
-    BOOST_OUTCOME_TRYV(known(upstream));
+    BOOST_OUTCOME_TRYV(checkUpstreamExists(upstream));
     m_dependencies.loop.run([&](base::TimePoint now) {
         m_dependencies.upstreams.onLeaving(upstream, upstreams::LeavingSource::Drain, now);
     });
@@ -58,14 +58,14 @@
 
 base::Result<void> OperatorRequestHandler::undrain(const base::UpstreamId &upstream)
 {
-    BOOST_OUTCOME_TRYV(known(upstream));
+    BOOST_OUTCOME_TRYV(checkUpstreamExists(upstream));
     m_dependencies.loop.run([&](base::TimePoint now) {
         m_dependencies.upstreams.onUndrain(upstream, now);
     });
     return base::ok();
 }
 
-void OperatorRequestHandler::noteControlTraffic()
+void OperatorRequestHandler::recordControlTraffic()
 {
     using telemetry::ControlChannel;
     auto &metrics = m_dependencies.metrics;
@@ -82,7 +82,7 @@
 
 void OperatorRequestHandler::sample(base::TimePoint now)
 {
-    noteControlTraffic();
+    recordControlTraffic();
     const base::Duration used = m_dependencies.loop.processorTime();
     m_dependencies.metrics.setControlCost(used, telemetry::readProcessCost().residentBytes);
     const std::lock_guard lock(m_mutex);
@@ -116,7 +116,7 @@
                        now);
 }
 
-base::Result<void> OperatorRequestHandler::known(const base::UpstreamId &upstream) const
+base::Result<void> OperatorRequestHandler::checkUpstreamExists(const base::UpstreamId &upstream) const
 {
     if (m_dependencies.published.load()->upstreams->find(upstream) == nullptr) {
         return base::fail(base::ErrorKind::NotFound, "no upstream " + upstream.value() + " in any pool; carawaylatchctl status lists them");
--- a/carawaylatch/router/operatorrequesthandler.h
+++ b/carawaylatch/router/operatorrequesthandler.h
@@ -51,9 +51,9 @@
     void sample(base::TimePoint now);
 
 private:
-    void noteControlTraffic();
+    void recordControlTraffic();
     [[nodiscard]] telemetry::StatusReport report();
-    [[nodiscard]] base::Result<void> known(const base::UpstreamId &upstream) const;
+    [[nodiscard]] base::Result<void> checkUpstreamExists(const base::UpstreamId &upstream) const;
 
     const OperatorDependencies m_dependencies;
     const base::TimePoint m_startedAt;
--- a/carawaylatch/router/periodictasks.cpp
+++ b/carawaylatch/router/periodictasks.cpp
@@ -17,15 +17,15 @@
 namespace
 {
 
-constexpr base::Duration ListInterval = base::seconds{1};
-constexpr base::Duration DeskInterval = base::milliseconds{100};
+constexpr base::Duration VmListInterval = base::seconds{1};
+constexpr base::Duration PendingUpdateInterval = base::milliseconds{100};
 constexpr base::Duration RetentionInterval = base::seconds{2};
 constexpr base::Duration FleetInterval = base::milliseconds{500};
-constexpr std::string_view RetentionDuty = "retention";
-constexpr std::string_view ListDuty = "vm-list";
-constexpr std::string_view FleetDuty = "fleet";
-constexpr std::size_t ListReaders = 3; // routers of a domain
-constexpr std::size_t LeaseCandidates = 3; // routers of a domain
+constexpr std::string_view RetentionTask = "retention";
+constexpr std::string_view VmListTask = "vm-list";
+constexpr std::string_view FleetTask = "fleet";
+constexpr std::size_t VmListReaders = 3; // routers of a domain
+constexpr std::size_t FleetLeaseCandidates = 3; // routers of a domain
 
 fleet::FleetSettings fleetSettings(const config::Settings &settings)
 {
@@ -36,10 +36,10 @@
 
 } // namespace
 
-PeriodicTasks::PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList)
+PeriodicTasks::PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, VmListHandler onVmList)
     : m_dependencies(dependencies)
     , m_executor(executor)
-    , m_onList(std::move(onList))
+    , m_onVmList(std::move(onVmList))
     , m_pruner(dependencies.objects, {})
     , m_fleet({dependencies.settings.router.id, dependencies.incarnation, dependencies.settings.router.failureDomain}, dependencies.objects, engines,
               dependencies.clock, fleetSettings(dependencies.settings))
@@ -56,10 +56,10 @@
 
 void PeriodicTasks::start(base::TimePoint now)
 {
-    m_timers.push_back(m_platformLoop.timers().every(now, ListInterval, [this](base::TimePoint) {
-        readList();
+    m_timers.push_back(m_platformLoop.timers().every(now, VmListInterval, [this](base::TimePoint) {
+        readVmList();
     }));
-    m_timers.push_back(m_orderLoop.timers().every(now, DeskInterval, [this](base::TimePoint) {
+    m_timers.push_back(m_orderLoop.timers().every(now, PendingUpdateInterval, [this](base::TimePoint) {
         m_executor.step();
     }));
     m_timers.push_back(m_orderLoop.timers().every(now, RetentionInterval, [this](base::TimePoint at) {
@@ -86,19 +86,19 @@
     return m_platformLoop;
 }
 
-void PeriodicTasks::readList()
+void PeriodicTasks::readVmList()
 {
-    if (!isAmongFirst(ListDuty, ListReaders)) {
+    if (!isAmongFirst(VmListTask, VmListReaders)) {
         return;
     }
     const auto vms = m_dependencies.objects.vms();
-    if (!vms && !m_isListFailing) {
+    if (!vms && !m_isVmListFailing) {
         base::logEvent(base::LogEvent::PlatformListFailed, {{"problem", vms.error().message}});
     }
-    m_isListFailing = !vms;
+    m_isVmListFailing = !vms;
     if (vms) {
         m_dependencies.loop.post([this, list = vms.value()](base::TimePoint now) {
-            m_onList(list, now);
+            m_onVmList(list, now);
         });
     }
 }
@@ -106,21 +106,21 @@
 void PeriodicTasks::stepFleet()
 {
     const auto snapshot = m_dependencies.published.load();
-    if (snapshot->tables && snapshot->serving == ServingState::Ready && isAmongFirst(FleetDuty, LeaseCandidates)) {
+    if (snapshot->tables && snapshot->serving == ServingState::Ready && isAmongFirst(FleetTask, FleetLeaseCandidates)) {
         m_fleet.step(snapshot->tables->pools);
     }
 }
 
 void PeriodicTasks::stepRetention(base::TimePoint now)
 {
-    m_pruner.step(now, isAmongFirst(RetentionDuty, 1) ? orders::PrunerRole::Pruner : orders::PrunerRole::Observer);
+    m_pruner.step(now, isAmongFirst(RetentionTask, 1) ? orders::PrunerRole::Pruner : orders::PrunerRole::Observer);
     m_executor.setEpoch(m_pruner.epoch());
 }
 
-bool PeriodicTasks::isAmongFirst(std::string_view duty, std::size_t n) const
+bool PeriodicTasks::isAmongFirst(std::string_view task, std::size_t n) const
 {
     const auto snapshot = m_dependencies.published.load();
-    return !snapshot->members || snapshot->members->isSelfAmongFirst(n, duty, m_dependencies.settings.router.failureDomain);
+    return !snapshot->members || snapshot->members->isSelfAmongFirst(n, task, m_dependencies.settings.router.failureDomain);
 }
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/periodictasks.h
+++ b/carawaylatch/router/periodictasks.h
@@ -17,10 +17,10 @@
 class PeriodicTasks
 {
 public:
-    using ListHandler = std::function<void(const std::vector<store::VmRecord> &vms, base::TimePoint now)>;
+    using VmListHandler = std::function<void(const std::vector<store::VmRecord> &vms, base::TimePoint now)>;
 
-    // All outlive the duties; `onList` is called on the control thread.
-    PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, ListHandler onList);
+    // All outlive the duties; `onVmList` is called on the control thread.
+    PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, VmListHandler onVmList);
     ~PeriodicTasks();
 
     void start(base::TimePoint now);
@@ -29,18 +29,18 @@
     [[nodiscard]] base::EventLoop &platformLoop();
 
 private:
-    void readList();
+    void readVmList();
     void stepFleet();
     void stepRetention(base::TimePoint now);
     // Tells whether this router is among the first n of its domain for a duty.
-    [[nodiscard]] bool isAmongFirst(std::string_view duty, std::size_t n) const;
+    [[nodiscard]] bool isAmongFirst(std::string_view task, std::size_t n) const;
 
     const ControllerDependencies &m_dependencies;
     orders::OrderExecutor &m_executor;
-    const ListHandler m_onList;
+    const VmListHandler m_onVmList;
     orders::RecordPruner m_pruner; // order loop
     fleet::FleetDriver m_fleet; // fleet loop
-    bool m_isListFailing = false; // platform loop
+    bool m_isVmListFailing = false; // platform loop
     std::vector<base::TimerService::Subscription> m_timers;
     // Calls of different purposes don't wait for each other.
     base::EventLoop m_platformLoop;
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -34,8 +34,8 @@
 constexpr base::Duration ConnectTimeout = base::milliseconds{500};
 constexpr base::Duration PollTimeout = base::milliseconds{500};
 constexpr base::Duration SampleInterval = base::seconds{2};
-constexpr base::Duration LongestFlush = base::seconds{10};
-constexpr base::Duration FlushPause = base::milliseconds{200};
+constexpr base::Duration MaxFlushTime = base::seconds{10};
+constexpr base::Duration FlushRetryInterval = base::milliseconds{200};
 constexpr std::uint32_t PercentScale = 100;
 
 admission::AdmissionOptions admissionOptions(const config::Settings &settings, base::Incarnation incarnation)
@@ -56,7 +56,7 @@
     return options;
 }
 
-relay::RetryBudgetOptions budgetOptions(const config::Settings &settings)
+relay::RetryBudgetOptions retryBudgetOptions(const config::Settings &settings)
 {
     relay::RetryBudgetOptions options;
     options.share = static_cast<double>(settings.admission.retryBudgetPercent) / PercentScale;
@@ -119,11 +119,11 @@
 
     [[nodiscard]] base::Endpoint callersEndpoint() const
     {
-        return m_callers.endpoint();
+        return m_callersServer.endpoint();
     }
     [[nodiscard]] base::Endpoint operatorsEndpoint() const
     {
-        return m_operators.endpoint();
+        return m_operatorsServer.endpoint();
     }
     [[nodiscard]] base::Endpoint peersEndpoint() const
     {
@@ -146,16 +146,16 @@
 
     void startControllers();
     void applyTables(const std::shared_ptr<const config::Tables> &tables, base::TimePoint now);
-    void onList(const std::vector<store::VmRecord> &vms, base::TimePoint now);
+    void onVmList(const std::vector<store::VmRecord> &vms, base::TimePoint now);
     [[nodiscard]] ShutdownHooks shutdownHooks();
-    void noteStopped(StopKind kind);
+    void setStopped(StopKind kind);
     void flushOrders();
-    void stopParts();
+    void stopComponents();
 
     const config::Settings m_settings;
     const base::SteadyClock m_clock;
     const base::Incarnation m_incarnation = base::newIncarnation();
-    base::EventLoop m_loop{m_clock};
+    base::EventLoop m_controlLoop{m_clock};
     ControlSnapshotPointer m_published;
     telemetry::Metrics m_metrics;
     RoutingState m_routingState;
@@ -164,17 +164,17 @@
     ControlState m_state{m_published};
     http::UpstreamClient m_upstreamClient{PollTimeout};
     peer::Http2Transport m_transport;
-    PeerBus m_bus{m_transport, m_loop};
+    PeerBus m_bus{m_transport, m_controlLoop};
 
     // Traffic.
     admission::AdmissionController m_admissionController;
     relay::AttemptIdGenerator m_attemptIds;
-    relay::RetryBudgets m_budgets;
+    relay::RetryBudgets m_retryBudgets;
     relay::HedgeDelays m_hedgeDelays;
     http::EngineClient m_engineClient;
     http::ServiceClient m_serviceClient{ConnectTimeout};
-    relay::RelayDriver m_relay;
-    orders::ObjectRecordStore m_claims{m_objects};
+    relay::RelayDriver m_relayDriver;
+    orders::ObjectRecordStore m_orderRecords{m_objects};
     const MembershipLiveness m_liveness{m_published};
     orders::OrderExecutor m_orderExecutor;
     std::unique_ptr<routing::RoutingStrategy> m_strategy;
@@ -184,13 +184,13 @@
     // The operators' port forwards to the desk in m_controllers.
     class RequestHandlerProxy;
     std::unique_ptr<RequestHandlerProxy> m_handlerProxy;
-    http::CallersServer m_callers;
-    http::OperatorsServer m_operators;
+    http::CallersServer m_callersServer;
+    http::OperatorsServer m_operatorsServer;
     base::TimerService::Subscription m_sampleTimer;
 
     std::mutex m_mutex;
-    std::condition_variable m_exitChanged;
-    std::optional<StopKind> m_stopped; // guarded by m_mutex
+    std::condition_variable m_stopChanged;
+    std::optional<StopKind> m_stopKind; // guarded by m_mutex
 };
 
 // The ports are bound after the controllers stand, but their types need a handler
@@ -269,10 +269,10 @@
           })
     , tasks(router.m_controllerDependencies, router.m_orderExecutor, router.m_upstreamClient,
             [&router](const auto &vms, base::TimePoint now) {
-                router.onList(vms, now);
+                router.onVmList(vms, now);
             })
     , handover(router.m_controllerDependencies, router.m_state, router.m_bus, tasks.platformLoop(), {config, members, upstreams}, router.shutdownHooks())
-    , operatorHandler({router.m_settings, router.m_incarnation, router.m_clock, router.m_loop, router.m_published, router.m_routingState,
+    , operatorHandler({router.m_settings, router.m_incarnation, router.m_clock, router.m_controlLoop, router.m_published, router.m_routingState,
                        router.m_admissionController, router.m_metrics, *router.m_traffic, upstreams, router.m_transport, router.m_objects})
 {
 }
@@ -281,28 +281,28 @@
     : m_settings(settings)
     , m_routingState(indexOptions(settings))
     , m_objects({settings.platform.address, settings.platform.port}, settings.router.failureDomain, settings.platform.timeout)
-    , m_controllerDependencies{m_settings, m_clock, m_incarnation, m_loop, m_objects, m_routingState, m_published}
+    , m_controllerDependencies{m_settings, m_clock, m_incarnation, m_controlLoop, m_objects, m_routingState, m_published}
     , m_transport(transportOptions(settings, m_incarnation))
     , m_admissionController(admissionOptions(settings, m_incarnation), m_clock)
     , m_attemptIds(settings.router.id, m_incarnation)
-    , m_budgets(budgetOptions(settings))
+    , m_retryBudgets(retryBudgetOptions(settings))
     , m_engineClient(ConnectTimeout,
                      [this](const base::UpstreamId &upstream) {
-                         m_loop.post([this, upstream](base::TimePoint now) {
+                         m_controlLoop.post([this, upstream](base::TimePoint now) {
                              m_controllers->upstreams.onLeaving(upstream, upstreams::LeavingSource::Refusal, now);
                          });
                      })
-    , m_relay(m_engineClient, m_clock, m_attemptIds, m_budgets, m_hedgeDelays)
-    , m_orderExecutor(settings.router.id, m_incarnation, m_claims, m_liveness, m_clock)
+    , m_relayDriver(m_engineClient, m_clock, m_attemptIds, m_retryBudgets, m_hedgeDelays)
+    , m_orderExecutor(settings.router.id, m_incarnation, m_orderRecords, m_liveness, m_clock)
     , m_handlerProxy(std::make_unique<RequestHandlerProxy>(*this))
-    , m_callers(callersOptions(settings), *m_handlerProxy)
-    , m_operators({settings.operators.address, settings.operators.port}, *m_handlerProxy)
+    , m_callersServer(callersOptions(settings), *m_handlerProxy)
+    , m_operatorsServer({settings.operators.address, settings.operators.port}, *m_handlerProxy)
 {
 }
 
 Router::Impl::~Impl()
 {
-    stopParts();
+    stopComponents();
 }
 
 base::Result<void> Router::Impl::start()
@@ -310,13 +310,13 @@
     BOOST_OUTCOME_TRY(strategy, routing::makeStrategy(m_settings.routing.strategy, m_routingState.sharedRoutingState(), m_settings.routing.seed));
     m_strategy = std::move(strategy);
     const AttemptListener onAttempt = [this](const AttemptReport &attempt) {
-        m_loop.post([this, attempt](base::TimePoint now) {
+        m_controlLoop.post([this, attempt](base::TimePoint now) {
             m_controllers->upstreams.onAttempt(attempt, now);
         });
     };
     m_traffic = std::make_unique<TrafficPlane>(TrafficDependencies{{m_published, m_routingState, *m_strategy, m_clock, onAttempt},
                                                                    m_admissionController,
-                                                                   m_relay,
+                                                                   m_relayDriver,
                                                                    m_orderExecutor,
                                                                    m_serviceClient,
                                                                    m_attemptIds,
@@ -330,10 +330,10 @@
                                                    {"incarnation", std::to_string(m_incarnation.value)},
                                                    {"version", m_settings.router.versionLabel}});
     startControllers();
-    if (!m_operators.start()) {
+    if (!m_operatorsServer.start()) {
         return base::fail(base::ErrorKind::Unavailable, "the operators' port can't be bound; change [operators] address or port");
     }
-    if (!m_callers.start()) {
+    if (!m_callersServer.start()) {
         return base::fail(base::ErrorKind::Unavailable, "the callers' port can't be bound; change [callers] address or port");
     }
     return base::ok();
@@ -348,10 +348,10 @@
     m_controllers->upstreams.start(now);
     m_controllers->handover.start(now);
     m_controllers->tasks.start(now);
-    m_sampleTimer = m_loop.timers().every(now, SampleInterval, [this](base::TimePoint at) {
+    m_sampleTimer = m_controlLoop.timers().every(now, SampleInterval, [this](base::TimePoint at) {
         m_controllers->operatorHandler.sample(at);
     });
-    m_loop.start();
+    m_controlLoop.start();
 }
 
 void Router::Impl::applyTables(const std::shared_ptr<const config::Tables> &tables, base::TimePoint now)
@@ -364,7 +364,7 @@
     m_controllers->members.setRevision(tables->revision);
 }
 
-void Router::Impl::onList(const std::vector<store::VmRecord> &vms, base::TimePoint now)
+void Router::Impl::onVmList(const std::vector<store::VmRecord> &vms, base::TimePoint now)
 {
     m_controllers->upstreams.onPlatformList(vms, now);
     m_controllers->members.onPlatformList(vms, now);
@@ -380,24 +380,24 @@
         m_admissionController.stop();
     };
     hooks.exit = [this] {
-        noteStopped(StopKind::Graceful);
+        setStopped(StopKind::Graceful);
     };
     hooks.abortStreams = [this] {
-        noteStopped(StopKind::Forced);
+        setStopped(StopKind::Forced);
     };
     return hooks;
 }
 
-void Router::Impl::noteStopped(StopKind kind)
+void Router::Impl::setStopped(StopKind kind)
 {
     const std::lock_guard lock(m_mutex);
-    m_stopped = m_stopped.value_or(kind);
-    m_exitChanged.notify_all();
+    m_stopKind = m_stopKind.value_or(kind);
+    m_stopChanged.notify_all();
 }
 
 void Router::Impl::requestStop()
 {
-    m_loop.post([this](base::TimePoint now) {
+    m_controlLoop.post([this](base::TimePoint now) {
         m_controllers->handover.onSignal(now);
     });
 }
@@ -407,10 +407,10 @@
     std::optional<StopKind> kind;
     {
         std::unique_lock lock(m_mutex);
-        m_exitChanged.wait(lock, [this] {
-            return m_stopped.has_value();
+        m_stopChanged.wait(lock, [this] {
+            return m_stopKind.has_value();
         });
-        kind = m_stopped;
+        kind = m_stopKind;
     }
     base::logEvent(base::LogEvent::RouterStopped, {{"streams", std::to_string(m_traffic->openRequests())}});
     return *kind;
@@ -420,24 +420,24 @@
 // outage that outlasts the bound leaves them unknown.
 void Router::Impl::flushOrders()
 {
-    const base::TimePoint until = m_clock.now() + LongestFlush;
+    const base::TimePoint until = m_clock.now() + MaxFlushTime;
     while (!m_orderExecutor.flush() && m_clock.now() < until) {
-        std::this_thread::sleep_for(FlushPause);
+        std::this_thread::sleep_for(FlushRetryInterval);
     }
 }
 
-void Router::Impl::stopParts()
+void Router::Impl::stopComponents()
 {
-    m_callers.stop();
+    m_callersServer.stop();
     flushOrders();
-    m_operators.stop();
+    m_operatorsServer.stop();
     m_objects.stop();
     if (m_controllers) {
         m_controllers->upstreams.stop();
         m_controllers->config.stop();
         m_controllers->tasks.stop();
     }
-    m_loop.stop();
+    m_controlLoop.stop();
     m_transport.stop();
 }
 
--- a/carawaylatch/router/statusbuilder.cpp
+++ b/carawaylatch/router/statusbuilder.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-telemetry::PeerState stateOf(membership::MemberState state)
+telemetry::PeerState toPeerState(membership::MemberState state)
 {
     switch (state) {
     case membership::MemberState::Alive:
@@ -34,7 +34,7 @@
     }
     for (const auto &it : snapshot.members->members) {
         if (it.record.id != snapshot.members->self) {
-            report.peers.push_back({it.record.id, it.record.domain, it.record.incarnation, stateOf(it.record.state), it.revision});
+            report.peers.push_back({it.record.id, it.record.domain, it.record.incarnation, toPeerState(it.record.state), it.revision});
         }
     }
 }
@@ -100,7 +100,7 @@
 void addCustomers(telemetry::StatusReport &report, const config::Tables &tables, const admission::AdmissionController &admissionController,
                   std::span<const CustomerRate> rates, base::TimePoint now)
 {
-    const auto figures = admissionController.stats();
+    const auto stats = admissionController.stats();
     for (const auto &customer : tables.customers) {
         telemetry::CustomerStatus row;
         row.id = customer.id;
@@ -108,7 +108,7 @@
         if (const auto *rate = findRate(rates, customer.id)) {
             row.requestsPerSecond = rate->perSecond;
         }
-        for (const auto &it : figures) {
+        for (const auto &it : stats) {
             row.waiting += it.customer == customer.id ? it.waiting : 0;
         }
         if (customer.concurrency > 0) {
@@ -134,9 +134,9 @@
         rates.back().admitted += it.admitted;
     }
     for (auto &it : rates) {
-        const auto *before = findRate(earlier, it.customer);
-        const std::uint64_t since = it.admitted - (before == nullptr ? 0 : before->admitted);
-        it.perSecond = interval > base::Duration{} ? static_cast<double>(since) / base::toSeconds(interval) : 0;
+        const auto *previous = findRate(earlier, it.customer);
+        const std::uint64_t admittedSince = it.admitted - (previous == nullptr ? 0 : previous->admitted);
+        it.perSecond = interval > base::Duration{} ? static_cast<double>(admittedSince) / base::toSeconds(interval) : 0;
     }
     return rates;
 }
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 
-constexpr std::uint32_t MaxServiceTries = 3;
+constexpr std::uint32_t MaxServiceAttempts = 3;
 
-telemetry::RequestOutcome outcomeOf(const std::optional<base::Error> &error)
+telemetry::RequestOutcome toRequestOutcome(const std::optional<base::Error> &error)
 {
     if (!error) {
         return telemetry::RequestOutcome::Completed;
@@ -34,7 +34,7 @@
     }
 }
 
-telemetry::OrderOutcome metricOf(http::OrderOutcome outcome)
+telemetry::OrderOutcome toMetricOutcome(http::OrderOutcome outcome)
 {
     switch (outcome) {
     case http::OrderOutcome::NotRun:
@@ -50,7 +50,7 @@
     return telemetry::OrderOutcome::Done;
 }
 
-http::ServiceReply replyOf(const orders::OrderAnswer &answer)
+http::ServiceReply toServiceReply(const orders::OrderAnswer &answer)
 {
     http::ServiceReply reply;
     switch (answer.kind) {
@@ -77,14 +77,14 @@
     return reply;
 }
 
-http::ServiceReply refusedReply(const base::Error &error)
+http::ServiceReply errorReply(const base::Error &error)
 {
     http::ServiceReply reply;
     reply.error = error;
     return reply;
 }
 
-telemetry::ExplainCandidate explained(const routing::Candidate &candidate, std::uint32_t blockTokens)
+telemetry::ExplainCandidate toExplainCandidate(const routing::Candidate &candidate, std::uint32_t blockTokens)
 {
     telemetry::ExplainCandidate row;
     row.upstream = candidate.upstream;
@@ -92,29 +92,29 @@
     row.missingTokens = candidate.missingTokens;
     row.cachedTokens = static_cast<std::uint64_t>(candidate.heldBlocks) * blockTokens;
     row.score = base::fromSeconds(candidate.score);
-    const bool isCandidate = candidate.verdict == routing::Candidate::Verdict::Chosen || candidate.verdict == routing::Candidate::Verdict::Possible;
-    row.excluded = isCandidate ? "" : std::string(routing::verdictName(candidate.verdict));
+    const bool isEligible = candidate.verdict == routing::Candidate::Verdict::Chosen || candidate.verdict == routing::Candidate::Verdict::Possible;
+    row.excluded = isEligible ? "" : std::string(routing::verdictName(candidate.verdict));
     return row;
 }
 
 } // namespace
 
-class TrafficPlane::OpenRequest
+class TrafficPlane::OpenRequestScope
 {
 public:
-    explicit OpenRequest(TrafficPlane &plane)
+    explicit OpenRequestScope(TrafficPlane &plane)
         : m_plane(plane)
     {
-        ++m_plane.m_open;
+        ++m_plane.m_openRequests;
         m_plane.m_dependencies.metrics.streamOpened();
     }
-    ~OpenRequest()
+    ~OpenRequestScope()
     {
         m_plane.m_dependencies.metrics.streamClosed();
-        --m_plane.m_open;
+        --m_plane.m_openRequests;
     }
-    OpenRequest(const OpenRequest &) = delete;
-    OpenRequest &operator=(const OpenRequest &) = delete;
+    OpenRequestScope(const OpenRequestScope &) = delete;
+    OpenRequestScope &operator=(const OpenRequestScope &) = delete;
 
 private:
     TrafficPlane &m_plane;
@@ -136,13 +136,13 @@
 
 void TrafficPlane::complete(const http::CompletionCall &call, relay::CallerSink &sink)
 {
-    const OpenRequest open(*this);
-    RequestContext context = contextOf(call.head);
+    const OpenRequestScope open(*this);
+    RequestContext context = createContext(call.head);
     context.model = call.model;
     context.prompt = call.prompt;
     context.maxTokens = call.maxTokens;
     if (const auto passed = runFilters(m_filters, context); !passed) {
-        accountRefusal(context, passed.error());
+        recordRefusal(context, passed.error());
         sink.abort(passed.error());
         return;
     }
@@ -160,32 +160,32 @@
     request.deadline = context.deadline;
     TokenMeter meter(sink, m_dependencies.metrics, context.customer->id, call.head.trafficClass, m_dependencies.placing.clock);
     const relay::RelayReport report = m_dependencies.relay.run(request, placer, meter);
-    account(context, report, placer.wastedTokens());
+    recordMetrics(context, report, placer.wastedTokens());
 }
 
 http::ServiceReply TrafficPlane::callService(const http::ServiceCall &call)
 {
-    const OpenRequest open(*this);
-    RequestContext context = contextOf(call.head);
+    const OpenRequestScope open(*this);
+    RequestContext context = createContext(call.head);
     context.prompt = call.body;
     if (const auto passed = runFilters(m_filters, context); !passed) {
-        accountRefusal(context, passed.error());
-        return refusedReply(passed.error());
+        recordRefusal(context, passed.error());
+        return errorReply(passed.error());
     }
-    auto reply = context.route->idempotency == config::Idempotency::AtMostOnce ? runOrder(call, context) : runPlainCall(call, context);
-    m_dependencies.metrics.countRequest(context.route->name, outcomeOf(reply.error));
+    auto reply = context.route->idempotency == config::Idempotency::AtMostOnce ? runOrder(call, context) : runIdempotentCall(call, context);
+    m_dependencies.metrics.countRequest(context.route->name, toRequestOutcome(reply.error));
     return reply;
 }
 
 base::Result<std::vector<base::ModelId>> TrafficPlane::models(const http::CallerHead &head)
 {
-    RequestContext context = contextOf(head);
+    RequestContext context = createContext(head);
     BOOST_OUTCOME_TRYV(CheckServing().apply(context));
     BOOST_OUTCOME_TRYV(IdentifyCustomer().apply(context));
     std::vector<base::ModelId> models;
     for (const auto &it : context.snapshot->tables->routes) {
-        const bool isOpen = it.customers.empty() || std::count(it.customers.begin(), it.customers.end(), context.customer->id) > 0;
-        if (isOpen && !it.model.isEmpty() && std::count(models.begin(), models.end(), it.model) == 0) {
+        const bool isAllowed = it.customers.empty() || std::count(it.customers.begin(), it.customers.end(), context.customer->id) > 0;
+        if (isAllowed && !it.model.isEmpty() && std::count(models.begin(), models.end(), it.model) == 0) {
             models.push_back(it.model);
         }
     }
@@ -194,7 +194,7 @@
 
 base::Result<telemetry::ExplainReport> TrafficPlane::explain(const http::CompletionCall &call)
 {
-    RequestContext context = contextOf(call.head);
+    RequestContext context = createContext(call.head);
     context.model = call.model;
     context.prompt = call.prompt;
     BOOST_OUTCOME_TRYV(runFilters(m_explainFilters, context));
@@ -205,7 +205,7 @@
     report.pool = context.pool->name;
     report.revision = context.snapshot->tables->revision;
     report.promptTokens = prefix::promptTokens(call.prompt);
-    if (const auto placement = placer.probe(); placement) {
+    if (const auto placement = placer.previewPlacement(); placement) {
         report.chosen = placement.value().upstream;
     } else {
         report.refusal = std::string(base::errorKindName(placement.error().kind)) + ": " + placement.error().message;
@@ -213,7 +213,7 @@
     BOOST_OUTCOME_TRY(explanation, placer.explain());
     const std::uint32_t blockTokens = std::max(1U, context.pool->blockBytes / prefix::BytesPerToken);
     for (const auto &it : explanation.candidates) {
-        report.candidates.push_back(explained(it, blockTokens));
+        report.candidates.push_back(toExplainCandidate(it, blockTokens));
     }
     std::stable_sort(report.candidates.begin(), report.candidates.end(), [](const auto &a, const auto &b) {
         return std::pair(!a.excluded.empty(), a.score) < std::pair(!b.excluded.empty(), b.score);
@@ -223,7 +223,7 @@
 
 std::size_t TrafficPlane::openRequests() const
 {
-    return m_open;
+    return m_openRequests;
 }
 
 base::Duration TrafficPlane::expectedFirstToken(const RequestContext &context) const
@@ -231,21 +231,21 @@
     if (context.pool->kind == config::UpstreamKind::Service) {
         return {};
     }
-    const auto placement = CompletionPlacer(m_dependencies.placing, context).probe();
+    const auto placement = CompletionPlacer(m_dependencies.placing, context).previewPlacement();
     return placement ? placement.value().expectedFirstToken : base::Duration{};
 }
 
-RequestContext TrafficPlane::contextOf(const http::CallerHead &head) const
+RequestContext TrafficPlane::createContext(const http::CallerHead &head) const
 {
     return RequestContext{head, {}, {}, 0, m_dependencies.placing.clock.now(), m_dependencies.placing.published.load(), nullptr, nullptr, nullptr, {}, {}};
 }
 
-void TrafficPlane::account(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens)
+void TrafficPlane::recordMetrics(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens)
 {
     auto &metrics = m_dependencies.metrics;
     const auto &customer = context.customer->id;
     const auto trafficClass = context.head.trafficClass;
-    metrics.countRequest(context.route->name, outcomeOf(report.error));
+    metrics.countRequest(context.route->name, toRequestOutcome(report.error));
     metrics.recordQueueWait(customer, trafficClass, context.ticket.waited());
     if (report.firstToken) {
         metrics.recordFirstToken(customer, trafficClass, *report.firstToken + context.ticket.waited());
@@ -268,7 +268,7 @@
     }
 }
 
-void TrafficPlane::accountRefusal(const RequestContext &context, const base::Error &error)
+void TrafficPlane::recordRefusal(const RequestContext &context, const base::Error &error)
 {
     m_dependencies.metrics.countRefusal(error.kind);
     if (context.route != nullptr) {
@@ -279,7 +279,7 @@
 http::ServiceReply TrafficPlane::runOrder(const http::ServiceCall &call, RequestContext &context)
 {
     if (call.idempotencyKey.empty()) {
-        return refusedReply(
+        return errorReply(
             base::fail(base::ErrorKind::InvalidArgument, "this route's calls run at most once; send a header Idempotency-Key that names the order"));
     }
     orders::OrderRequest request;
@@ -288,19 +288,19 @@
     request.service = serviceRequest(call, context);
     request.deadline = context.deadline;
     ServiceChooser chooser(m_dependencies.placing, context);
-    auto reply = replyOf(m_dependencies.executor.run(request, m_dependencies.services, chooser));
-    m_dependencies.metrics.countOrder(metricOf(reply.outcome));
+    auto reply = toServiceReply(m_dependencies.executor.run(request, m_dependencies.services, chooser));
+    m_dependencies.metrics.countOrder(toMetricOutcome(reply.outcome));
     return reply;
 }
 
-http::ServiceReply TrafficPlane::runPlainCall(const http::ServiceCall &call, RequestContext &context)
+http::ServiceReply TrafficPlane::runIdempotentCall(const http::ServiceCall &call, RequestContext &context)
 {
     ServiceChooser chooser(m_dependencies.placing, context);
     orders::ServiceRequest request = serviceRequest(call, context);
     request.timeout = std::min(m_dependencies.serviceTimeout, context.deadline - context.arrivedAt);
     std::vector<base::UpstreamId> tried;
     base::Error error = base::fail(base::ErrorKind::Unavailable, "no service takes the call now; try again", base::seconds{1});
-    while (tried.size() < MaxServiceTries && m_dependencies.placing.clock.now() < context.deadline) {
+    while (tried.size() < MaxServiceAttempts && m_dependencies.placing.clock.now() < context.deadline) {
         const auto chosen = chooser.choose(tried);
         if (!chosen) {
             error = tried.empty() ? chosen.error() : error;
@@ -318,7 +318,7 @@
         error = answer ? base::fail(base::ErrorKind::StaleState, request.upstream.value() + " answered another request; try again") : answer.error();
         tried.push_back(request.upstream);
     }
-    return refusedReply(error);
+    return errorReply(error);
 }
 
 orders::ServiceRequest TrafficPlane::serviceRequest(const http::ServiceCall &call, const RequestContext &context) const
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -50,19 +50,19 @@
 
 private:
     // Counts a request while it is open.
-    class OpenRequest;
+    class OpenRequestScope;
 
-    [[nodiscard]] RequestContext contextOf(const http::CallerHead &head) const;
-    void account(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens);
-    void accountRefusal(const RequestContext &context, const base::Error &error);
+    [[nodiscard]] RequestContext createContext(const http::CallerHead &head) const;
+    void recordMetrics(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens);
+    void recordRefusal(const RequestContext &context, const base::Error &error);
     [[nodiscard]] http::ServiceReply runOrder(const http::ServiceCall &call, RequestContext &context);
-    [[nodiscard]] http::ServiceReply runPlainCall(const http::ServiceCall &call, RequestContext &context);
+    [[nodiscard]] http::ServiceReply runIdempotentCall(const http::ServiceCall &call, RequestContext &context);
     [[nodiscard]] orders::ServiceRequest serviceRequest(const http::ServiceCall &call, const RequestContext &context) const;
 
     TrafficDependencies m_dependencies;
     std::vector<std::unique_ptr<Filter>> m_filters; // of every request
     std::vector<std::unique_ptr<Filter>> m_explainFilters; // the same without admission
-    std::atomic<std::size_t> m_open = 0;
+    std::atomic<std::size_t> m_openRequests = 0;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/upstreamcontroller.cpp
+++ b/carawaylatch/router/upstreamcontroller.cpp
@@ -1,9 +1,9 @@
 // A leaving mark spreads as a rumour: whoever hears of it first sends it to
-// FanOut other routers at once and, against losses and cuts, to FanOut others
-// every SpreadInterval for SpreadPeriod. A fleet of up to FanOut + 1 routers so
-// hears it in one step; in a fleet of n, a few steps of FanOut each reach all but
-// a share of about exp(-FanOut) in each round, and no router sends more than
-// FanOut messages a round. After a freeze marks are asked for in full.
+// GossipFanOut other routers at once and, against losses and cuts, to GossipFanOut others
+// every GossipInterval for GossipPeriod. A fleet of up to GossipFanOut + 1 routers so
+// hears it in one step; in a fleet of n, a few steps of GossipFanOut each reach all but
+// a share of about exp(-GossipFanOut) in each round, and no router sends more than
+// GossipFanOut messages a round. After a freeze marks are asked for in full.
 #include "carawaylatch/router/upstreamcontroller.h"
 
 #include <algorithm>
@@ -19,9 +19,9 @@
 {
 
 constexpr base::Duration TickInterval = base::milliseconds{100};
-constexpr std::size_t FanOut = 8; // routers told in one round
-constexpr base::Duration SpreadInterval = base::milliseconds{500};
-constexpr base::Duration SpreadPeriod = base::seconds{3};
+constexpr std::size_t GossipFanOut = 8; // routers told in one round
+constexpr base::Duration GossipInterval = base::milliseconds{500};
+constexpr base::Duration GossipPeriod = base::seconds{3};
 constexpr std::size_t MaxRecentMarks = 256; // beyond it the oldest is repeated no more
 constexpr std::uint32_t MinCapacity = 4; // requests in flight while no upstream is known
 
@@ -54,11 +54,11 @@
 
 void UpstreamController::start(base::TimePoint now)
 {
-    m_tick = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+    m_tickTimer = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
         advance(at);
     });
-    m_spread = m_dependencies.loop.timers().every(now, SpreadInterval, [this](base::TimePoint at) {
-        spreadRecent(at);
+    m_gossipTimer = m_dependencies.loop.timers().every(now, GossipInterval, [this](base::TimePoint at) {
+        gossipRecentMarks(at);
     });
     m_poller.start();
 }
@@ -72,7 +72,7 @@
 {
     m_registry.configure(tables, now);
     advance(now);
-    retarget(tables);
+    updatePollTargets(tables);
 }
 
 void UpstreamController::onAttempt(const AttemptReport &attempt, base::TimePoint now)
@@ -112,7 +112,7 @@
     return m_registry.exportMarks();
 }
 
-std::size_t UpstreamController::answeringCount(base::TimePoint now) const
+std::size_t UpstreamController::availableCount(base::TimePoint now) const
 {
     const auto view = m_registry.view();
     return static_cast<std::size_t>(std::count_if(view->upstreams.begin(), view->upstreams.end(), [now](const upstreams::UpstreamStatus &it) {
@@ -139,7 +139,7 @@
 {
     m_registry.onTick(now);
     for (const auto &it : m_registry.takeActions()) {
-        carryOut(it, now);
+        executeAction(it, now);
     }
     const auto view = m_registry.view();
     if (view != m_state.snapshot().upstreams) {
@@ -148,7 +148,7 @@
     }
 }
 
-void UpstreamController::carryOut(const upstreams::RegistryAction &action, base::TimePoint now)
+void UpstreamController::executeAction(const upstreams::RegistryAction &action, base::TimePoint now)
 {
     if (const auto *adopted = std::get_if<upstreams::AdoptIncarnation>(&action)) {
         auto &caches = m_dependencies.routingState.caches;
@@ -160,7 +160,7 @@
         }
         base::logEvent(base::LogEvent::UpstreamAdopted, {{"upstream", adopted->upstream.value()}, {"incarnation", std::to_string(adopted->incarnation.value)}});
     } else if (const auto *announced = std::get_if<upstreams::AnnounceMark>(&action)) {
-        announce(announced->mark, now);
+        announceMark(announced->mark, now);
     } else {
         const auto others = otherRouters();
         if (others.empty()) {
@@ -172,7 +172,7 @@
     }
 }
 
-void UpstreamController::announce(const upstreams::LeavingMark &mark, base::TimePoint now)
+void UpstreamController::announceMark(const upstreams::LeavingMark &mark, base::TimePoint now)
 {
     base::logEvent(mark.isLeaving() ? base::LogEvent::UpstreamLeaving : base::LogEvent::UpstreamReturned,
                    {{"upstream", mark.upstream.value()}, {"incarnation", std::to_string(mark.incarnation.value)}});
@@ -180,12 +180,12 @@
     if (m_recentMarks.size() > MaxRecentMarks) {
         m_recentMarks.pop_front();
     }
-    spread({&mark, 1});
+    gossipMarks({&mark, 1});
 }
 
-void UpstreamController::spreadRecent(base::TimePoint now)
+void UpstreamController::gossipRecentMarks(base::TimePoint now)
 {
-    while (!m_recentMarks.empty() && now - m_recentMarks.front().heardAt > SpreadPeriod) {
+    while (!m_recentMarks.empty() && now - m_recentMarks.front().receivedAt > GossipPeriod) {
         m_recentMarks.pop_front();
     }
     std::vector<upstreams::LeavingMark> marks;
@@ -193,20 +193,20 @@
         marks.push_back(it.mark);
     }
     if (!marks.empty()) {
-        spread(marks);
+        gossipMarks(marks);
     }
 }
 
-void UpstreamController::spread(std::span<const upstreams::LeavingMark> marks)
+void UpstreamController::gossipMarks(std::span<const upstreams::LeavingMark> marks)
 {
     auto others = otherRouters();
-    for (std::size_t i = 0; i < std::min(FanOut, others.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(GossipFanOut, others.size()); ++i) {
         std::swap(others[i], others[i + m_random.below(others.size() - i)]);
         m_bus.send(others[i], peer::MarksMessage{{marks.begin(), marks.end()}});
     }
 }
 
-void UpstreamController::retarget(const config::Tables &tables)
+void UpstreamController::updatePollTargets(const config::Tables &tables)
 {
     std::vector<PollTarget> targets;
     const auto view = m_registry.view();
--- a/carawaylatch/router/upstreamcontroller.h
+++ b/carawaylatch/router/upstreamcontroller.h
@@ -39,16 +39,16 @@
     void importMarks(std::span<const upstreams::LeavingMark> marks, base::TimePoint now);
     [[nodiscard]] std::vector<upstreams::LeavingMark> exportMarks() const;
     // Upstreams that answered lately.
-    [[nodiscard]] std::size_t answeringCount(base::TimePoint now) const;
+    [[nodiscard]] std::size_t availableCount(base::TimePoint now) const;
 
 private:
     void onReport(const base::UpstreamId &id, const base::Result<upstreams::LoadReport> &report, base::TimePoint now);
     void advance(base::TimePoint now);
-    void carryOut(const upstreams::RegistryAction &action, base::TimePoint now);
-    void announce(const upstreams::LeavingMark &mark, base::TimePoint now);
-    void spreadRecent(base::TimePoint now);
-    void spread(std::span<const upstreams::LeavingMark> marks);
-    void retarget(const config::Tables &tables);
+    void executeAction(const upstreams::RegistryAction &action, base::TimePoint now);
+    void announceMark(const upstreams::LeavingMark &mark, base::TimePoint now);
+    void gossipRecentMarks(base::TimePoint now);
+    void gossipMarks(std::span<const upstreams::LeavingMark> marks);
+    void updatePollTargets(const config::Tables &tables);
     void updateCapacity(const upstreams::UpstreamView &view);
     [[nodiscard]] std::vector<base::RouterId> otherRouters() const;
 
@@ -63,12 +63,12 @@
     struct RecentMark
     {
         upstreams::LeavingMark mark;
-        base::TimePoint heardAt;
+        base::TimePoint receivedAt;
     };
     std::deque<RecentMark> m_recentMarks; // oldest first, at most MaxRecentMarks
     base::Random m_random; // chooses receivers
-    base::TimerService::Subscription m_tick;
-    base::TimerService::Subscription m_spread;
+    base::TimerService::Subscription m_tickTimer;
+    base::TimerService::Subscription m_gossipTimer;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/upstreampoller.cpp
+++ b/carawaylatch/router/upstreampoller.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-constexpr base::Duration StopCheck = base::milliseconds{50}; // longest sleep without a look at the stop token
+constexpr base::Duration StopCheckInterval = base::milliseconds{50}; // longest sleep without a look at the stop token
 }
 
 UpstreamPoller::UpstreamPoller(http::UpstreamClient &client, prefix::CacheIndex &caches, base::Duration interval, ReportHandler onReport)
@@ -28,9 +28,9 @@
 
 void UpstreamPoller::start()
 {
-    for (std::size_t part = 0; part < Threads; ++part) {
-        m_threads.emplace_back([this, part](const std::stop_token &stop) {
-            pollPart(part, stop);
+    for (std::size_t shard = 0; shard < ThreadCount; ++shard) {
+        m_threads.emplace_back([this, shard](const std::stop_token &stop) {
+            pollShard(shard, stop);
         });
     }
 }
@@ -45,18 +45,18 @@
     m_targets.store(std::make_shared<const std::vector<PollTarget>>(std::move(targets)));
 }
 
-void UpstreamPoller::pollPart(std::size_t part, const std::stop_token &stop)
+void UpstreamPoller::pollShard(std::size_t shard, const std::stop_token &stop)
 {
     const base::SteadyClock clock;
     base::TimePoint next = clock.now();
     while (!stop.stop_requested()) {
         const auto targets = m_targets.load();
-        for (std::size_t i = part; i < targets->size() && !stop.stop_requested(); i += Threads) {
+        for (std::size_t i = shard; i < targets->size() && !stop.stop_requested(); i += ThreadCount) {
             poll((*targets)[i]);
         }
         next = std::max(next + m_interval, clock.now());
         while (!stop.stop_requested() && clock.now() < next) {
-            std::this_thread::sleep_for(std::min<base::Duration>(StopCheck, next - clock.now()));
+            std::this_thread::sleep_for(std::min<base::Duration>(StopCheckInterval, next - clock.now()));
         }
     }
 }
--- a/carawaylatch/router/upstreampoller.h
+++ b/carawaylatch/router/upstreampoller.h
@@ -42,10 +42,10 @@
     void setTargets(std::vector<PollTarget> targets);
 
 private:
-    void pollPart(std::size_t part, const std::stop_token &stop);
+    void pollShard(std::size_t shard, const std::stop_token &stop);
     void poll(const PollTarget &target);
 
-    static constexpr std::size_t Threads = 4;
+    static constexpr std::size_t ThreadCount = 4;
 
     http::UpstreamClient &m_client;
     prefix::CacheIndex &m_caches;
