--- a/carawaylatch/handover/testing/shutdowntest.cpp
+++ b/carawaylatch/handover/testing/shutdowntest.cpp
@@ -19,7 +19,7 @@
 constexpr ShutdownOptions Options{base::seconds{2}, base::seconds{2}, base::milliseconds{500}};
 
 constexpr std::size_t EventCount = std::size(AllShutdownEvents);
-constexpr std::size_t Choices = EventCount * 2 * 2; // with or without streams, with or without time passing
+constexpr std::size_t ChoiceCount = EventCount * 2 * 2; // with or without streams, with or without time passing
 
 // What the outside has seen so far.
 struct Observed
@@ -39,30 +39,31 @@
 }
 
 // Judges the actions of one event.
-void judge(Observed &seen, const std::vector<ShutdownAction> &actions, std::size_t streams, TimePoint now, TimePoint notReadySince, const std::string &path)
+void checkActions(Observed &observed, const std::vector<ShutdownAction> &actions, std::size_t streams, TimePoint now, TimePoint notReadySince,
+                  const std::string &path)
 {
     for (const auto it : actions) {
-        check(!seen.has(it), path, "an action came twice");
-        seen.actions.push_back(it);
+        check(!observed.has(it), path, "an action came twice");
+        observed.actions.push_back(it);
         switch (it) {
         case ShutdownAction::BecomeNotReady:
-            check(seen.signals == 1, path, "the stop began without a signal");
+            check(observed.signals == 1, path, "the stop began without a signal");
             break;
         case ShutdownAction::RefuseRequests:
-            check(seen.has(ShutdownAction::BecomeNotReady), path, "requests refused while ready");
-            check(seen.signals > 1 || now >= notReadySince + Options.drainLag, path, "requests refused within the balancer's lag");
+            check(observed.has(ShutdownAction::BecomeNotReady), path, "requests refused while ready");
+            check(observed.signals > 1 || now >= notReadySince + Options.drainLag, path, "requests refused within the balancer's lag");
             break;
         case ShutdownAction::HandOver:
-            check(seen.has(ShutdownAction::RefuseRequests), path, "state handed over while requests are taken");
+            check(observed.has(ShutdownAction::RefuseRequests), path, "state handed over while requests are taken");
             break;
         case ShutdownAction::AbortStreams:
-            check(seen.signals > 1, path, "streams cut without a second signal");
+            check(observed.signals > 1, path, "streams cut without a second signal");
             break;
         case ShutdownAction::Depart:
-            check(streams == 0 && seen.has(ShutdownAction::HandOver), path, "departed with open streams");
+            check(streams == 0 && observed.has(ShutdownAction::HandOver), path, "departed with open streams");
             break;
         case ShutdownAction::Exit:
-            check(seen.has(ShutdownAction::Depart), path, "exit without telling peers");
+            check(observed.has(ShutdownAction::Depart), path, "exit without telling peers");
             break;
         }
     }
@@ -73,17 +74,17 @@
 class ShutdownTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ShutdownTest);
-    CPPUNIT_TEST(testAllSequences);
-    CPPUNIT_TEST(testStreamsAreWaitedForWithoutLimit);
-    CPPUNIT_TEST(testSecondSignalCuts);
+    CPPUNIT_TEST(testAllEventSequences);
+    CPPUNIT_TEST(testOpenStreamsHaveNoTimeout);
+    CPPUNIT_TEST(testSecondSignalAbortsStreams);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // All sequences of four events, then some of nine.
-    void testAllSequences()
+    void testAllEventSequences()
     {
-        constexpr std::size_t AllOfFour = Choices * Choices * Choices * Choices;
-        for (std::size_t n = 0; n < AllOfFour; ++n) {
+        constexpr std::size_t FourEventSequences = ChoiceCount * ChoiceCount * ChoiceCount * ChoiceCount;
+        for (std::size_t n = 0; n < FourEventSequences; ++n) {
             runSequence(n, 4);
         }
         base::Random random(::carawaylatch::testing::seed());
@@ -92,7 +93,7 @@
         }
     }
 
-    void testStreamsAreWaitedForWithoutLimit()
+    void testOpenStreamsHaveNoTimeout()
     {
         Shutdown shutdown(Options);
         TimePoint now{base::hours{1}};
@@ -108,7 +109,7 @@
         CPPUNIT_ASSERT(shutdown.step() == ShutdownStep::Exited);
     }
 
-    void testSecondSignalCuts()
+    void testSecondSignalAbortsStreams()
     {
         Shutdown shutdown(Options);
         const TimePoint now{base::hours{1}};
@@ -123,22 +124,22 @@
     static void runSequence(std::size_t n, int depth)
     {
         Shutdown shutdown(Options);
-        Observed seen;
+        Observed observed;
         TimePoint now{base::hours{1}};
         TimePoint notReadySince;
         std::string path;
-        for (int i = 0; i < depth; ++i, n /= Choices) {
-            const auto choice = n % Choices;
+        for (int i = 0; i < depth; ++i, n /= ChoiceCount) {
+            const auto choice = n % ChoiceCount;
             const auto event = AllShutdownEvents[choice % EventCount];
             const std::size_t streams = choice / EventCount % 2 * 3;
             now += choice / EventCount / 2 == 0 ? base::milliseconds{0} : base::milliseconds{2'100};
-            seen.signals += event == ShutdownEvent::Signal ? 1 : 0;
+            observed.signals += event == ShutdownEvent::Signal ? 1 : 0;
             path += std::to_string(choice) + ' ';
             shutdown.onEvent(event, streams, now);
             if (notReadySince == TimePoint{} && shutdown.step() != ShutdownStep::Running) {
                 notReadySince = now;
             }
-            judge(seen, shutdown.takeActions(), streams, now, notReadySince, path);
+            checkActions(observed, shutdown.takeActions(), streams, now, notReadySince, path);
         }
     }
 };
--- a/carawaylatch/handover/testing/warmstarttest.cpp
+++ b/carawaylatch/handover/testing/warmstarttest.cpp
@@ -52,21 +52,28 @@
 // How a peer fails.
 enum class PeerFault {
     None,
-    Silent,
-    Empty, // started itself a moment ago
-    Damaged, // bytes that don't fit their digest
-    Changes, // another snapshot after the first part
-    AbsurdCount,
-    LosesFirst, // the first answer
-    Doubles,
-    DiesAfterFirst,
+    NoResponse,
+    NoSnapshot, // started itself a moment ago
+    CorruptBytes, // bytes that don't fit their digest
+    ChangesDigest, // another snapshot after the first part
+    ExcessivePartCount,
+    DropsFirstResponse, // the first answer
+    DuplicatesParts,
+    StopsAfterFirstPart,
 };
-constexpr PeerFault AllPeerFaults[] = {PeerFault::None,        PeerFault::Silent,     PeerFault::Empty,   PeerFault::Damaged,       PeerFault::Changes,
-                                       PeerFault::AbsurdCount, PeerFault::LosesFirst, PeerFault::Doubles, PeerFault::DiesAfterFirst};
+constexpr PeerFault AllPeerFaults[] = {PeerFault::None,
+                                       PeerFault::NoResponse,
+                                       PeerFault::NoSnapshot,
+                                       PeerFault::CorruptBytes,
+                                       PeerFault::ChangesDigest,
+                                       PeerFault::ExcessivePartCount,
+                                       PeerFault::DropsFirstResponse,
+                                       PeerFault::DuplicatesParts,
+                                       PeerFault::StopsAfterFirstPart};
 
-bool givesSnapshot(PeerFault fault)
+bool deliversSnapshot(PeerFault fault)
 {
-    return fault == PeerFault::None || fault == PeerFault::LosesFirst || fault == PeerFault::Doubles;
+    return fault == PeerFault::None || fault == PeerFault::DropsFirstResponse || fault == PeerFault::DuplicatesParts;
 }
 
 struct FakePeer
@@ -74,14 +81,14 @@
     base::FailureDomain domain;
     PeerFault fault = PeerFault::None;
     std::uint64_t revision = 0;
-    int answers = 0;
+    int requests = 0;
 };
 
 // A starting router with peers and a platform in virtual time.
-class Start
+class WarmStartSimulation
 {
 public:
-    explicit Start(std::map<base::RouterId, FakePeer> peers, std::optional<std::uint64_t> platformRevision)
+    explicit WarmStartSimulation(std::map<base::RouterId, FakePeer> peers, std::optional<std::uint64_t> platformRevision)
         : m_peers(std::move(peers))
         , m_platformRevision(platformRevision)
         , m_warmStart(options(), peer::decodeSnapshot, m_now)
@@ -97,10 +104,10 @@
     {
         for (const auto end = m_now + duration; m_now < end; m_now += milliseconds{10}) {
             m_warmStart.onTick(m_now);
-            for (int rounds = 0; rounds < 50 && act(); ++rounds) {}
+            for (int rounds = 0; rounds < 50 && executeActions(); ++rounds) {}
         }
     }
-    WarmStart &machine()
+    WarmStart &warmStart()
     {
         return m_warmStart;
     }
@@ -121,12 +128,12 @@
         options.seed = ::carawaylatch::testing::seed();
         return options;
     }
-    bool act()
+    bool executeActions()
     {
         const auto actions = m_warmStart.takeActions();
         for (const auto &it : actions) {
             if (const auto *send = std::get_if<SendSnapshotRequest>(&it)) {
-                answer(*send);
+                respond(*send);
             } else if (const auto *load = std::get_if<LoadSnapshot>(&it)) {
                 ++loads;
                 mergeSnapshot(loaded, load->snapshot);
@@ -147,30 +154,30 @@
         }
         return *m_platformRevision == 0 ? Snapshot{} : hotSnapshot(*m_platformRevision);
     }
-    void answer(const SendSnapshotRequest &send)
+    void respond(const SendSnapshotRequest &send)
     {
         auto &peer = m_peers.at(send.peer);
-        ++peer.answers;
-        const bool isLost = peer.fault == PeerFault::Silent || (peer.fault == PeerFault::LosesFirst && peer.answers == 1)
-                            || (peer.fault == PeerFault::DiesAfterFirst && peer.answers > 1);
+        ++peer.requests;
+        const bool isLost = peer.fault == PeerFault::NoResponse || (peer.fault == PeerFault::DropsFirstResponse && peer.requests == 1)
+                            || (peer.fault == PeerFault::StopsAfterFirstPart && peer.requests > 1);
         if (isLost) {
             return;
         }
         SnapshotServer server(
             [&] {
-                return peer.fault == PeerFault::Empty ? std::string{} : encodedSnapshot(peer.revision);
+                return peer.fault == PeerFault::NoSnapshot ? std::string{} : encodedSnapshot(peer.revision);
             },
             seconds{1});
         auto part = server.serve(send.request, m_now);
-        if (peer.fault == PeerFault::Damaged && !part.bytes.empty()) {
+        if (peer.fault == PeerFault::CorruptBytes && !part.bytes.empty()) {
             part.bytes[part.bytes.size() / 2] ^= 1;
-        } else if (peer.fault == PeerFault::Changes && part.part > 0) {
+        } else if (peer.fault == PeerFault::ChangesDigest && part.part > 0) {
             ++part.digest;
-        } else if (peer.fault == PeerFault::AbsurdCount) {
+        } else if (peer.fault == PeerFault::ExcessivePartCount) {
             part.parts = 4'000'000'000U;
         }
         m_warmStart.onPart(send.peer, part, m_now);
-        if (peer.fault == PeerFault::Doubles) {
+        if (peer.fault == PeerFault::DuplicatesParts) {
             m_warmStart.onPart(send.peer, part, m_now);
         }
     }
@@ -189,19 +196,19 @@
 class WarmStartTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(WarmStartTest);
-    CPPUNIT_TEST(testEveryFaultAtEveryStep);
+    CPPUNIT_TEST(testPeerAndPlatformFaultCombinations);
     CPPUNIT_TEST(testGreatestRevisionIsTaken);
     CPPUNIT_TEST(testNoPeerAndNoPlatform);
-    CPPUNIT_TEST(testAllRestartAtOnce);
+    CPPUNIT_TEST(testAllRoutersRestartAtOnce);
     CPPUNIT_TEST(testNotReadyWhileBehindPeers);
     CPPUNIT_TEST(testReadinessNeedsUpstream);
-    CPPUNIT_TEST(testShrinkKeepsTheHottest);
-    CPPUNIT_TEST(testMergeKeepsTheNewer);
+    CPPUNIT_TEST(testShrinkKeepsNewestBlocks);
+    CPPUNIT_TEST(testMergeKeepsNewerEntries);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Peers of the own domain, of another, and the platform fail in all combinations.
-    void testEveryFaultAtEveryStep()
+    void testPeerAndPlatformFaultCombinations()
     {
         int cases = 0;
         for (const auto own : AllPeerFaults) {
@@ -218,62 +225,62 @@
 
     void testGreatestRevisionIsTaken()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}, {base::RouterId("b"), {Own, PeerFault::None, 9}}}, 4);
-        start.runFor(seconds{1});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, start.loaded.rows.revision.value);
-        CPPUNIT_ASSERT_EQUAL(0, start.platformReads);
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::None, 3}}, {base::RouterId("b"), {Own, PeerFault::None, 9}}}, 4);
+        simulation.runFor(seconds{1});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, simulation.loaded.rows.revision.value);
+        CPPUNIT_ASSERT_EQUAL(0, simulation.platformReads);
     }
 
     void testNoPeerAndNoPlatform()
     {
-        Start start({}, {});
-        start.runFor(seconds{30});
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoConfiguration);
-        CPPUNIT_ASSERT(start.machine().notReadyMessage().find("platform: connection refused") != std::string::npos);
-        CPPUNIT_ASSERT_MESSAGE("the platform is asked again, but not hammered", start.platformReads > 10 && start.platformReads <= 31);
+        WarmStartSimulation simulation({}, {});
+        simulation.runFor(seconds{30});
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::NoConfiguration);
+        CPPUNIT_ASSERT(simulation.warmStart().notReadyMessage().find("platform: connection refused") != std::string::npos);
+        CPPUNIT_ASSERT_MESSAGE("the platform is asked again, but not hammered", simulation.platformReads > 10 && simulation.platformReads <= 31);
     }
 
-    void testAllRestartAtOnce()
+    void testAllRoutersRestartAtOnce()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::Empty, 0}}, {base::RouterId("b"), {Other, PeerFault::Empty, 0}}}, 6);
-        start.runFor(seconds{1});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, start.loaded.rows.revision.value);
-        CPPUNIT_ASSERT(!start.loaded.placements.upstreams.empty());
-        CPPUNIT_ASSERT(start.doneAt && *start.doneAt <= start.now());
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::NoSnapshot, 0}}, {base::RouterId("b"), {Other, PeerFault::NoSnapshot, 0}}}, 6);
+        simulation.runFor(seconds{1});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, simulation.loaded.rows.revision.value);
+        CPPUNIT_ASSERT(!simulation.loaded.placements.upstreams.empty());
+        CPPUNIT_ASSERT(simulation.doneAt && *simulation.doneAt <= simulation.now());
     }
 
     void testNotReadyWhileBehindPeers()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        start.machine().onFleetRevision(Revision{5});
-        start.runFor(milliseconds{100});
-        start.machine().onStateChanged(Revision{3}, 2);
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::BehindPeers);
-        start.machine().onStateChanged(Revision{5}, 2);
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
-        start.machine().onFleetRevision(Revision{8});
-        CPPUNIT_ASSERT_MESSAGE("readiness doesn't flap with every edit", start.machine().readiness() == NotReadyReason::None);
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
+        simulation.warmStart().onFleetRevision(Revision{5});
+        simulation.runFor(milliseconds{100});
+        simulation.warmStart().onStateChanged(Revision{3}, 2);
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::BehindPeers);
+        simulation.warmStart().onStateChanged(Revision{5}, 2);
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::None);
+        simulation.warmStart().onFleetRevision(Revision{8});
+        CPPUNIT_ASSERT_MESSAGE("readiness doesn't flap with every edit", simulation.warmStart().readiness() == NotReadyReason::None);
 
-        Start late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        late.machine().onFleetRevision(Revision{5});
+        WarmStartSimulation late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
+        late.warmStart().onFleetRevision(Revision{5});
         late.runFor(seconds{4});
-        late.machine().onStateChanged(Revision{3}, 2);
-        CPPUNIT_ASSERT_MESSAGE("the wait ends", late.machine().readiness() == NotReadyReason::None);
+        late.warmStart().onStateChanged(Revision{3}, 2);
+        CPPUNIT_ASSERT_MESSAGE("the wait ends", late.warmStart().readiness() == NotReadyReason::None);
     }
 
     void testReadinessNeedsUpstream()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        start.runFor(milliseconds{100});
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoUpstream);
-        start.machine().onStateChanged(Revision{3}, 1);
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
-        CPPUNIT_ASSERT_EQUAL(std::string{}, start.machine().notReadyMessage());
-        start.machine().onStopping();
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::Stopping);
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
+        simulation.runFor(milliseconds{100});
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::NoUpstream);
+        simulation.warmStart().onStateChanged(Revision{3}, 1);
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::None);
+        CPPUNIT_ASSERT_EQUAL(std::string{}, simulation.warmStart().notReadyMessage());
+        simulation.warmStart().onStopping();
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::Stopping);
     }
 
-    void testShrinkKeepsTheHottest()
+    void testShrinkKeepsNewestBlocks()
     {
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 20; ++i) {
@@ -295,7 +302,7 @@
         }
     }
 
-    void testMergeKeepsTheNewer()
+    void testMergeKeepsNewerEntries()
     {
         auto first = hotSnapshot(3);
         auto second = hotSnapshot(2);
@@ -319,13 +326,13 @@
     {
         std::ostringstream label;
         label << "own " << static_cast<int>(own) << " other " << static_cast<int>(other) << " platform " << (platform ? static_cast<int>(*platform) : -1);
-        Start start({{base::RouterId("a"), {Own, own, 7}}, {base::RouterId("b"), {Other, other, 8}}}, platform);
-        start.runFor(seconds{8});
-        const std::uint64_t expected = givesSnapshot(own) ? 7 : givesSnapshot(other) ? 8 : platform.value_or(0);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected, start.loaded.rows.revision.value);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, start.machine().readiness() != NotReadyReason::NoConfiguration);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, start.doneAt.has_value());
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, !start.loaded.marks.empty() && !start.loaded.floors.empty());
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, own, 7}}, {base::RouterId("b"), {Other, other, 8}}}, platform);
+        simulation.runFor(seconds{8});
+        const std::uint64_t expected = deliversSnapshot(own) ? 7 : deliversSnapshot(other) ? 8 : platform.value_or(0);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected, simulation.loaded.rows.revision.value);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, simulation.warmStart().readiness() != NotReadyReason::NoConfiguration);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, simulation.doneAt.has_value());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, !simulation.loaded.marks.empty() && !simulation.loaded.floors.empty());
     }
 };
 
--- a/carawaylatch/router/testing/faultyengine.cpp
+++ b/carawaylatch/router/testing/faultyengine.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-bool hasWrongEcho(StreamFault fault)
+bool hasWrongIdentity(StreamFault fault)
 {
     return fault == StreamFault::WrongAttempt || fault == StreamFault::WrongIncarnation || fault == StreamFault::WrongWeights
            || fault == StreamFault::WrongSalt;
@@ -42,19 +42,19 @@
                              "application/json");
     });
     server.Post("/v1/completions", [this](const httplib::Request &request, httplib::Response &response) {
-        ++m_asked;
+        ++m_requestCount;
         const StreamFault fault = m_fault;
-        const auto off = [fault](StreamFault here) {
-            return fault == here ? 1U : 0U;
+        const auto mismatch = [fault](StreamFault expected) {
+            return fault == expected ? 1U : 0U;
         };
         const Json body = Json::parse(request.body);
         const std::uint64_t attempt = http::fromHex(request.get_header_value("X-Attempt-Id"));
         const std::uint64_t salt = http::fromHex(body.at("cache_salt").get<std::string>());
-        response.set_header("X-Attempt-Id", http::toHex(attempt + off(StreamFault::WrongAttempt)));
-        response.set_header("X-Incarnation", http::toHex(m_incarnation.value + off(StreamFault::WrongIncarnation)));
-        response.set_header("X-Weights-Version", std::to_string(1 + off(StreamFault::WrongWeights)));
-        response.set_header("X-Cache-Salt", http::toHex(salt + off(StreamFault::WrongSalt)));
-        response.set_content(events(fault, body.at("prompt").get<std::string>()), "text/event-stream");
+        response.set_header("X-Attempt-Id", http::toHex(attempt + mismatch(StreamFault::WrongAttempt)));
+        response.set_header("X-Incarnation", http::toHex(m_incarnation.value + mismatch(StreamFault::WrongIncarnation)));
+        response.set_header("X-Weights-Version", std::to_string(1 + mismatch(StreamFault::WrongWeights)));
+        response.set_header("X-Cache-Salt", http::toHex(salt + mismatch(StreamFault::WrongSalt)));
+        response.set_content(eventStream(fault, body.at("prompt").get<std::string>()), "text/event-stream");
     });
     CPPUNIT_ASSERT(m_server.start());
 }
@@ -70,23 +70,23 @@
     return m_server.endpoint();
 }
 
-int FaultyEngine::asked() const
+int FaultyEngine::requestCount() const
 {
-    return m_asked;
+    return m_requestCount;
 }
 
-std::string FaultyEngine::events(StreamFault fault, const std::string &prompt) const
+std::string FaultyEngine::eventStream(StreamFault fault, const std::string &prompt) const
 {
     std::string out;
     const std::uint32_t step = m_step;
     for (std::uint32_t i = 0; i < Tokens; ++i) {
-        if (i == step && fault == StreamFault::BreaksOff) {
+        if (i == step && fault == StreamFault::ClosesEarly) {
             return out;
         }
         if (i == step && fault == StreamFault::SkipsToken) {
             continue;
         }
-        const std::string text = hasWrongEcho(fault) ? " foreign" : standin::tokenText(prompt, i);
+        const std::string text = hasWrongIdentity(fault) ? " foreign" : standin::tokenText(prompt, i);
         const std::string event = "data: " + Json{{"index", i}, {"text", text}}.dump() + "\n\n";
         out += event;
         if (i == step && fault == StreamFault::RepeatsToken) {
--- a/carawaylatch/router/testing/faultyengine.h
+++ b/carawaylatch/router/testing/faultyengine.h
@@ -14,7 +14,7 @@
 // With a wrong echo the text is foreign too, as it would be from another request,
 // a dead engine, older weights or another namespace.
 enum class StreamFault {
-    BreaksOff,
+    ClosesEarly,
     WrongAttempt, // a crossed answer
     WrongIncarnation,
     WrongWeights,
@@ -23,8 +23,8 @@
     SkipsToken,
     WrongCount,
 };
-constexpr StreamFault AllStreamFaults[] = {StreamFault::BreaksOff, StreamFault::WrongAttempt, StreamFault::WrongIncarnation, StreamFault::WrongWeights,
-                                           StreamFault::WrongSalt, StreamFault::RepeatsToken, StreamFault::SkipsToken,       StreamFault::WrongCount};
+constexpr StreamFault AllStreamFaults[] = {StreamFault::ClosesEarly, StreamFault::WrongAttempt, StreamFault::WrongIncarnation, StreamFault::WrongWeights,
+                                           StreamFault::WrongSalt,   StreamFault::RepeatsToken, StreamFault::SkipsToken,       StreamFault::WrongCount};
 
 // Answers of six tokens.
 class FaultyEngine
@@ -37,15 +37,15 @@
     void setFault(StreamFault fault, std::uint32_t step);
     [[nodiscard]] const base::Endpoint &endpoint() const;
     // How many requests it was given.
-    [[nodiscard]] int asked() const;
+    [[nodiscard]] int requestCount() const;
 
 private:
-    [[nodiscard]] std::string events(StreamFault fault, const std::string &prompt) const;
+    [[nodiscard]] std::string eventStream(StreamFault fault, const std::string &prompt) const;
 
     const base::Incarnation m_incarnation;
-    std::atomic<StreamFault> m_fault = StreamFault::BreaksOff;
+    std::atomic<StreamFault> m_fault = StreamFault::ClosesEarly;
     std::atomic<std::uint32_t> m_step = 0;
-    std::atomic<int> m_asked = 0;
+    std::atomic<int> m_requestCount = 0;
     http::HttpServer m_server;
 };
 
--- a/carawaylatch/router/testing/routerfaulttest.cpp
+++ b/carawaylatch/router/testing/routerfaulttest.cpp
@@ -16,18 +16,18 @@
 class RouterFaultTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RouterFaultTest);
-    CPPUNIT_TEST(testOrdersAtEveryPlatformCall);
-    CPPUNIT_TEST(testStreamsAtEveryStep);
-    CPPUNIT_TEST(testConfigurationThroughOutageAndRestart);
-    CPPUNIT_TEST(testPlannedStopFinishesStreams);
-    CPPUNIT_TEST(testDrainReachesTheOtherRouter);
-    CPPUNIT_TEST(testNewWeightsAreOrderedAndServed);
+    CPPUNIT_TEST(testOrdersWithFaultAtEveryPlatformCall);
+    CPPUNIT_TEST(testStreamsWithFaultAtEveryToken);
+    CPPUNIT_TEST(testConfigurationSurvivesOutageAndRestart);
+    CPPUNIT_TEST(testGracefulShutdownFinishesStreams);
+    CPPUNIT_TEST(testDrainReachesOtherRouter);
+    CPPUNIT_TEST(testWeightsUpdateIsRolledOut);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // An order at one router with one fault at its k-th platform call, a duplicate at
     // the other router, and one more at the first.
-    void testOrdersAtEveryPlatformCall()
+    void testOrdersWithFaultAtEveryPlatformCall()
     {
         constexpr std::uint64_t Calls = 6;
         TestFleet fleet(1);
@@ -47,7 +47,7 @@
     // A refusal or an open break is honest; what looks whole must be whole and the
     // caller's own. Each fault has a fleet of its own, since an engine that failed
     // before is ejected and would not be asked again.
-    void testStreamsAtEveryStep()
+    void testStreamsWithFaultAtEveryToken()
     {
         int cases = 0;
         int whole = 0;
@@ -59,12 +59,12 @@
                 whole += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
                 ++cases;
             }
-            CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " was never met", faulty.asked() > 0);
+            CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " was never met", faulty.requestCount() > 0);
         }
         std::cout << " streams: " << cases << " cases, " << whole << " whole";
     }
 
-    void testConfigurationThroughOutageAndRestart()
+    void testConfigurationSurvivesOutageAndRestart()
     {
         TestFleet fleet(1);
         fleet.awaitStatus(0, "\"revision\":1");
@@ -73,16 +73,16 @@
         fleet.startRouter(1);
         fleet.awaitReady(1);
         fleet.awaitStatus(1, "\"revision\":1");
-        CPPUNIT_ASSERT(fleet.complete(1, "during the outage", Tokens).isWholeStream());
+        CPPUNIT_ASSERT(fleet.complete(1, "during the outage", Tokens).isCompleteStream());
         CPPUNIT_ASSERT_EQUAL(std::string("unknown"), fleet.order(1, "outage").orderOutcome);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.runsOf("outage"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.executionCount("outage"));
         fleet.platform().injectFault({"up", 0, {}, {}, 0});
         fleet.applyTables(2);
         fleet.awaitStatus(0, "\"revision\":2");
         fleet.awaitStatus(1, "\"revision\":2");
     }
 
-    void testPlannedStopFinishesStreams()
+    void testGracefulShutdownFinishesStreams()
     {
         TestFleet fleet(1);
         constexpr std::uint32_t LongAnswer = 400;
@@ -95,23 +95,23 @@
         }
         fleet.stopRouter(0);
         caller.join();
-        CPPUNIT_ASSERT(answer.isWholeStream());
+        CPPUNIT_ASSERT(answer.isCompleteStream());
         CPPUNIT_ASSERT_EQUAL(expectedText("a long answer", LongAnswer), answer.streamedText());
     }
 
-    void testDrainReachesTheOtherRouter()
+    void testDrainReachesOtherRouter()
     {
         TestFleet fleet(2);
         fleet.drain(0, "engine-0");
         fleet.awaitStatus(1, "\"state\":\"leaving\"");
         const auto before = fleet.engine(0).model().counters().jobs;
         for (int i = 0; i < 10; ++i) {
-            CPPUNIT_ASSERT(fleet.complete(static_cast<std::size_t>(i) % 2, "after the drain " + std::to_string(i), 1).isWholeStream());
+            CPPUNIT_ASSERT(fleet.complete(static_cast<std::size_t>(i) % 2, "after the drain " + std::to_string(i), 1).isCompleteStream());
         }
         CPPUNIT_ASSERT_EQUAL(before, fleet.engine(0).model().counters().jobs);
     }
 
-    void testNewWeightsAreOrderedAndServed()
+    void testWeightsUpdateIsRolledOut()
     {
         TestFleet fleet(2);
         fleet.applyTables(2);
@@ -121,7 +121,7 @@
             }
         }
         // Refusals are allowed while no engine serves; a whole answer must come in the end.
-        while (!fleet.complete(0, "new weights", Tokens).isWholeStream()) {
+        while (!fleet.complete(0, "new weights", Tokens).isCompleteStream()) {
             std::this_thread::yield();
         }
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.engine(0).model().counters().wrongHits);
@@ -134,7 +134,7 @@
         const auto answer = fleet.complete(router, prompt, Tokens);
         const std::string expected = expectedText(prompt, Tokens);
         const std::string name = prompt + ": " + answer.body;
-        if (answer.isWholeStream()) {
+        if (answer.isCompleteStream()) {
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, expected, answer.streamedText());
             return true;
         }
@@ -148,7 +148,7 @@
         bool wasDone = false;
         for (const std::size_t router : {0, 1, 0}) {
             const auto answer = fleet.order(router, key);
-            const std::size_t runs = fleet.runsOf(key);
+            const std::size_t runs = fleet.executionCount(key);
             const std::string name = key + " at router " + std::to_string(router) + ": " + answer.orderOutcome + " " + answer.body;
             CPPUNIT_ASSERT_MESSAGE(name, !answer.orderOutcome.empty());
             CPPUNIT_ASSERT_MESSAGE(name, runs <= 1);
--- a/carawaylatch/router/testing/testfleet.cpp
+++ b/carawaylatch/router/testing/testfleet.cpp
@@ -20,14 +20,14 @@
 {
 
 constexpr std::chrono::seconds CallTimeout{60};
-constexpr base::Duration LookInterval = base::milliseconds{5};
+constexpr base::Duration PollInterval = base::milliseconds{5};
 
 std::string text(const base::Endpoint &endpoint)
 {
     return endpoint.address + ":" + std::to_string(endpoint.port);
 }
 
-httplib::Client clientOf(const base::Endpoint &endpoint)
+httplib::Client createClient(const base::Endpoint &endpoint)
 {
     httplib::Client client(endpoint.address, endpoint.port);
     client.set_read_timeout(CallTimeout);
@@ -52,15 +52,15 @@
     return whole;
 }
 
-bool CallerResponse::isWholeStream() const
+bool CallerResponse::isCompleteStream() const
 {
     return status == 200 && body.ends_with("data: [DONE]\n\n");
 }
 
-TestFleet::TestFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines)
+TestFleet::TestFleet(std::size_t engines, const std::vector<base::Endpoint> &extraEngines)
     : m_platform({})
     , m_service({})
-    , m_ownEngines(ownEngines)
+    , m_extraEngines(extraEngines)
     , m_routers(2)
 {
     CPPUNIT_ASSERT(m_platform.start() && m_service.start());
@@ -84,7 +84,7 @@
 
 void TestFleet::startRouter(std::size_t index)
 {
-    m_routers[index] = std::make_unique<Router>(settingsOf(index));
+    m_routers[index] = std::make_unique<Router>(createSettings(index));
     const auto started = m_routers[index]->start();
     CPPUNIT_ASSERT_MESSAGE(started ? "" : started.error().message, started.has_value());
 }
@@ -98,26 +98,26 @@
 
 void TestFleet::awaitReady(std::size_t index)
 {
-    auto client = clientOf(m_routers[index]->operatorsEndpoint());
+    auto client = createClient(m_routers[index]->operatorsEndpoint());
     while (true) {
         const auto result = client.Get("/readyz");
         if (result && result->status == 200) {
             return;
         }
-        std::this_thread::sleep_for(LookInterval);
+        std::this_thread::sleep_for(PollInterval);
     }
 }
 
 void TestFleet::awaitStatus(std::size_t index, std::string_view part)
 {
-    auto client = clientOf(m_routers[index]->operatorsEndpoint());
+    auto client = createClient(m_routers[index]->operatorsEndpoint());
     while (true) {
         const auto result = client.Get("/v1/status");
         const auto json = result ? nlohmann::json::parse(result->body, nullptr, false) : nlohmann::json();
         if (json.dump().find(part) != std::string::npos) {
             return;
         }
-        std::this_thread::sleep_for(LookInterval);
+        std::this_thread::sleep_for(PollInterval);
     }
 }
 
@@ -125,8 +125,8 @@
 {
     std::string ini = "[customer desk]\nkey_digest = " + config::keyDigest("key") + "\n[pool readers]\nfencing = checked\nmodel = clause-1\nblock_bytes = 64\n";
     ini += "weights_version = " + std::to_string(weightsVersion) + "\n";
-    for (std::size_t i = 0; i < m_ownEngines.size(); ++i) {
-        ini += "member = own-" + std::to_string(i) + " " + text(m_ownEngines[i]) + " domain-0\n";
+    for (std::size_t i = 0; i < m_extraEngines.size(); ++i) {
+        ini += "member = own-" + std::to_string(i) + " " + text(m_extraEngines[i]) + " domain-0\n";
     }
     for (std::size_t i = 0; i < m_engines.size(); ++i) {
         ini += "member = engine-" + std::to_string(i) + " " + text(m_engines[i]->endpoint()) + " domain-" + std::to_string(i % 2) + "\n";
@@ -148,7 +148,7 @@
 
 CallerResponse TestFleet::complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens)
 {
-    auto client = clientOf(m_routers[router]->callersEndpoint());
+    auto client = createClient(m_routers[router]->callersEndpoint());
     CallerResponse answer;
     httplib::Request request;
     request.method = "POST";
@@ -166,7 +166,7 @@
 
 CallerResponse TestFleet::order(std::size_t router, std::string_view key)
 {
-    auto client = clientOf(m_routers[router]->callersEndpoint());
+    auto client = createClient(m_routers[router]->callersEndpoint());
     const httplib::Headers headers{{"Authorization", "Bearer key"}, {"Idempotency-Key", std::string(key)}};
     const auto result = client.Post("/v1/services/bookings/trucks", headers, "truck", "text/plain");
     if (!result) {
@@ -177,14 +177,14 @@
 
 void TestFleet::drain(std::size_t router, std::string_view upstream)
 {
-    auto client = clientOf(m_routers[router]->operatorsEndpoint());
+    auto client = createClient(m_routers[router]->operatorsEndpoint());
     const auto result = client.Post("/v1/drain", nlohmann::json{{"upstream", upstream}}.dump(), "application/json");
     CPPUNIT_ASSERT_EQUAL(200, result->status);
 }
 
-std::size_t TestFleet::runsOf(std::string_view key)
+std::size_t TestFleet::executionCount(std::string_view key)
 {
-    const auto journal = nlohmann::json::parse(clientOf(m_service.endpoint()).Get("/journal")->body);
+    const auto journal = nlohmann::json::parse(createClient(m_service.endpoint()).Get("/journal")->body);
     std::size_t runs = 0;
     for (const auto &it : journal.at("items")) {
         runs += it.at("key").get<std::string>().ends_with(key) ? 1 : 0;
@@ -202,7 +202,7 @@
     return *m_engines[index];
 }
 
-config::Settings TestFleet::settingsOf(std::size_t index) const
+config::Settings TestFleet::createSettings(std::size_t index) const
 {
     config::Settings settings;
     settings.router.id = base::RouterId("router-" + std::to_string(index));
--- a/carawaylatch/router/testing/testfleet.h
+++ b/carawaylatch/router/testing/testfleet.h
@@ -24,14 +24,14 @@
 
     // Returns the text of all token events of a streamed answer.
     [[nodiscard]] std::string streamedText() const;
-    [[nodiscard]] bool isWholeStream() const;
+    [[nodiscard]] bool isCompleteStream() const;
 };
 
 class TestFleet
 {
 public:
     // Engines that a test brings itself are members of the pool too.
-    explicit TestFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines = {});
+    explicit TestFleet(std::size_t engines, const std::vector<base::Endpoint> &extraEngines = {});
     ~TestFleet();
 
     void startRouter(std::size_t index);
@@ -47,18 +47,18 @@
     [[nodiscard]] CallerResponse order(std::size_t router, std::string_view key);
     void drain(std::size_t router, std::string_view upstream);
     // How often the service ran an order.
-    [[nodiscard]] std::size_t runsOf(std::string_view key);
+    [[nodiscard]] std::size_t executionCount(std::string_view key);
 
     [[nodiscard]] standin::Platform &platform();
     [[nodiscard]] standin::Engine &engine(std::size_t index);
 
 private:
-    [[nodiscard]] config::Settings settingsOf(std::size_t index) const;
+    [[nodiscard]] config::Settings createSettings(std::size_t index) const;
 
     standin::Platform m_platform;
     standin::Service m_service;
     std::vector<std::unique_ptr<standin::Engine>> m_engines;
-    std::vector<base::Endpoint> m_ownEngines;
+    std::vector<base::Endpoint> m_extraEngines;
     std::vector<std::unique_ptr<Router>> m_routers;
 };
 
