--- a/carawaylatch/handover/shutdown.cpp
+++ b/carawaylatch/handover/shutdown.cpp
@@ -1,10 +1,10 @@
-// Steps of a planned stop.
+// Transitions of the graceful shutdown.
 //
-// Running -> NotReady on the first signal; -> Refusing after the balancer's lag;
-// -> Finishing once the hot state is with a peer or its time is over; -> Departing
-// when no stream is open; -> Exited when peers were told or the time is over. A
-// second signal cuts the open streams at any step and shortens the waits; it
-// never skips the steps that tell others.
+// Running -> NotReady on the first signal; -> Refusing after the load balancer's
+// lag; -> Finishing once the hot state was handed over or on timeout; -> Departing
+// when no stream is open; -> Exited when peers were notified or on timeout. A second
+// signal before Departing aborts the open streams and ends the waits of NotReady and
+// Refusing; it skips no step, so peers are always notified.
 #include "carawaylatch/handover/shutdown.h"
 
 #include <utility>
--- a/carawaylatch/handover/shutdown.h
+++ b/carawaylatch/handover/shutdown.h
@@ -1,9 +1,10 @@
-// The planned stop of a router, as a state machine without I/O.
+// Graceful shutdown of a router, as a state machine without I/O.
 //
-// Not ready first, so that the balancer sends no more; requests that still come
-// within its lag are served. Then no new requests, hot state goes to a peer, every
-// open stream is finished, and the process ends. Nothing is cut unless an
-// operator sends a second signal.
+// The router first reports not ready, so that the load balancer stops sending;
+// requests that still arrive within the balancer's lag are served. Then new
+// requests are refused, hot state is sent to a peer, every open stream is finished,
+// and the process exits. Streams are aborted only if an operator sends a second
+// signal.
 #pragma once
 
 #include <cstdint>
@@ -18,39 +19,39 @@
 
 enum class ShutdownStep {
     Running,
-    NotReady, // the balancer may still send
+    NotReady, // the load balancer may still send requests
     Refusing, // new requests are refused as not run; hot state is handed over
-    Finishing, // open streams run on
-    Departing, // peers are told
+    Finishing, // waits for open streams to finish, without a timeout
+    Departing, // peers are notified
     Exited,
 };
 constexpr ShutdownStep AllShutdownSteps[] = {ShutdownStep::Running,   ShutdownStep::NotReady,  ShutdownStep::Refusing,
                                              ShutdownStep::Finishing, ShutdownStep::Departing, ShutdownStep::Exited};
 
 enum class ShutdownEvent {
-    Signal, // the first begins the stop, the second cuts what is open
+    Signal, // the first starts the shutdown, the second aborts open streams
     Tick,
-    HandedOver, // a peer has the hot state, or none would take it
-    StreamsChanged, // see the count
-    Departed, // peers were told
+    HandedOver, // the hot state was sent, or there is no peer to send it to
+    StreamsChanged, // the number of open streams changed
+    Departed, // peers were notified
 };
 constexpr ShutdownEvent AllShutdownEvents[] = {ShutdownEvent::Signal, ShutdownEvent::Tick, ShutdownEvent::HandedOver, ShutdownEvent::StreamsChanged,
                                                ShutdownEvent::Departed};
 
 enum class ShutdownAction {
-    BecomeNotReady, // /readyz says no; membership says Leaving
-    RefuseRequests, // callers and peers
+    BecomeNotReady, // fail /readyz and announce Leaving to the members
+    RefuseRequests, // new ones and those still queued
     HandOver, // send hot state to a peer, then report HandedOver
-    AbortStreams, // an operator's second signal
-    Depart, // tell peers, then report Departed
+    AbortStreams, // on the second signal
+    Depart, // notify peers, then report Departed
     Exit,
 };
 
 struct ShutdownOptions
 {
-    base::Duration drainLag = base::seconds{2}; // of the balancer
-    base::Duration handOverTimeout = base::seconds{2}; // longest wait for a peer to take the hot state
-    base::Duration departTimeout = base::milliseconds{500}; // longest wait for the last message
+    base::Duration drainLag = base::seconds{2}; // until the load balancer has seen that the router is not ready
+    base::Duration handOverTimeout = base::seconds{2}; // for sending the hot state to a peer
+    base::Duration departTimeout = base::milliseconds{500}; // for the last message to the peers
 };
 
 class Shutdown
@@ -62,7 +63,7 @@
     void onEvent(ShutdownEvent event, std::size_t openStreams, base::TimePoint now);
     [[nodiscard]] std::vector<ShutdownAction> takeActions();
     [[nodiscard]] ShutdownStep step() const;
-    // When to report Tick next, if nothing else happens.
+    // When to report Tick next if no other event occurs before; nothing if no timeout runs.
     [[nodiscard]] std::optional<base::TimePoint> nextDeadline() const;
 
 private:
@@ -71,7 +72,7 @@
 
     ShutdownOptions m_options;
     ShutdownStep m_step = ShutdownStep::Running;
-    base::TimePoint m_stepSince; // of the step
+    base::TimePoint m_stepSince; // when m_step was entered
     bool m_isHandedOver = false;
     bool m_isDeparted = false;
     bool m_isForced = false;
--- a/carawaylatch/handover/snapshot.cpp
+++ b/carawaylatch/handover/snapshot.cpp
@@ -1,9 +1,11 @@
 // Size and merging of snapshots.
 //
-// The estimate counts the encoding's upper bounds: 13 bytes for a block (8 of key,
-// 5 of age), 20 for a level, the text of rows as it is. What is dropped first is
-// what the receiver can do without: placements that were touched longest ago,
-// then the coolest levels. Rows, marks and floors are never dropped.
+// The estimate adds up upper bounds of the encoded sizes: 14 bytes for a block (8 of
+// the key, up to 5 of the age), 16 for a level (8 of the key, 4 of the heat, the rest
+// for the spread), and the length of the configuration's text. Only hot state is
+// dropped, since a router can work without it: levels of least heat beyond a quarter
+// of the space, then the blocks used longest ago. Rows, marks and floors are never
+// dropped.
 #include "carawaylatch/handover/snapshot.h"
 
 #include <algorithm>
@@ -21,7 +23,7 @@
 constexpr std::size_t BlockBytes = 14;
 constexpr std::size_t LevelBytes = 16;
 constexpr std::size_t MemberBytes = 180;
-constexpr std::size_t UpstreamBytes = 90; // a life, a mark, or what stands around an upstream's blocks
+constexpr std::size_t UpstreamBytes = 90; // an incarnation, a mark, or the fields around an upstream's blocks
 constexpr std::size_t FloorBytes = 220;
 
 std::size_t blockCount(const Snapshot &snapshot)
@@ -33,7 +35,8 @@
     return count;
 }
 
-// Keeps the `count` blocks that were touched last.
+// Keeps at most the `count` most recently used blocks. Blocks of equal age at the
+// limit are dropped together.
 void keepNewestBlocks(prefix::HotPlacements &placements, std::size_t count)
 {
     std::vector<std::uint32_t> ages;
--- a/carawaylatch/handover/snapshot.h
+++ b/carawaylatch/handover/snapshot.h
@@ -1,4 +1,6 @@
-// What a router hands to one that starts, so that it has no cold start.
+// Snapshot of a router's state for the warm start of another router: without it
+// a restarted router would place requests without knowing any cache contents and
+// would miss leaving marks.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +18,7 @@
 namespace carawaylatch::handover
 {
 
-// The greatest fencing number seen in the orders of one failure domain or upstream.
+// The greatest fencing token seen in the orders of one failure domain or upstream.
 struct FencingFloor
 {
     std::string scope; // name of the lease object
@@ -25,7 +27,7 @@
     bool operator==(const FencingFloor &) const = default;
 };
 
-// The current life of an upstream.
+// The current incarnation of an upstream.
 struct UpstreamIncarnation
 {
     base::UpstreamId upstream;
@@ -34,7 +36,7 @@
     bool operator==(const UpstreamIncarnation &) const = default;
 };
 
-// All vectors are unordered and bounded by MaxSnapshotBytes together.
+// All vectors are unordered; MaxSnapshotBytes bounds their total encoded size.
 struct Snapshot
 {
     config::RowSet rows; // the configuration, revision included
@@ -46,39 +48,42 @@
     prefix::HotLevels levels;
 };
 
-// Bound of an encoded snapshot; one stored at the platform leaves the configuration out,
-// which the platform holds anyway.
+// Bounds of an encoded snapshot. A snapshot stored at the platform omits the
+// configuration, which the platform stores separately.
 constexpr std::size_t MaxSnapshotBytes = 4'000'000;
 constexpr std::size_t MaxStoredSnapshotBytes = 900'000;
-constexpr std::string_view StoredSnapshotPrefix = "warmstart/"; // and the failure domain
+constexpr std::string_view StoredSnapshotPrefix = "warmstart/"; // object name: this prefix and the failure domain
 
-// Asks a peer for its snapshot, part by part.
+// Requests one part of a peer's snapshot.
 struct SnapshotRequest
 {
-    std::uint64_t request = 0; // chosen by the asker
+    std::uint64_t request = 0; // random, chosen by the requesting router; the same for all parts
     std::uint32_t part = 0;
 };
 
-// One part of an encoded snapshot. The parts of one request belong to one snapshot.
+// One part of an encoded snapshot. The parts of a transfer must come from one
+// encoding, which the receiver checks by `digest`.
 struct SnapshotPart
 {
     std::uint64_t request = 0;
     std::uint32_t part = 0;
-    std::uint32_t parts = 0; // of the whole; zero if the peer has nothing to give
-    std::uint64_t digest = 0; // hash64 of the whole encoded snapshot
+    std::uint32_t parts = 0; // number of parts; zero if the peer has no snapshot
+    std::uint64_t digest = 0; // hash64 of the complete encoded snapshot
     std::string bytes;
 };
 
 constexpr std::size_t SnapshotPartBytes = 256'000;
 
-// Drops the coldest placements and levels until the snapshot takes at most `maxBytes` by estimate.
+// Drops the least recently used blocks and the levels of least heat until the
+// estimated size is at most `maxBytes`.
 void shrinkSnapshot(Snapshot &snapshot, std::size_t maxBytes);
 
 // Returns an upper bound of a snapshot's encoded size in bytes.
 [[nodiscard]] std::size_t estimateBytes(const Snapshot &snapshot);
 
-// Merges what two snapshots know: the greater revision, the newer record, mark, life and
-// floor, the placements of both.
+// Merges `from` into `into`: takes the configuration of the greater revision, for each
+// key the newer member record, mark and placed block and the greater floor and heat,
+// and the union of the incarnations and placements.
 void mergeSnapshot(Snapshot &into, const Snapshot &from);
 
 } // namespace carawaylatch::handover
--- a/carawaylatch/handover/snapshotserver.cpp
+++ b/carawaylatch/handover/snapshotserver.cpp
@@ -1,6 +1,6 @@
-// Cuts encoded snapshots into parts. A request keeps the encoding that its first
-// part came from, as long as that one is held; then it is told to begin anew by a
-// part with another digest.
+// Splits encoded snapshots into parts. A request is served from the encoding of its
+// first part while that encoding is cached. After that it gets parts of the current
+// encoding; their different digest makes the requesting router abandon the transfer.
 #include "carawaylatch/handover/snapshotserver.h"
 
 #include <algorithm>
--- a/carawaylatch/handover/snapshotserver.h
+++ b/carawaylatch/handover/snapshotserver.h
@@ -1,4 +1,4 @@
-// Serves a router's snapshot to routers that start, in parts of bounded size.
+// Serves a router's snapshot, in parts of bounded size, to routers that start.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,13 @@
 namespace carawaylatch::handover
 {
 
-// Keeps the encoded snapshot for a moment, so that all parts of a request, and the
-// requests of a herd, are cut from one encoding. Control thread.
+// Caches the encoded snapshot for a short time, so that all parts of a request come
+// from one encoding, and many routers that start at once don't cause an encoding
+// each. Control thread only.
 class SnapshotServer
 {
 public:
-    // Returns the encoded snapshot of now; empty if there is nothing to give.
+    // Returns the current snapshot, encoded; empty if there is none.
     using Source = std::function<std::string()>;
 
     SnapshotServer(Source source, base::Duration lifetime);
@@ -34,9 +35,9 @@
     [[nodiscard]] const EncodedSnapshot &currentEncoding(base::TimePoint now);
 
     Source m_source;
-    base::Duration m_lifetime; // how long one encoding is given to new requests
-    std::deque<EncodedSnapshot> m_encoded; // newest last, at most two
-    std::deque<std::pair<std::uint64_t, std::uint64_t>> m_requests; // request and digest it was given, at most MaxRequests
+    base::Duration m_lifetime; // how long an encoding serves new requests
+    std::deque<EncodedSnapshot> m_encoded; // newest last, at most MaxEncodings
+    std::deque<std::pair<std::uint64_t, std::uint64_t>> m_requests; // request and the digest assigned to it, at most MaxRequests
 };
 
 } // namespace carawaylatch::handover
--- a/carawaylatch/handover/testing/shutdowntest.cpp
+++ b/carawaylatch/handover/testing/shutdowntest.cpp
@@ -1,4 +1,7 @@
-// The planned stop: all sequences of events up to a depth, with invariants at each.
+// Tests of graceful shutdown. Runs all event sequences up to a depth and checks the
+// invariants after each event: requests are refused only after the load balancer's
+// lag, no stream is aborted without a second signal, and peers are notified before
+// the exit.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -19,9 +22,9 @@
 constexpr ShutdownOptions Options{base::seconds{2}, base::seconds{2}, base::milliseconds{500}};
 
 constexpr std::size_t EventCount = std::size(AllShutdownEvents);
-constexpr std::size_t ChoiceCount = EventCount * 2 * 2; // with or without streams, with or without time passing
+constexpr std::size_t ChoiceCount = EventCount * 2 * 2; // with or without open streams, with or without time passing
 
-// What the outside has seen so far.
+// Signals sent and actions emitted so far.
 struct Observed
 {
     std::vector<ShutdownAction> actions;
@@ -38,32 +41,32 @@
     CPPUNIT_ASSERT_MESSAGE(std::string(text) + " after " + path, isTrue);
 }
 
-// Judges the actions of one event.
+// Checks the actions that one event caused.
 void checkActions(Observed &observed, const std::vector<ShutdownAction> &actions, std::size_t streams, TimePoint now, TimePoint notReadySince,
                   const std::string &path)
 {
     for (const auto it : actions) {
-        check(!observed.has(it), path, "an action came twice");
+        check(!observed.has(it), path, "an action was emitted twice");
         observed.actions.push_back(it);
         switch (it) {
         case ShutdownAction::BecomeNotReady:
-            check(observed.signals == 1, path, "the stop began without a signal");
+            check(observed.signals == 1, path, "the shutdown started without a signal");
             break;
         case ShutdownAction::RefuseRequests:
             check(observed.has(ShutdownAction::BecomeNotReady), path, "requests refused while ready");
-            check(observed.signals > 1 || now >= notReadySince + Options.drainLag, path, "requests refused within the balancer's lag");
+            check(observed.signals > 1 || now >= notReadySince + Options.drainLag, path, "requests refused within the load balancer's lag");
             break;
         case ShutdownAction::HandOver:
-            check(observed.has(ShutdownAction::RefuseRequests), path, "state handed over while requests are taken");
+            check(observed.has(ShutdownAction::RefuseRequests), path, "state handed over while requests are accepted");
             break;
         case ShutdownAction::AbortStreams:
-            check(observed.signals > 1, path, "streams cut without a second signal");
+            check(observed.signals > 1, path, "streams aborted without a second signal");
             break;
         case ShutdownAction::Depart:
-            check(streams == 0 && observed.has(ShutdownAction::HandOver), path, "departed with open streams");
+            check(streams == 0 && observed.has(ShutdownAction::HandOver), path, "departed with open streams or before the hand-over");
             break;
         case ShutdownAction::Exit:
-            check(observed.has(ShutdownAction::Depart), path, "exit without telling peers");
+            check(observed.has(ShutdownAction::Depart), path, "exit without notifying peers");
             break;
         }
     }
@@ -80,7 +83,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // All sequences of four events, then some of nine.
+    // All sequences of four events, then random ones of nine.
     void testAllEventSequences()
     {
         constexpr std::size_t FourEventSequences = ChoiceCount * ChoiceCount * ChoiceCount * ChoiceCount;
--- a/carawaylatch/handover/testing/warmstarttest.cpp
+++ b/carawaylatch/handover/testing/warmstarttest.cpp
@@ -1,4 +1,5 @@
-// Warm starts against peers and platforms that fail in every way at every step.
+// Tests of warm starts with faulty peers and platforms: the router must load the
+// configuration of any working source, or report why it is not ready.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -38,7 +39,7 @@
     return snapshot;
 }
 
-// Returns a snapshot of several parts.
+// Returns an encoded snapshot that takes several parts.
 const std::string &encodedSnapshot(std::uint64_t revision)
 {
     static std::map<std::uint64_t, std::string> encoded;
@@ -49,15 +50,15 @@
     return bytes;
 }
 
-// How a peer fails.
+// Fault of a peer.
 enum class PeerFault {
     None,
     NoResponse,
-    NoSnapshot, // started itself a moment ago
-    CorruptBytes, // bytes that don't fit their digest
-    ChangesDigest, // another snapshot after the first part
+    NoSnapshot, // has just started itself
+    CorruptBytes, // bytes that don't match the digest
+    ChangesDigest, // parts of another snapshot after the first part
     ExcessivePartCount,
-    DropsFirstResponse, // the first answer
+    DropsFirstResponse,
     DuplicatesParts,
     StopsAfterFirstPart,
 };
@@ -84,7 +85,7 @@
     int requests = 0;
 };
 
-// A starting router with peers and a platform in virtual time.
+// Simulates a starting router with its peers and the platform in virtual time.
 class WarmStartSimulation
 {
 public:
@@ -183,7 +184,7 @@
     }
 
     std::map<base::RouterId, FakePeer> m_peers;
-    std::optional<std::uint64_t> m_platformRevision; // nothing: down
+    std::optional<std::uint64_t> m_platformRevision; // empty if the platform is unreachable
     TimePoint m_now{base::hours{1}};
     WarmStart m_warmStart;
 };
@@ -207,7 +208,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Peers of the own domain, of another, and the platform fail in all combinations.
+    // All combinations of faults of a peer in the own domain, a peer in another domain
+    // and the platform.
     void testPeerAndPlatformFaultCombinations()
     {
         int cases = 0;
@@ -237,7 +239,7 @@
         simulation.runFor(seconds{30});
         CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::NoConfiguration);
         CPPUNIT_ASSERT(simulation.warmStart().notReadyMessage().find("platform: connection refused") != std::string::npos);
-        CPPUNIT_ASSERT_MESSAGE("the platform is asked again, but not hammered", simulation.platformReads > 10 && simulation.platformReads <= 31);
+        CPPUNIT_ASSERT_MESSAGE("the platform is read again at the retry interval only", simulation.platformReads > 10 && simulation.platformReads <= 31);
     }
 
     void testAllRoutersRestartAtOnce()
@@ -259,13 +261,13 @@
         simulation.warmStart().onStateChanged(Revision{5}, 2);
         CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::None);
         simulation.warmStart().onFleetRevision(Revision{8});
-        CPPUNIT_ASSERT_MESSAGE("readiness doesn't flap with every edit", simulation.warmStart().readiness() == NotReadyReason::None);
+        CPPUNIT_ASSERT_MESSAGE("a new revision after the start doesn't change readiness", simulation.warmStart().readiness() == NotReadyReason::None);
 
         WarmStartSimulation late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
         late.warmStart().onFleetRevision(Revision{5});
         late.runFor(seconds{4});
         late.warmStart().onStateChanged(Revision{3}, 2);
-        CPPUNIT_ASSERT_MESSAGE("the wait ends", late.warmStart().readiness() == NotReadyReason::None);
+        CPPUNIT_ASSERT_MESSAGE("the wait for a greater revision ends on timeout", late.warmStart().readiness() == NotReadyReason::None);
     }
 
     void testReadinessNeedsUpstream()
--- a/carawaylatch/handover/warmstart.cpp
+++ b/carawaylatch/handover/warmstart.cpp
@@ -1,14 +1,14 @@
-// Steps of a start: members, own domain, other domains, platform.
+// Steps of the warm start: members, own domain, other domains, platform.
 //
-// Two peers are asked at a time and their snapshots merged, so that one stale or
-// young peer does no harm: of two configurations the greater revision counts, of
-// two placements both. The step ends with the first complete snapshot once all
-// asked have answered or failed, or when its time is over. The platform is asked
-// in any case until a configuration is in force, because after a herd of restarts
-// all peers are empty; and its snapshot is loaded only if no peer gave hot state.
+// Up to maxParallelTransfers peers are queried at a time and their snapshots merged,
+// so that a peer that is stale or has just started does no harm: the greater
+// configuration revision wins, and placements are united. A step ends when every
+// queried peer has delivered its snapshot or failed, or on timeout. The platform is
+// read only if the peers did not provide both a configuration and hot state: when
+// many routers restart at once, all peers are empty.
 //
-// Readiness is not a step: it is asked for at any time and follows from what is
-// held. It never falls back because a peer or the platform went away.
+// Readiness is not a step: it is computed from the current state at any time. Losing
+// a peer or the platform never makes a ready router not ready.
 #include "carawaylatch/handover/warmstart.h"
 
 #include <algorithm>
@@ -22,7 +22,7 @@
 namespace
 {
 
-constexpr std::uint32_t MaxPartRetries = 2; // of one part
+constexpr std::uint32_t MaxPartRetries = 2; // then the transfer is abandoned
 constexpr std::uint32_t MaxParts = MaxSnapshotBytes / SnapshotPartBytes + 1;
 
 bool isEmpty(const Snapshot &snapshot)
@@ -45,14 +45,14 @@
         return {};
     case NotReadyReason::NoConfiguration:
         return "no configuration: no peer has one"
-               + (platformError.empty() ? std::string(" and the platform has not answered yet") : "; platform: " + std::string(platformError))
+               + (platformError.empty() ? std::string(" and the platform has not responded yet") : "; platform: " + std::string(platformError))
                + "; check [platform] and [peers] in the settings, or apply the first tables";
     case NotReadyReason::BehindPeers:
-        return "other routers hold a newer configuration, which is being fetched; wait, or check the peers' ports";
+        return "other routers have a newer configuration, which is being fetched; wait, or check the peers' ports";
     case NotReadyReason::NoUpstream:
-        return "no upstream answers; check the pools' members and that their VMs run";
+        return "no upstream is available; check the pools' members and that their VMs run";
     case NotReadyReason::Stopping:
-        return "a planned stop is under way";
+        return "the router is shutting down";
     }
     return {};
 }
@@ -131,7 +131,7 @@
 {
     const auto it = m_transfers.find(from);
     if (it == m_transfers.end() || it->second.request != part.request || it->second.nextPart != part.part) {
-        return; // late or doubled
+        return; // late or duplicate
     }
     auto &transfer = it->second;
     const bool isFirst = part.part == 0;
@@ -173,7 +173,7 @@
     }
 }
 
-// Ends a step: loads what was found, or goes on to the next.
+// Loads the snapshots received in this step, then ends the warm start or enters the next step.
 void WarmStart::finishStep(TimePoint now)
 {
     if (!isEmpty(m_snapshot)) {
@@ -198,7 +198,7 @@
         m_platformError = result.error().message;
         return;
     }
-    m_platformError = result.value().rows.revision.value == 0 ? "it holds no tables yet" : "";
+    m_platformError = result.value().rows.revision.value == 0 ? "no tables are stored yet" : "";
     if (m_step != WarmStartStep::QueryPlatform) {
         return;
     }
@@ -259,7 +259,7 @@
             m_actions.emplace_back(ReadPlatform{});
         }
         if (m_revision.value != 0 && !m_platformError.empty()) {
-            enter(WarmStartStep::Done, now); // a peer's configuration came meanwhile
+            enter(WarmStartStep::Done, now); // a peer sent a configuration in the meantime
         }
     } else {
         finishStep(now);
--- a/carawaylatch/handover/warmstart.h
+++ b/carawaylatch/handover/warmstart.h
@@ -1,16 +1,17 @@
-// The start of a router, as a state machine without I/O.
+// Warm start of a router, as a state machine without I/O.
 //
-// It asks peers of its own failure domain, then others, then reads the platform's
-// snapshot and configuration, and takes the greatest revision of all. The router
-// is ready once it holds a configuration and an upstream answers.
+// It requests snapshots from peers of its own failure domain, then from other peers,
+// then reads the platform's snapshot and configuration, and uses the greatest
+// revision found. The router is ready once it has a configuration that is not behind
+// its peers' and an upstream is available.
 //
-//     WarmStart start(options, now);
-//     start.onPeers(peers, now);
-//     for (auto &it : start.takeActions()) ...   // SendSnapshotRequest, ReadPlatform, Load
-//     start.readiness()                          // for /readyz and the log
+//     WarmStart warmStart(options, decoder, now);
+//     warmStart.onPeers(peers, now);
+//     for (auto &it : warmStart.takeActions()) ...   // SendSnapshotRequest, ReadPlatform, LoadSnapshot
+//     warmStart.readiness()                          // for /readyz and the log
 //
-// After an outage of everything the router waits and says why; it never takes a
-// revision older than one it has seen.
+// If neither a peer nor the platform has a configuration, the router stays not ready,
+// reports why, and retries the platform. The revision never goes backwards.
 #pragma once
 
 #include <cstdint>
@@ -34,11 +35,11 @@
 {
 
 enum class WarmStartStep {
-    FindPeers, // wait for the first view of members
+    FindPeers, // waits for the first membership view
     QueryOwnDomain,
     QueryOtherDomains,
     QueryPlatform,
-    Done, // hot state was loaded, or there is none
+    Done, // a configuration was loaded, and hot state if there was any
 };
 constexpr WarmStartStep AllWarmStartSteps[] = {WarmStartStep::FindPeers, WarmStartStep::QueryOwnDomain, WarmStartStep::QueryOtherDomains,
                                                WarmStartStep::QueryPlatform, WarmStartStep::Done};
@@ -46,14 +47,14 @@
 struct WarmStartOptions
 {
     base::FailureDomain domain;
-    base::Duration findPeersTimeout = base::milliseconds{700}; // longest wait for members
-    base::Duration ownDomainTimeout = base::seconds{1}; // longest wait for own domain's peers
+    base::Duration findPeersTimeout = base::milliseconds{700}; // for the first membership view
+    base::Duration ownDomainTimeout = base::seconds{1}; // for snapshots from peers of the own domain
     base::Duration otherDomainsTimeout = base::seconds{1};
     base::Duration platformRetryInterval = base::seconds{1};
-    base::Duration partTimeout = base::milliseconds{400}; // until a part is asked for again
-    base::Duration catchUpTimeout = base::seconds{2}; // longest wait for a greater revision that was seen
-    std::uint32_t maxParallelTransfers = 2; // peers asked together
-    std::uint64_t seed = 1; // of request numbers
+    base::Duration partTimeout = base::milliseconds{400}; // until a part is requested again
+    base::Duration catchUpTimeout = base::seconds{2}; // for reaching the greatest revision that peers show, after Done
+    std::uint32_t maxParallelTransfers = 2; // peers queried at the same time
+    std::uint64_t seed = 1; // for random request numbers
 };
 
 struct SendSnapshotRequest
@@ -67,7 +68,7 @@
 {
 };
 
-// Load hot prefixes, lives, marks and floors; the configuration goes to the distributor.
+// Load hot prefixes, incarnations, marks and floors; the configuration goes to the distributor.
 struct LoadSnapshot
 {
     Snapshot snapshot;
@@ -75,22 +76,22 @@
 
 using WarmStartAction = std::variant<SendSnapshotRequest, ReadPlatform, LoadSnapshot>;
 
-// Why the router can't serve yet.
+// Why the router is not ready.
 enum class NotReadyReason {
     None, // ready
-    NoConfiguration, // no peer and no platform gave one
-    BehindPeers, // a live router has shown a greater revision since this one started
-    NoUpstream, // none answers
+    NoConfiguration, // neither a peer nor the platform provided one
+    BehindPeers, // a live router showed a greater revision during the warm start
+    NoUpstream, // no upstream is available
     Stopping,
 };
 
-// Returns what is missing and what to look at, for /readyz and event RouterNotReady.
+// Describes what is missing and what to check, for /readyz and the event RouterNotReady.
 [[nodiscard]] std::string describeNotReady(NotReadyReason reason, std::string_view platformError);
 
 class WarmStart
 {
 public:
-    // Decodes an encoded snapshot; peer::decodeSnapshot in the daemon.
+    // Decodes an encoded snapshot; the router uses peer::decodeSnapshot.
     using Decoder = std::function<base::Result<Snapshot>(std::string_view bytes)>;
 
     WarmStart(WarmStartOptions options, Decoder decoder, base::TimePoint now);
@@ -98,11 +99,11 @@
     // Live routers other than this one.
     void onPeers(std::span<const config::DistributionPeer> peers, base::TimePoint now);
     void onPart(const base::RouterId &from, const SnapshotPart &part, base::TimePoint now);
-    // What the platform gave: a snapshot with the stored configuration in `rows`, or why not.
+    // Result of ReadPlatform: the stored snapshot with the stored configuration in `rows`, or an error.
     void onPlatform(const base::Result<Snapshot> &result, base::TimePoint now);
-    // Revision in force and number of upstreams that answer, whenever they change.
+    // Current configuration revision and number of available upstreams.
     void onStateChanged(base::Revision revision, std::size_t availableUpstreams);
-    // The greatest revision that live routers show, whenever it grows.
+    // The greatest revision that live routers show.
     void onFleetRevision(base::Revision revision);
     void onStopping();
     void onTick(base::TimePoint now);
@@ -110,12 +111,12 @@
     [[nodiscard]] std::vector<WarmStartAction> takeActions();
     [[nodiscard]] WarmStartStep step() const;
     [[nodiscard]] NotReadyReason readiness() const;
-    // Readiness as text; empty when ready.
+    // Describes why the router is not ready; empty when it is.
     [[nodiscard]] std::string notReadyMessage() const;
     [[nodiscard]] base::TimePoint nextDeadline() const;
 
 private:
-    // A snapshot under way from one peer.
+    // Transfer of a snapshot from one peer.
     struct Transfer
     {
         std::uint64_t request = 0;
@@ -141,14 +142,14 @@
     WarmStartStep m_step = WarmStartStep::FindPeers;
     base::TimePoint m_stepDeadline;
     std::vector<config::DistributionPeer> m_peers;
-    std::set<base::RouterId> m_queried; // never asked twice
+    std::set<base::RouterId> m_queried; // each peer is queried once
     std::map<base::RouterId, Transfer> m_transfers;
     Snapshot m_snapshot; // merged so far
     bool m_hasHotState = false;
-    bool m_isPlatformReadPending = false; // an answer is due
+    bool m_isPlatformReadPending = false; // waiting for onPlatform()
     std::string m_platformError;
     base::Revision m_revision;
-    base::Revision m_requiredRevision; // the revision to reach before the first readiness; fixed once done
+    base::Revision m_requiredRevision; // to reach before the router first becomes ready; doesn't grow after Done
     base::TimePoint m_catchUpDeadline;
     std::size_t m_availableUpstreams = 0;
     bool m_isStopping = false;
