--- a/carawaylatch/router.h
+++ b/carawaylatch/router.h
@@ -1,13 +1,14 @@
 // carawaylatch: a router for language-model traffic with long shared prompts, and
-// the coordination parts it is made of.
+// the coordination components it is built from.
 //
-// What it is for. Several customers share a fleet of model engines. Their prompts
-// nest (a template, a contract, a clause) and engines keep the computed state of
-// prefixes for a few seconds. A router sends each request to the engine that holds
-// its prefix, delivers the answer whole and in order, keeps customers apart, and
-// runs calls that must not repeat at most once, whatever fails meanwhile.
+// Purpose. Several customers share a fleet of model engines. Their prompts share
+// nested prefixes (a template, a contract, a clause), and engines cache the computed
+// state of prefixes for a few seconds. A router sends each request to an engine that
+// has its prefix cached, delivers the response complete and in order, isolates
+// customers from each other, and executes calls that must not be repeated at most
+// once, even when routers, engines or the platform fail.
 //
-// The whole router, as the daemon uses it:
+// The complete router, as the daemon uses it:
 //
 //     #include <carawaylatch/router.h>
 //
@@ -22,44 +23,43 @@
 //         return 2;
 //     }
 //     ... router.requestStop() when a signal arrives ...
-//     router.waitUntilStopped();
+//     const auto kind = router.waitUntilStopped();
 //
 // Options. Settings has a member for each section of the INI file; docs/SETTINGS.md
-// lists keys, units, defaults and ranges. What is routed where is not a setting: it
-// is the configuration in the platform's object store, edited by carawaylatchctl and
-// described in docs/TABLES.md.
+// lists keys, units, defaults and ranges. Routes, pools and customers are not
+// settings: they are the configuration in the platform's object store, which is
+// edited with carawaylatchctl and described in docs/TABLES.md.
 //
-// Errors. Nothing is thrown. Every function that can fail returns Result<T>; its
-// error has a kind for programs, a message for people that names the remedy, and
-// retryAfter, the earliest time from now at which trying again can help.
+// Errors. The library throws no exceptions. Every function that can fail returns
+// Result<T>; its error has a kind for programs, a message for people that says how to
+// fix it, and retryAfter, the delay after which a retry can succeed.
 //
-//     InvalidArgument   the input is wrong; the message says what to write
+//     InvalidArgument   the input is invalid; the message says what to write
 //     Unavailable       the other side was not reached; nothing took effect
-//     Unclear           it may have taken effect; settle it by reading back
+//     Unclear           it may have taken effect; read back to find out
 //     Overloaded        no capacity within the deadline; see retryAfter
-//     NotRun            the call ran nowhere and will not
+//     NotRun            the call was not executed and will not be
 //
 // The others are in carawaylatch/base/error.h.
 //
-// Threads. A Router owns its threads and sockets; its functions are safe from any
-// thread. It starts no process, reads no file but its settings and keeps nothing on
-// disk.
+// Threads. A Router owns its threads and sockets; its functions are thread-safe. It
+// starts no process, reads no file but its settings, and stores nothing on disk.
 //
-// Parts. Each is a state machine or a small object that does no I/O of its own, and
-// can be embedded without the rest. Read the header of the part next:
+// Components. Each is a state machine or a small object without I/O of its own, and
+// can be embedded separately. Their headers:
 //
-//     carawaylatch/routing/strategy.h      choose an upstream for a prompt
-//     carawaylatch/prefix/cacheindex.h     who caches what, bounded in bytes
-//     carawaylatch/orders/orderexecutor.h      calls that run at most once
-//     carawaylatch/admission/admissioncontroller.h        limits, fair queueing, refusal in time
-//     carawaylatch/relay/streamassembler.h streams whole and in order
-//     carawaylatch/config/headstore.h      tables with one point of acceptance
-//     carawaylatch/fleet/lease.h           leases with fencing numbers
-//     carawaylatch/membership/memberlist.h who is alive
-//     carawaylatch/store/objectstore.h  the interface that an embedder implements
+//     carawaylatch/routing/strategy.h               chooses an upstream for a prompt
+//     carawaylatch/prefix/cacheindex.h              cached prefixes of each upstream, bounded in bytes
+//     carawaylatch/orders/orderexecutor.h           calls executed at most once
+//     carawaylatch/admission/admissioncontroller.h  limits, fair queueing, load shedding
+//     carawaylatch/relay/streamassembler.h          complete and ordered streams
+//     carawaylatch/config/headstore.h               configuration tables with optimistic concurrency
+//     carawaylatch/fleet/lease.h                    leases with fencing tokens
+//     carawaylatch/membership/memberlist.h          membership and failure detection
+//     carawaylatch/store/objectstore.h              storage interface that an embedder implements
 //
-// examples/placement.cpp embeds the strategy alone, examples/orderguard.cpp the
-// order desk alone. To build against an installed tree:
+// examples/placement.cpp embeds only the strategy, examples/orderguard.cpp only the
+// order executor. To build against an installed tree:
 //
 //     find_package(carawaylatch REQUIRED)
 //     target_link_libraries(program PRIVATE carawaylatch::carawaylatch)
--- a/carawaylatch/router/completionplacer.cpp
+++ b/carawaylatch/router/completionplacer.cpp
@@ -1,7 +1,7 @@
-// The namespace of a request depends on the weights version that the pool serves
-// at the moment, so the salt and the chain are made when the request is placed,
-// and anew if the version moved between two attempts. A continuation keeps the
-// version of the tokens already delivered.
+// The cache namespace of a request depends on the weights version that the pool
+// currently serves, so the salt and the block chain are computed when the request is
+// placed, and again if the version changed between two attempts. A continuation keeps
+// the version of the tokens already delivered.
 #include "carawaylatch/router/completionplacer.h"
 
 #include <algorithm>
@@ -60,7 +60,7 @@
     }
     BOOST_OUTCOME_TRY(placement, m_dependencies.strategy.place(routingRequest(excluded, now), *view));
     if (!view->maySend(placement.upstream, placement.incarnation, now)) {
-        return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", ViewRetryAfter);
+        return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " no longer accepts requests; try again", ViewRetryAfter);
     }
     OpenPlacement openPlacement{placement.slot, placement.incarnation, placement.predictedBlocks, findMaxCachedBlocks(now), {}};
     openPlacement.ticket = m_dependencies.routingState.inflight.begin(placement.slot, placement.missingTokens, now, m_context.head.trafficClass);
@@ -114,7 +114,7 @@
     auto view = m_dependencies.published.load()->upstreams;
     const auto *pool = view->pool(m_context.pool->name);
     if (pool == nullptr || !view->isUsable(now)) {
-        return base::fail(base::ErrorKind::Unavailable, "the router has no fresh view of its upstreams; nothing ran, try again", ViewRetryAfter);
+        return base::fail(base::ErrorKind::Unavailable, "the router's view of its upstreams is stale; nothing ran, try again", ViewRetryAfter);
     }
     prepareChain(version.value_or(pool->servingVersion));
     return view;
--- a/carawaylatch/router/completionplacer.h
+++ b/carawaylatch/router/completionplacer.h
@@ -1,5 +1,5 @@
-// Chooses upstreams for one completion request and feeds what its attempts
-// showed back into the router's knowledge.
+// Chooses the upstreams for the attempts of one completion request and updates the
+// routing state with their results.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 namespace carawaylatch::router
 {
 
-// What traffic threads tell the control thread about an attempt.
+// Result of an attempt, sent from traffic threads to the control thread.
 struct AttemptReport
 {
     base::UpstreamId upstream;
@@ -25,7 +25,7 @@
 };
 using AttemptListener = std::function<void(const AttemptReport &attempt)>;
 
-// Parts that placing needs; all outlive the requests.
+// Dependencies of placements; all outlive the requests.
 struct PlacementDependencies
 {
     const ControlSnapshotPointer &published;
@@ -45,28 +45,29 @@
     void firstToken(const relay::AttemptPlan &plan, base::Duration sinceStart) override;
     void ended(const relay::AttemptOutcome &outcome) override;
 
-    // Prompt tokens that were computed although a live upstream held them when
-    // the request was placed; known once an attempt has finished.
+    // Prompt tokens that were computed although a live upstream had them cached when
+    // the request was placed. Zero until an attempt has finished.
     [[nodiscard]] std::uint64_t wastedTokens() const;
-    // Returns the placement that a new request would get, without taking it.
+    // Returns the placement that a new request would get, without recording it.
     [[nodiscard]] base::Result<routing::Placement> previewPlacement();
-    // Returns every candidate of that placement with its estimate.
+    // Returns all candidates of that placement with their estimates.
     [[nodiscard]] base::Result<routing::Explanation> explain();
 
 private:
-    // One placement, until its attempt ends.
+    // A placement whose attempt has not ended.
     struct OpenPlacement
     {
         upstreams::Slot slot;
         base::Incarnation incarnation;
         std::uint32_t predictedBlocks = 0;
-        std::uint32_t maxCachedBlocks = 0; // by any live upstream
+        std::uint32_t maxCachedBlocks = 0; // leading blocks of the prompt cached at any one live upstream
         upstreams::InflightTable::Ticket ticket;
     };
 
     [[nodiscard]] routing::PlacementRequest routingRequest(const std::vector<base::UpstreamId> &excluded, base::TimePoint now) const;
     void prepareChain(base::WeightsVersion version);
-    // Returns a view that may be used now, its chain prepared.
+    // Returns the current upstream view and prepares the block chain for `version`, by
+    // default the version that the pool serves. Unavailable if the view is stale.
     [[nodiscard]] base::Result<std::shared_ptr<const upstreams::UpstreamView>> prepareView(std::optional<base::WeightsVersion> version, base::TimePoint now);
     [[nodiscard]] std::uint32_t findMaxCachedBlocks(base::TimePoint now) const;
     void recordUsage(const relay::AttemptOutcome &outcome, const OpenPlacement &openPlacement);
@@ -77,7 +78,7 @@
     base::WeightsVersion m_version; // of m_salt and m_chain
     base::CacheSalt m_salt;
     std::vector<std::uint64_t> m_chain;
-    std::multimap<base::UpstreamId, OpenPlacement> m_openPlacements; // open attempts, a handful
+    std::multimap<base::UpstreamId, OpenPlacement> m_openPlacements; // by upstream; a handful
     std::uint64_t m_wastedTokens = 0;
 };
 
--- a/carawaylatch/router/configcontroller.cpp
+++ b/carawaylatch/router/configcontroller.cpp
@@ -1,7 +1,6 @@
-// The watching thread reads the head when it starts to watch and after each
-// change, and hands what it read to the control thread, which decides whether it
-// is newer. A failed call is repeated after a pause; in the meantime peers' edits
-// still arrive.
+// The watching thread loads the head when it starts to watch and after each change,
+// and posts the result to the control thread, which checks whether it is newer. A
+// failed call is retried after RetryInterval; edits from peers still arrive meanwhile.
 #include "carawaylatch/router/configcontroller.h"
 
 #include <variant>
@@ -16,7 +15,7 @@
 {
 
 constexpr base::Duration RetryInterval = base::seconds{1};
-constexpr base::Duration IdlePollInterval = base::milliseconds{200}; // while this router isn't a watcher
+constexpr base::Duration IdlePollInterval = base::milliseconds{200}; // while this router is not a watcher
 
 config::DistributorOptions distributorOptions(const config::Settings &settings)
 {
--- a/carawaylatch/router/configcontroller.h
+++ b/carawaylatch/router/configcontroller.h
@@ -1,5 +1,6 @@
-// Controller of the configuration: the distributor, and the thread that watches
-// the platform's head object while this router is one of its domain's watchers.
+// Controller of the configuration: runs the distributor, and a thread that watches
+// the head object in the platform's store while this router is one of the watchers
+// of its failure domain.
 #pragma once
 
 #include <atomic>
@@ -16,11 +17,11 @@
 namespace carawaylatch::router
 {
 
-// Control thread, but for the watching thread.
+// Control thread only, except for watch().
 class ConfigController
 {
 public:
-    // Told of each greater revision that this version can read.
+    // Called for each greater revision that this software version can read.
     using InForceHandler = std::function<void(std::shared_ptr<const config::Tables> tables, base::TimePoint now)>;
 
     // All outlive the controller.
@@ -30,7 +31,7 @@
     void stop();
     void onMembers(const membership::MembershipView &members, base::TimePoint now);
     void onPeerRevision(const base::RouterId &peer, base::Revision revision, base::TimePoint now);
-    // Rows from a snapshot of a peer or of the platform.
+    // Rows from a snapshot received from a peer or read from the platform.
     void onRows(const config::RowSet &rows, base::TimePoint now);
     [[nodiscard]] base::Revision revision() const;
     [[nodiscard]] std::shared_ptr<const config::RowSet> rows() const;
@@ -38,7 +39,7 @@
 private:
     void executeActions(base::TimePoint now);
     void onConfigInForce(const config::ConfigInForce &inForce, base::TimePoint now);
-    // The watching thread.
+    // Body of m_watcher.
     void watch(const std::stop_token &stop);
     void loadAndWatch(config::HeadStore &store, const std::stop_token &stop);
 
--- a/carawaylatch/router/controlsnapshot.h
+++ b/carawaylatch/router/controlsnapshot.h
@@ -1,4 +1,5 @@
-// What the control thread publishes to traffic threads: immutable, taken whole.
+// Immutable state that the control thread publishes to the traffic threads. A
+// request uses one snapshot throughout, so that its tables and views are consistent.
 #pragma once
 
 #include <memory>
@@ -12,11 +13,11 @@
 namespace carawaylatch::router
 {
 
-// Whether new requests are taken; the balancer is told by /readyz.
+// Whether new requests are accepted. /readyz reports ready only for Ready.
 enum class ServingState {
-    NotReady, // started, configuration or upstreams are missing
+    NotReady, // configuration or upstreams are missing
     Ready,
-    Draining, // a planned stop began; requests that still come are served
+    Draining, // the shutdown has started; requests that still arrive are served
     Refusing, // new requests are refused as not run
 };
 
@@ -29,7 +30,7 @@
     std::string notReadyMessage; // empty when ready
 };
 
-// The newest snapshot. Written by the control thread, read by all.
+// The latest snapshot. Written by the control thread, read by all threads.
 class ControlSnapshotPointer : public base::SnapshotPointer<ControlSnapshot>
 {
 public:
--- a/carawaylatch/router/controlstate.cpp
+++ b/carawaylatch/router/controlstate.cpp
@@ -1,4 +1,4 @@
-// A snapshot is some pointers and a text: cheap to copy for each change.
+// A snapshot is a few pointers and a string, so copying it for each change is cheap.
 #include "carawaylatch/router/controlstate.h"
 
 #include <utility>
--- a/carawaylatch/router/controlstate.h
+++ b/carawaylatch/router/controlstate.h
@@ -1,4 +1,5 @@
-// What controllers share: owned by the control thread, published to the others.
+// State shared by the controllers: owned by the control thread and published to the
+// other threads as immutable snapshots.
 #pragma once
 
 #include <functional>
@@ -16,7 +17,7 @@
 namespace carawaylatch::router
 {
 
-// Parts that every controller uses; all outlive the controllers.
+// Dependencies of every controller; all outlive the controllers.
 struct ControllerDependencies
 {
     const config::Settings &settings;
@@ -28,7 +29,8 @@
     ControlSnapshotPointer &published;
 };
 
-// The present state; each set function publishes a new snapshot. Control thread only.
+// The current state. Each setter publishes a new snapshot, setUpstreams() and
+// setMembers() only if the view is another one. Control thread only.
 class ControlState
 {
 public:
--- a/carawaylatch/router/filterchain.cpp
+++ b/carawaylatch/router/filterchain.cpp
@@ -1,5 +1,5 @@
-// Routes match by path first, so that a refusal can say what is wrong: an unknown
-// path, a model that no route of the path serves, or a route of others.
+// Routes are matched by path, model, customer and traffic class in this order, so that
+// the error can say which of them did not match.
 #include "carawaylatch/router/filterchain.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 constexpr base::Duration NotServingRetryAfter = base::seconds{1};
 
-// A route's path matches itself and, for services, everything below it.
+// A route's path matches itself and, for services, all paths below it.
 bool matchesPath(const config::Route &route, std::string_view path)
 {
     path = path.substr(0, path.find('?'));
@@ -28,7 +28,8 @@
     return route.customers.empty() || std::find(route.customers.begin(), route.customers.end(), customer) != route.customers.end();
 }
 
-// How far a request got in matching; the furthest route explains a refusal best.
+// How many properties of a route a request matches. The error is about the route that
+// matches most.
 enum class MatchLevel {
     None,
     Path,
@@ -92,7 +93,7 @@
         return base::fail(base::ErrorKind::Unavailable, "this router is stopping; nothing ran, send the request to another one", NotServingRetryAfter);
     }
     if (!snapshot.tables) {
-        return base::fail(base::ErrorKind::Unavailable, "this router holds no configuration yet; nothing ran, try another one", NotServingRetryAfter);
+        return base::fail(base::ErrorKind::Unavailable, "this router has no configuration yet; nothing ran, try another one", NotServingRetryAfter);
     }
     return base::ok();
 }
--- a/carawaylatch/router/filterchain.h
+++ b/carawaylatch/router/filterchain.h
@@ -1,9 +1,9 @@
-// The filters that every request passes before it runs.
+// The filters that every request passes before it is executed.
 //
-//   identify customer -> match route -> check size -> admit -> (relay or order)
+//   check serving -> identify customer -> match route -> check size -> admit
 //
-// Each filter adds to the request's context or ends the request with an error;
-// none of them does I/O. What runs the request afterwards is trafficplane.h.
+// Each filter adds to the request's context or rejects the request with an error;
+// none of them does I/O. TrafficPlane executes the request afterwards.
 #pragma once
 
 #include <memory>
@@ -21,16 +21,16 @@
 namespace carawaylatch::router
 {
 
-// What is known of a request; grows from filter to filter.
+// Properties of a request; the filters fill them in.
 struct RequestContext
 {
-    // Set at the arrival.
+    // Set on arrival.
     const http::CallerHead &head;
     base::ModelId model; // empty for services
     std::string_view prompt; // the body for services
     std::uint32_t maxTokens = 0;
     base::TimePoint arrivedAt;
-    // Keeps tables and view alive; the pointers below point into it.
+    // Owns the tables and views that the pointers below point into.
     std::shared_ptr<const ControlSnapshot> snapshot;
 
     const config::Customer *customer = nullptr; // set by IdentifyCustomer
@@ -50,36 +50,39 @@
 // Runs the filters in order up to the first error.
 [[nodiscard]] base::Result<void> runFilters(std::span<const std::unique_ptr<Filter>> filters, RequestContext &context);
 
-// Refuses requests while the router doesn't serve (Unavailable, nothing ran).
+// Rejects requests with Unavailable while the router refuses requests or has no
+// configuration.
 class CheckServing : public Filter
 {
 public:
     [[nodiscard]] base::Result<void> apply(RequestContext &context) const override;
 };
 
-// Finds the customer of the bearer key, or Unauthenticated.
+// Finds the customer of the bearer key. Unauthenticated if the key is missing or unknown.
 class IdentifyCustomer : public Filter
 {
 public:
     [[nodiscard]] base::Result<void> apply(RequestContext &context) const override;
 };
 
-// Finds route and pool: NotFound for an unknown path or model, Forbidden for a
-// route of other customers. Sets the deadline.
+// Finds route and pool and sets the deadline. NotFound for an unknown path or model;
+// Forbidden if the route does not allow the customer or the traffic class; Internal if
+// the route's pool is not configured.
 class MatchRoute : public Filter
 {
 public:
     [[nodiscard]] base::Result<void> apply(RequestContext &context) const override;
 };
 
-// Refuses prompts over the route's limit.
+// Rejects prompts over the route's limit with InvalidArgument.
 class CheckSize : public Filter
 {
 public:
     [[nodiscard]] base::Result<void> apply(RequestContext &context) const override;
 };
 
-// Estimates the wait at the upstreams for a request that isn't admitted yet.
+// Estimates the time to first token at the upstreams for a request that is not admitted
+// yet. Zero if unknown.
 class WaitEstimator
 {
 public:
@@ -87,8 +90,8 @@
     [[nodiscard]] virtual base::Duration expectedFirstToken(const RequestContext &context) const = 0;
 };
 
-// Takes a place from the gate, waiting for its turn; refuses at once what can't
-// be answered in time.
+// Waits in the fair queue for admission. Rejects a request at once if it can't be
+// served before its deadline.
 class Admit : public Filter
 {
 public:
--- a/carawaylatch/router/handovercontroller.cpp
+++ b/carawaylatch/router/handovercontroller.cpp
@@ -1,6 +1,7 @@
-// Placements can be loaded only for upstreams whose incarnation this router has
-// seen itself, and a starting router loads its snapshot before it has heard of
-// any. So they are kept and offered to the index again while reports come in.
+// Placements can be imported only for upstreams whose incarnation this router has
+// seen itself, and a starting router loads its snapshot before the first load
+// reports arrive. Placements are therefore kept for ImportRetryPeriod and imported
+// as the incarnations become known.
 #include "carawaylatch/router/handovercontroller.h"
 
 #include <algorithm>
@@ -56,7 +57,8 @@
     return std::string(handover::StoredSnapshotPrefix) + domain.value();
 }
 
-// Reads what the platform holds: the configuration must be there, hot state may be.
+// Reads the stored configuration and, if there is one, the stored hot state. Fails
+// only if the configuration can't be read.
 base::Result<handover::Snapshot> readStoredSnapshot(store::ObjectStore &objects, const base::FailureDomain &domain)
 {
     BOOST_OUTCOME_TRY(stored, config::HeadStore(objects).load());
--- a/carawaylatch/router/handovercontroller.h
+++ b/carawaylatch/router/handovercontroller.h
@@ -1,5 +1,5 @@
-// Controller of start and stop: warm start, snapshots for others, graceful
-// shutdown.
+// Controller of startup and shutdown: warm start, snapshots for other routers,
+// graceful shutdown.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 namespace carawaylatch::router
 {
 
-// The other controllers, whose state a snapshot is made of.
+// The other controllers, whose state goes into snapshots.
 struct HandoverSources
 {
     ConfigController &config;
@@ -25,11 +25,11 @@
     UpstreamController &upstreams;
 };
 
-// What the shutdown needs from the rest of the router; called on the control thread.
+// Callbacks into the rest of the router; called on the control thread.
 struct ShutdownHooks
 {
     std::function<std::size_t()> openRequests;
-    std::function<void()> refuseRequests; // waiting ones too
+    std::function<void()> refuseRequests; // queued ones too
     std::function<void()> abortStreams;
     std::function<void()> exit;
 };
@@ -37,14 +37,14 @@
 class HandoverController
 {
 public:
-    // `platformLoop` runs blocking calls to the platform. All outlive the controller.
+    // `platformLoop` runs blocking calls to the platform. All references outlive the controller.
     HandoverController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop,
                        const HandoverSources &sources, ShutdownHooks hooks);
 
     void start(base::TimePoint now);
-    // Revision in force or answering upstreams may have changed.
+    // Called when the configuration revision or the available upstreams may have changed.
     void onStateChanged(base::TimePoint now);
-    // A signal to stop; the second one cuts open streams.
+    // The first signal starts the shutdown, the second aborts open streams.
     void onSignal(base::TimePoint now);
 
 private:
@@ -69,7 +69,7 @@
     handover::WarmStart m_warmStart;
     handover::SnapshotServer m_snapshotServer;
     handover::Shutdown m_shutdown;
-    // Placements of lives that this router doesn't know yet; tried again until m_importDeadline.
+    // Placements at incarnations that this router has not seen yet; retried until m_importDeadline.
     prefix::HotPlacements m_pendingPlacements;
     base::TimePoint m_importDeadline;
     base::TimerService::Subscription m_tickTimer;
--- a/carawaylatch/router/membercontroller.cpp
+++ b/carawaylatch/router/membercontroller.cpp
@@ -1,4 +1,5 @@
-// The state machine is asked at a fixed tick, well under its shortest timeout.
+// Drives the member list at a fixed interval well below its shortest timeout. Demand
+// reports go to one peer at a time, round-robin.
 #include "carawaylatch/router/membercontroller.h"
 
 #include <algorithm>
--- a/carawaylatch/router/membercontroller.h
+++ b/carawaylatch/router/membercontroller.h
@@ -1,5 +1,5 @@
-// Controller of membership: the member list, its probes, and the exchange of
-// customers' limits that travels beside them.
+// Controller of membership: the member list with its failure detector, and the
+// exchange of demand reports and limit shares of customers.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 namespace carawaylatch::router
 {
 
-// Control thread, but for liveness().
+// Control thread only.
 class MemberController
 {
 public:
@@ -32,7 +32,7 @@
     void leave(base::TimePoint now);
     void depart(base::TimePoint now);
     [[nodiscard]] std::vector<membership::MemberRecord> records() const;
-    // Live routers but this one, those of the own failure domain first.
+    // Live routers except this one, those of the same failure domain first.
     [[nodiscard]] std::vector<config::DistributionPeer> peers() const;
 
 private:
@@ -49,7 +49,7 @@
     const ViewHandler m_onView;
     const RevisionHandler m_onRevision;
     membership::MemberList m_members;
-    std::size_t m_nextReportPeer = 0; // index into peers() of the next report
+    std::size_t m_nextReportPeer = 0; // counter, modulo peers(): receiver of the next demand report
     base::TimerService::Subscription m_tickTimer;
     base::TimerService::Subscription m_demandReportTimer;
 };
--- a/carawaylatch/router/operatorrequesthandler.cpp
+++ b/carawaylatch/router/operatorrequesthandler.cpp
@@ -1,4 +1,5 @@
-// Reads snapshots; changes go to the control thread and are waited for.
+// Requests read published snapshots. Drain and undrain run on the control thread and
+// block until they have taken effect.
 #include "carawaylatch/router/operatorrequesthandler.h"
 
 #include "carawaylatch/telemetry/dashboard.h"
@@ -71,7 +72,7 @@
     auto &metrics = m_dependencies.metrics;
     const auto peers = m_dependencies.transport.counters();
     metrics.advanceControl(ControlChannel::Peer, peers.sentMessages + peers.receivedMessages, peers.sentBytes + peers.receivedBytes);
-    // Both enumerations name the same reasons in the same order.
+    // Both enumerations list the same reasons in the same order.
     static_assert(static_cast<std::size_t>(telemetry::PeerRefusal::Replayed) == static_cast<std::size_t>(peer::PeerRefusal::Replayed));
     for (std::size_t i = 0; i < peers.refused.size(); ++i) {
         metrics.advancePeerRefusals(static_cast<telemetry::PeerRefusal>(i), peers.refused.at(i));
--- a/carawaylatch/router/operatorrequesthandler.h
+++ b/carawaylatch/router/operatorrequesthandler.h
@@ -1,4 +1,5 @@
-// What the operators' port asks of the router.
+// Handles the requests of the operators' port: readiness, metrics, status, dashboard,
+// explain, drain and undrain.
 #pragma once
 
 #include <mutex>
@@ -16,7 +17,7 @@
 namespace carawaylatch::router
 {
 
-// Parts that outlive the desk.
+// Dependencies that outlive the handler.
 struct OperatorDependencies
 {
     const config::Settings &settings;
@@ -46,8 +47,8 @@
     [[nodiscard]] base::Result<void> drain(const base::UpstreamId &upstream) override;
     [[nodiscard]] base::Result<void> undrain(const base::UpstreamId &upstream) override;
 
-    // Takes a sample for the page's charts and notes what control costs; called
-    // every few seconds.
+    // Records a sample for the dashboard's charts and the cost of the control plane;
+    // called every few seconds.
     void sample(base::TimePoint now);
 
 private:
@@ -58,7 +59,7 @@
     const OperatorDependencies m_dependencies;
     const base::TimePoint m_startedAt;
     std::mutex m_mutex;
-    // All below are guarded by m_mutex.
+    // All members below are guarded by m_mutex.
     telemetry::DashboardSeries m_series;
     base::TimePoint m_sampledAt;
     base::Duration m_sampledProcessorTime{};
--- a/carawaylatch/router/peerbus.cpp
+++ b/carawaylatch/router/peerbus.cpp
@@ -1,4 +1,4 @@
-// Dispatch by trying each handler: there are about a dozen.
+// Each message is offered to all handlers; there are only about a dozen.
 #include "carawaylatch/router/peerbus.h"
 
 namespace carawaylatch::router
--- a/carawaylatch/router/peerbus.h
+++ b/carawaylatch/router/peerbus.h
@@ -1,7 +1,7 @@
-// Messages to other routers by name, and handlers by kind of message.
+// Message bus between routers: sends by router id, dispatches by message type.
 //
-// Controllers send to router ids; the member controller knows where these are.
-// Messages arrive on the control thread. Control thread only, but for deliver().
+// The member controller resolves router ids to endpoints. Handlers are called on the
+// control thread. Control thread only, except for deliver().
 #pragma once
 
 #include <functional>
@@ -20,14 +20,14 @@
 class PeerBus
 {
 public:
-    // Finds where a router listens; an endpoint with port 0 if that isn't known.
+    // Returns the endpoint of a router; port 0 if it is not known.
     using Resolver = std::function<base::Endpoint(const base::RouterId &router)>;
 
     // Both outlive the bus.
     PeerBus(peer::PeerTransport &transport, base::EventLoop &loop);
 
     void setResolver(Resolver resolver);
-    // Sends to a router; dropped if it isn't known.
+    // Sends to a router; the message is dropped if its endpoint is not known.
     void send(const base::RouterId &to, const peer::PeerMessage &message);
     void send(const base::Endpoint &to, const peer::PeerMessage &message);
 
@@ -42,7 +42,7 @@
         });
     }
 
-    // Hands a message to the control thread. Any thread.
+    // Posts a received message to the control thread. Thread-safe.
     void deliver(const peer::PeerEnvelope &envelope);
 
 private:
@@ -51,7 +51,7 @@
     peer::PeerTransport &m_transport;
     base::EventLoop &m_loop;
     Resolver m_resolver;
-    std::vector<Dispatcher> m_handlers; // complete before messages arrive
+    std::vector<Dispatcher> m_handlers; // not modified after messages can arrive
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/periodictasks.cpp
+++ b/carawaylatch/router/periodictasks.cpp
@@ -1,10 +1,10 @@
-// Of each failure domain only the first few routers by rank read the VM list and
-// stand for the fleet's lease, so that the platform's read rate doesn't grow with
-// the fleet: seeds and leaving marks reach the others from peers. A router that
-// knows no other is the first of its domain.
+// In each failure domain only the first few routers by rank read the VM list and
+// compete for the fleet lease, so that the platform's read rate doesn't grow with
+// the fleet; other routers receive members and leaving marks from peers. A router
+// without a membership view counts as first of its domain.
 //
-// Three loops: one for the platform's list and snapshots, one for orders, whose
-// outcomes must not wait behind anything, one for the fleet, which waits for engines.
+// Three loops: one for the VM list and snapshots; one for orders, whose outcomes must
+// not be delayed by other calls; one for the fleet controller, which blocks on engines.
 #include "carawaylatch/router/periodictasks.h"
 
 #include <utility>
@@ -24,8 +24,8 @@
 constexpr std::string_view RetentionTask = "retention";
 constexpr std::string_view VmListTask = "vm-list";
 constexpr std::string_view FleetTask = "fleet";
-constexpr std::size_t VmListReaders = 3; // routers of a domain
-constexpr std::size_t FleetLeaseCandidates = 3; // routers of a domain
+constexpr std::size_t VmListReaders = 3; // routers per failure domain
+constexpr std::size_t FleetLeaseCandidates = 3; // routers per failure domain
 
 fleet::FleetSettings fleetSettings(const config::Settings &settings)
 {
--- a/carawaylatch/router/periodictasks.h
+++ b/carawaylatch/router/periodictasks.h
@@ -1,5 +1,6 @@
-// Work that waits for the platform or for engines, on loops of its own: the VM
-// list, the order desk's duties, pruning of order records, orders to engines.
+// Periodic tasks that block on the platform or on engines, on event loops of their
+// own: reading the VM list, pending updates of order records, pruning of order
+// records, and the fleet controller's orders to engines.
 #pragma once
 
 #include <functional>
@@ -19,20 +20,20 @@
 public:
     using VmListHandler = std::function<void(const std::vector<store::VmRecord> &vms, base::TimePoint now)>;
 
-    // All outlive the duties; `onVmList` is called on the control thread.
+    // All references outlive the tasks; `onVmList` is called on the control thread.
     PeriodicTasks(const ControllerDependencies &dependencies, orders::OrderExecutor &executor, fleet::EngineControl &engines, VmListHandler onVmList);
     ~PeriodicTasks();
 
     void start(base::TimePoint now);
     void stop();
-    // The loop for other calls to the platform.
+    // Event loop for other blocking calls to the platform.
     [[nodiscard]] base::EventLoop &platformLoop();
 
 private:
     void readVmList();
     void stepFleet();
     void stepRetention(base::TimePoint now);
-    // Tells whether this router is among the first n of its domain for a duty.
+    // Returns whether this router is among the first n of its failure domain by rank for a task.
     [[nodiscard]] bool isAmongFirst(std::string_view task, std::size_t n) const;
 
     const ControllerDependencies &m_dependencies;
@@ -42,7 +43,7 @@
     fleet::FleetDriver m_fleet; // fleet loop
     bool m_isVmListFailing = false; // platform loop
     std::vector<base::TimerService::Subscription> m_timers;
-    // Calls of different purposes don't wait for each other.
+    // One loop for each purpose, so that their calls don't wait for each other.
     base::EventLoop m_platformLoop;
     base::EventLoop m_orderLoop;
     base::EventLoop m_fleetLoop;
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -1,5 +1,6 @@
-// Builds the parts in the order in which they depend on each other and ends them
-// in the opposite one: first the ports, then what serves them, last the loops.
+// Creates the components in the order of their dependencies and stops them in
+// reverse: first the server ports, then the components behind them, the event loop
+// and the peer transport last.
 #include "carawaylatch/router/router.h"
 
 #include <condition_variable>
@@ -78,7 +79,7 @@
     return {{settings.callers.address, settings.callers.port}, settings.callers.maxStreams, settings.callers.maxBodyBytes};
 }
 
-// What the published member list says of other routers.
+// Liveness of other routers as the published membership view shows it.
 class MembershipLiveness : public orders::RouterLiveness
 {
 public:
@@ -131,7 +132,7 @@
     }
 
 private:
-    // Controllers, made once the peers' port is bound. Control thread.
+    // Created once the peers' port is bound. Control thread.
     struct Controllers
     {
         explicit Controllers(Impl &router);
@@ -166,7 +167,7 @@
     peer::Http2Transport m_transport;
     PeerBus m_bus{m_transport, m_controlLoop};
 
-    // Traffic.
+    // Traffic threads.
     admission::AdmissionController m_admissionController;
     relay::AttemptIdGenerator m_attemptIds;
     relay::RetryBudgets m_retryBudgets;
@@ -181,7 +182,7 @@
     std::unique_ptr<TrafficPlane> m_traffic;
 
     std::unique_ptr<Controllers> m_controllers;
-    // The operators' port forwards to the desk in m_controllers.
+    // Forwards operators' requests to the handler in m_controllers.
     class RequestHandlerProxy;
     std::unique_ptr<RequestHandlerProxy> m_handlerProxy;
     http::CallersServer m_callersServer;
@@ -193,8 +194,8 @@
     std::optional<StopKind> m_stopKind; // guarded by m_mutex
 };
 
-// The ports are bound after the controllers stand, but their types need a handler
-// from the start.
+// The servers need their handler when they are constructed, before the controllers
+// and the traffic plane exist. No request arrives before the ports are bound.
 class Router::Impl::RequestHandlerProxy : public http::OperatorHandler, public http::CallerHandler
 {
 public:
@@ -416,8 +417,9 @@
     return *kind;
 }
 
-// Outcomes that only this process knows must reach the platform before it ends; an
-// outage that outlasts the bound leaves them unknown.
+// Outcomes of orders that are not stored yet must be written to the platform before
+// the process exits. If the platform is unreachable for longer than MaxFlushTime,
+// these orders stay unknown.
 void Router::Impl::flushOrders()
 {
     const base::TimePoint until = m_clock.now() + MaxFlushTime;
--- a/carawaylatch/router/router.h
+++ b/carawaylatch/router/router.h
@@ -1,13 +1,13 @@
-// One router: all roles in one object.
+// A complete router: traffic, control and operators' interface in one object.
 //
 //     auto settings = config::loadSettings("router.ini");
 //     router::Router router(settings.value());
 //     if (auto started = router.start(); !started) { ... }
-//     router.requestStop();   // from a signal; a second call cuts open streams
-//     router.waitUntilStopped();
+//     router.requestStop();   // from a signal; a second call aborts open streams
+//     const auto kind = router.waitUntilStopped();
 //
-// The object owns its threads and sockets. It reads no other file and starts no
-// other process; all that must last is in the platform's object store.
+// The object owns its threads and sockets. It reads no file and starts no process;
+// persistent state is in the platform's object store.
 #pragma once
 
 #include <memory>
@@ -20,8 +20,8 @@
 {
 
 enum class StopKind {
-    Graceful, // every open stream was finished
-    Forced, // a second request ended what was still open
+    Graceful, // every open stream finished
+    Forced, // a second requestStop() ended it early; open streams are aborted
 };
 
 class Router
@@ -32,16 +32,16 @@
     Router(const Router &) = delete;
     Router &operator=(const Router &) = delete;
 
-    // Binds all ports and starts to serve as soon as it is ready. An error names
-    // the setting to change.
+    // Binds all ports; the router serves requests as soon as it is ready. The
+    // message of an error names the setting to change.
     [[nodiscard]] base::Result<void> start();
-    // Begins the planned stop; called again, it cuts what is still open. Any thread.
+    // Starts the graceful shutdown; a second call aborts open streams. Thread-safe.
     void requestStop();
-    // Returns once the planned stop has ended. After Cut the process should end at
-    // once: destroying the router would wait for the open streams.
+    // Blocks until the shutdown has finished. After Forced the process should exit
+    // at once: destroying the router would wait for the open streams.
     [[nodiscard]] StopKind waitUntilStopped();
 
-    // Bound addresses, known after start().
+    // Bound addresses, valid after start().
     [[nodiscard]] base::Endpoint callersEndpoint() const;
     [[nodiscard]] base::Endpoint operatorsEndpoint() const;
     [[nodiscard]] base::Endpoint peersEndpoint() const;
--- a/carawaylatch/router/routingstate.h
+++ b/carawaylatch/router/routingstate.h
@@ -1,5 +1,6 @@
-// What a router has learnt about upstreams and their caches; shared by the
-// control thread, which feeds it, and traffic threads, which ask it.
+// What a router has learned about upstreams and their caches. Updated by the control
+// thread, the poller's threads and traffic threads; read by traffic threads for each
+// placement. The headers of the members say which functions each thread may call.
 #pragma once
 
 #include <atomic>
@@ -28,7 +29,7 @@
     prefix::CacheIndex caches;
     prefix::HeatTable heat;
     upstreams::InflightTable inflight;
-    std::atomic<std::uint32_t> routers = 1; // that send to the same upstreams, this one included
+    std::atomic<std::uint32_t> routers = 1; // that send requests to the same upstreams, including this one
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/servicechooser.cpp
+++ b/carawaylatch/router/servicechooser.cpp
@@ -1,5 +1,5 @@
-// Services have no prefix caches: the same strategy places the call with an
-// empty chain, by load alone.
+// Services have no prefix caches, so the routing strategy places the call with an
+// empty chain, by load only.
 #include "carawaylatch/router/servicechooser.h"
 
 #include "carawaylatch/base/hash.h"
@@ -32,7 +32,7 @@
     request.spreadKey = base::hash64(m_context.head.requestId);
     BOOST_OUTCOME_TRY(placement, m_dependencies.strategy.place(request, *view));
     if (!view->maySend(placement.upstream, placement.incarnation, now)) {
-        return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " takes no new work; try again", base::seconds{1});
+        return base::fail(base::ErrorKind::Unavailable, placement.upstream.value() + " no longer accepts requests; try again", base::seconds{1});
     }
     m_ticket = m_dependencies.routingState.inflight.begin(placement.slot, CallTokens, now, m_context.head.trafficClass);
     return orders::ChosenUpstream{placement.upstream, placement.endpoint};
--- a/carawaylatch/router/servicechooser.h
+++ b/carawaylatch/router/servicechooser.h
@@ -1,4 +1,4 @@
-// Chooses among the plain services of a pool for one call.
+// Chooses a service of a pool for each attempt of one call.
 #pragma once
 
 #include <vector>
@@ -20,7 +20,7 @@
 private:
     const PlacementDependencies &m_dependencies;
     const RequestContext &m_context;
-    upstreams::InflightTable::Ticket m_ticket; // of the call under way
+    upstreams::InflightTable::Ticket m_ticket; // of the current attempt
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/statusbuilder.cpp
+++ b/carawaylatch/router/statusbuilder.cpp
@@ -1,4 +1,4 @@
-// One function for each list of the report.
+// Each list of the report has its own function.
 #include "carawaylatch/router/statusbuilder.h"
 
 #include <algorithm>
--- a/carawaylatch/router/statusbuilder.h
+++ b/carawaylatch/router/statusbuilder.h
@@ -1,4 +1,4 @@
-// Makes the status report out of the router's snapshots.
+// Builds the status report from the router's published state.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 namespace carawaylatch::router
 {
 
-// How often a customer's requests were admitted at this router.
+// Rate of a customer's admitted requests at this router.
 struct CustomerRate
 {
     base::CustomerId customer;
@@ -22,23 +22,23 @@
     double perSecond = 0; // over the last sampling interval
 };
 
-// Returns the rates over an interval that began with `earlier`.
+// Returns the rates over `interval`, at whose start the counters had the values in `earlier`.
 [[nodiscard]] std::vector<CustomerRate> customerRates(const admission::AdmissionController &admissionController, std::span<const CustomerRate> earlier,
                                                       base::Duration interval);
 
-// Parts that the report is made of.
+// Sources of the report.
 struct StatusSources
 {
     const ControlSnapshotPointer &published;
     const RoutingState &routingState;
     const admission::AdmissionController &admissionController;
     const telemetry::Metrics &metrics;
-    telemetry::RouterStatus self; // without what the snapshot holds
+    telemetry::RouterStatus self; // readiness, reason and revision are filled in from the snapshot
     double controlCoreShare = 0;
     std::vector<CustomerRate> rates;
 };
 
-// Safe from any thread.
+// Thread-safe.
 [[nodiscard]] telemetry::StatusReport buildStatus(const StatusSources &sources, base::TimePoint now);
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/telemetrystate.cpp
+++ b/carawaylatch/router/telemetrystate.cpp
@@ -1,4 +1,5 @@
-// Operators see five states; why an upstream takes no work is in the log.
+// Metrics and status pages have only five states; log events have the reason why an
+// upstream gets no requests.
 #include "carawaylatch/router/telemetrystate.h"
 
 namespace carawaylatch::router
--- a/carawaylatch/router/telemetrystate.h
+++ b/carawaylatch/router/telemetrystate.h
@@ -1,4 +1,4 @@
-// The state of an upstream in the words of metrics and status pages.
+// Maps upstream states to those of metrics and status pages.
 #pragma once
 
 #include "carawaylatch/telemetry/metrics.h"
@@ -7,7 +7,7 @@
 namespace carawaylatch::router
 {
 
-// Returns the state that operators are shown.
+// Returns the state that metrics and the status report show.
 [[nodiscard]] telemetry::UpstreamState toTelemetryState(upstreams::UpstreamState state);
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/testing/faultyengine.cpp
+++ b/carawaylatch/router/testing/faultyengine.cpp
@@ -1,4 +1,4 @@
-// It reports that it is idle and fast, so that strategies choose it.
+// The engine reports that it is idle and fast, so that strategies choose it.
 #include "carawaylatch/router/testing/faultyengine.h"
 
 #include <cppunit/TestAssert.h>
--- a/carawaylatch/router/testing/faultyengine.h
+++ b/carawaylatch/router/testing/faultyengine.h
@@ -1,4 +1,4 @@
-// An engine whose answers are wrong in one stated way from one token on.
+// A test engine that injects one fault into its response streams.
 #pragma once
 
 #include <atomic>
@@ -11,11 +11,11 @@
 namespace carawaylatch::router::testing
 {
 
-// With a wrong echo the text is foreign too, as it would be from another request,
-// a dead engine, older weights or another namespace.
+// With a wrong identity header the text is wrong too, as in a response to another
+// request, of an earlier incarnation, of older weights or of another cache namespace.
 enum class StreamFault {
     ClosesEarly,
-    WrongAttempt, // a crossed answer
+    WrongAttempt, // the response to another attempt
     WrongIncarnation,
     WrongWeights,
     WrongSalt,
@@ -26,7 +26,7 @@
 constexpr StreamFault AllStreamFaults[] = {StreamFault::ClosesEarly, StreamFault::WrongAttempt, StreamFault::WrongIncarnation, StreamFault::WrongWeights,
                                            StreamFault::WrongSalt,   StreamFault::RepeatsToken, StreamFault::SkipsToken,       StreamFault::WrongCount};
 
-// Answers of six tokens.
+// Responds with `Tokens` tokens.
 class FaultyEngine
 {
 public:
@@ -36,7 +36,7 @@
 
     void setFault(StreamFault fault, std::uint32_t step);
     [[nodiscard]] const base::Endpoint &endpoint() const;
-    // How many requests it was given.
+    // Number of completion requests received.
     [[nodiscard]] int requestCount() const;
 
 private:
--- a/carawaylatch/router/testing/routerfaulttest.cpp
+++ b/carawaylatch/router/testing/routerfaulttest.cpp
@@ -1,5 +1,6 @@
-// Faults at exact steps of the whole path: platform calls of an order, tokens and
-// echoes of a stream, stop and restart of routers, new weights.
+// End-to-end tests with faults at exact steps: failed platform calls of an order,
+// damaged response streams, platform outage, shutdown and restart of routers, drain and
+// a change of weights.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -25,8 +26,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // An order at one router with one fault at its k-th platform call, a duplicate at
-    // the other router, and one more at the first.
+    // An order at one router with one or three failed platform calls from the k-th on, then
+    // duplicates at the other router and again at the first: the order must be executed at
+    // most once, and the outcomes must agree with the executions.
     void testOrdersWithFaultAtEveryPlatformCall()
     {
         constexpr std::uint64_t Calls = 6;
@@ -44,9 +46,10 @@
         std::cout << " orders: " << cases << " cases";
     }
 
-    // A refusal or an open break is honest; what looks whole must be whole and the
-    // caller's own. Each fault has a fleet of its own, since an engine that failed
-    // before is ejected and would not be asked again.
+    // An error response or a stream that ends with an error is correct; a stream that
+    // looks complete must be complete and belong to the caller's request. Each fault
+    // gets its own fleet, since an engine that failed before is ejected and gets no
+    // further requests.
     void testStreamsWithFaultAtEveryToken()
     {
         int cases = 0;
@@ -59,7 +62,7 @@
                 whole += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
                 ++cases;
             }
-            CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " was never met", faulty.requestCount() > 0);
+            CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " never occurred", faulty.requestCount() > 0);
         }
         std::cout << " streams: " << cases << " cases, " << whole << " whole";
     }
@@ -120,7 +123,7 @@
                 std::this_thread::yield();
             }
         }
-        // Refusals are allowed while no engine serves; a whole answer must come in the end.
+        // Requests may be refused while no engine serves; eventually one must succeed.
         while (!fleet.complete(0, "new weights", Tokens).isCompleteStream()) {
             std::this_thread::yield();
         }
@@ -128,7 +131,7 @@
     }
 
 private:
-    // Returns whether the stream was whole.
+    // Checks a response stream; returns whether it was complete.
     static bool checkStream(TestFleet &fleet, const std::string &prompt, std::size_t router)
     {
         const auto answer = fleet.complete(router, prompt, Tokens);
--- a/carawaylatch/router/testing/testfleet.cpp
+++ b/carawaylatch/router/testing/testfleet.cpp
@@ -1,5 +1,5 @@
-// Waits here are loops until a condition holds: a slow machine makes a test slow,
-// never wrong.
+// Waits poll until a condition holds, without a timeout, so that a slow machine makes
+// a test slow but never fail.
 #include "carawaylatch/router/testing/testfleet.h"
 
 #include <cppunit/TestAssert.h>
--- a/carawaylatch/router/testing/testfleet.h
+++ b/carawaylatch/router/testing/testfleet.h
@@ -1,5 +1,5 @@
-// A whole fleet in one process: platform, engines, a service and routers of two
-// failure domains over real sockets on 127.0.0.1, for faults at exact steps.
+// A complete fleet in one process: platform, engines, a service and routers in two
+// failure domains, connected over sockets on 127.0.0.1. Allows faults at exact steps.
 #pragma once
 
 #include <memory>
@@ -15,14 +15,14 @@
 namespace carawaylatch::router::testing
 {
 
-// A caller's view of one answer.
+// A response as the caller received it.
 struct CallerResponse
 {
-    int status = 0; // zero if the transfer broke off
+    int status = 0; // HTTP status; zero if the transfer failed
     std::string body;
     std::string orderOutcome;
 
-    // Returns the text of all token events of a streamed answer.
+    // Returns the text of all token events of a streamed response.
     [[nodiscard]] std::string streamedText() const;
     [[nodiscard]] bool isCompleteStream() const;
 };
@@ -30,7 +30,7 @@
 class TestFleet
 {
 public:
-    // Engines that a test brings itself are members of the pool too.
+    // `extraEngines` are engines of the test that join the pool of the `engines` stand-ins.
     explicit TestFleet(std::size_t engines, const std::vector<base::Endpoint> &extraEngines = {});
     ~TestFleet();
 
@@ -38,15 +38,16 @@
     void stopRouter(std::size_t index);
     // Waits until a router is ready.
     void awaitReady(std::size_t index);
-    // Waits until a router's status, as JSON without spaces, holds a text.
+    // Waits until a router's status, as JSON without spaces, contains `part`.
     void awaitStatus(std::size_t index, std::string_view part);
-    // Accepts the tables: customer key "key", a route to the engines, one to the service.
+    // Stores the configuration: a customer with the key "key", a route to the engines
+    // and a route to the service.
     void applyTables(std::uint32_t weightsVersion);
 
     [[nodiscard]] CallerResponse complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens);
     [[nodiscard]] CallerResponse order(std::size_t router, std::string_view key);
     void drain(std::size_t router, std::string_view upstream);
-    // How often the service ran an order.
+    // Number of times that the service executed an order.
     [[nodiscard]] std::size_t executionCount(std::string_view key);
 
     [[nodiscard]] standin::Platform &platform();
@@ -62,7 +63,7 @@
     std::vector<std::unique_ptr<Router>> m_routers;
 };
 
-// The text that a whole answer to a prompt has.
+// Returns the text of a complete response to a prompt.
 [[nodiscard]] std::string expectedText(std::string_view prompt, std::uint32_t tokens);
 
 } // namespace carawaylatch::router::testing
--- a/carawaylatch/router/tokenmeter.cpp
+++ b/carawaylatch/router/tokenmeter.cpp
@@ -1,7 +1,5 @@
-// A decorator of the caller's sink; see the header.
-//
-// The first token has no gap: its time to first token is recorded at the end of
-// the request.
+// The first token has no gap; the time to first token is recorded by TrafficPlane at
+// the end of the request.
 #include "carawaylatch/router/tokenmeter.h"
 
 namespace carawaylatch::router
--- a/carawaylatch/router/tokenmeter.h
+++ b/carawaylatch/router/tokenmeter.h
@@ -1,8 +1,7 @@
-// Measures the time between tokens of one stream on its way to the caller.
+// Records the time between tokens of one stream to the caller.
 //
-// Stands between the relay and the caller's sink and passes everything on. The
-// time counts when the relay hands a token over, so a slow caller shows as a
-// long gap, as it does to the caller.
+// A decorator of the caller's sink. A token is timestamped when the relay passes it
+// to the sink, so back pressure from a slow caller shows as a long gap.
 #pragma once
 
 #include <optional>
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -1,4 +1,4 @@
-// The last stage of the chain, and the accounts that each request leaves behind.
+// Execution of admitted requests, and the metrics recorded for each request.
 #include "carawaylatch/router/trafficplane.h"
 
 #include <algorithm>
@@ -299,7 +299,7 @@
     orders::ServiceRequest request = serviceRequest(call, context);
     request.timeout = std::min(m_dependencies.serviceTimeout, context.deadline - context.arrivedAt);
     std::vector<base::UpstreamId> tried;
-    base::Error error = base::fail(base::ErrorKind::Unavailable, "no service takes the call now; try again", base::seconds{1});
+    base::Error error = base::fail(base::ErrorKind::Unavailable, "no service accepts the call now; try again", base::seconds{1});
     while (tried.size() < MaxServiceAttempts && m_dependencies.placing.clock.now() < context.deadline) {
         const auto chosen = chooser.choose(tried);
         if (!chosen) {
@@ -315,7 +315,8 @@
             reply.answer = std::move(answer).value();
             return reply;
         }
-        error = answer ? base::fail(base::ErrorKind::StaleState, request.upstream.value() + " answered another request; try again") : answer.error();
+        error = answer ? base::fail(base::ErrorKind::StaleState, request.upstream.value() + " returned the response to another request; try again")
+                       : answer.error();
         tried.push_back(request.upstream);
     }
     return errorReply(error);
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -1,5 +1,6 @@
-// The traffic threads' side of the router: callers' requests through the filter
-// chain to the relay, to the order desk or to a plain service.
+// Handles callers' requests on the traffic threads: runs the filter chain, then passes
+// completions to the relay, at-most-once calls to the order executor and idempotent
+// calls to a service.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +20,7 @@
 namespace carawaylatch::router
 {
 
-// Parts that the traffic plane uses; all outlive it.
+// Dependencies of the traffic plane; all references outlive it.
 struct TrafficDependencies
 {
     PlacementDependencies placing;
@@ -43,13 +44,13 @@
     [[nodiscard]] base::Result<std::vector<base::ModelId>> models(const http::CallerHead &head) override;
 
     [[nodiscard]] base::Duration expectedFirstToken(const RequestContext &context) const override;
-    // Says where a request would go and why, without running it.
+    // Returns where a request would be placed and why, without executing it.
     [[nodiscard]] base::Result<telemetry::ExplainReport> explain(const http::CompletionCall &call);
-    // Requests in flight, waiting ones included.
+    // Number of requests in flight, queued ones included.
     [[nodiscard]] std::size_t openRequests() const;
 
 private:
-    // Counts a request while it is open.
+    // Counts a request as open during its lifetime.
     class OpenRequestScope;
 
     [[nodiscard]] RequestContext createContext(const http::CallerHead &head) const;
@@ -61,7 +62,7 @@
 
     TrafficDependencies m_dependencies;
     std::vector<std::unique_ptr<Filter>> m_filters; // of every request
-    std::vector<std::unique_ptr<Filter>> m_explainFilters; // the same without admission
+    std::vector<std::unique_ptr<Filter>> m_explainFilters; // the same without Admit
     std::atomic<std::size_t> m_openRequests = 0;
 };
 
--- a/carawaylatch/router/upstreamcontroller.cpp
+++ b/carawaylatch/router/upstreamcontroller.cpp
@@ -1,9 +1,10 @@
-// A leaving mark spreads as a rumour: whoever hears of it first sends it to
-// GossipFanOut other routers at once and, against losses and cuts, to GossipFanOut others
-// every GossipInterval for GossipPeriod. A fleet of up to GossipFanOut + 1 routers so
-// hears it in one step; in a fleet of n, a few steps of GossipFanOut each reach all but
-// a share of about exp(-GossipFanOut) in each round, and no router sends more than
-// GossipFanOut messages a round. After a freeze marks are asked for in full.
+// Leaving marks spread by gossip. A router that learns of a new mark sends it to
+// GossipFanOut random routers at once and, since messages can be lost or the network
+// partitioned, to GossipFanOut random routers every GossipInterval for GossipPeriod.
+// A fleet of up to GossipFanOut + 1 routers receives a mark in one hop. In a larger
+// fleet a few hops reach all routers but a share of about exp(-GossipFanOut) in each
+// round, and no router sends more than GossipFanOut messages per round. After the
+// process was suspended, all marks are requested from the other routers.
 #include "carawaylatch/router/upstreamcontroller.h"
 
 #include <algorithm>
@@ -19,11 +20,11 @@
 {
 
 constexpr base::Duration TickInterval = base::milliseconds{100};
-constexpr std::size_t GossipFanOut = 8; // routers told in one round
+constexpr std::size_t GossipFanOut = 8; // receivers in one round
 constexpr base::Duration GossipInterval = base::milliseconds{500};
 constexpr base::Duration GossipPeriod = base::seconds{3};
-constexpr std::size_t MaxRecentMarks = 256; // beyond it the oldest is repeated no more
-constexpr std::uint32_t MinCapacity = 4; // requests in flight while no upstream is known
+constexpr std::size_t MaxRecentMarks = 256; // if exceeded, gossip of the oldest mark ends early
+constexpr std::uint32_t MinCapacity = 4; // requests in flight while no upstream is live
 
 } // namespace
 
--- a/carawaylatch/router/upstreamcontroller.h
+++ b/carawaylatch/router/upstreamcontroller.h
@@ -1,5 +1,5 @@
-// Controller of upstreams: the registry, its poller, and leaving marks between
-// routers.
+// Controller of upstreams: the registry, its poller, and the gossip of leaving marks
+// between routers.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 namespace carawaylatch::router
 {
 
-// Control thread, but for the poller's threads.
+// Control thread only; the poller has threads of its own.
 class UpstreamController
 {
 public:
@@ -38,7 +38,7 @@
     void onPlatformList(std::span<const store::VmRecord> vms, base::TimePoint now);
     void importMarks(std::span<const upstreams::LeavingMark> marks, base::TimePoint now);
     [[nodiscard]] std::vector<upstreams::LeavingMark> exportMarks() const;
-    // Upstreams that answered lately.
+    // Number of upstreams that accept requests.
     [[nodiscard]] std::size_t availableCount(base::TimePoint now) const;
 
 private:
@@ -59,14 +59,14 @@
     telemetry::Metrics &m_metrics;
     upstreams::Registry m_registry;
     UpstreamPoller m_poller;
-    // A mark that is still being repeated.
+    // A mark that is still gossiped.
     struct RecentMark
     {
         upstreams::LeavingMark mark;
         base::TimePoint receivedAt;
     };
     std::deque<RecentMark> m_recentMarks; // oldest first, at most MaxRecentMarks
-    base::Random m_random; // chooses receivers
+    base::Random m_random; // chooses the receivers of gossip
     base::TimerService::Subscription m_tickTimer;
     base::TimerService::Subscription m_gossipTimer;
 };
--- a/carawaylatch/router/upstreampoller.cpp
+++ b/carawaylatch/router/upstreampoller.cpp
@@ -1,4 +1,4 @@
-// One load report and one page of cache events for each upstream and interval.
+// Each interval fetches one load report and, from engines, one page of cache events.
 #include "carawaylatch/router/upstreampoller.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace
 {
-constexpr base::Duration StopCheckInterval = base::milliseconds{50}; // longest sleep without a look at the stop token
+constexpr base::Duration StopCheckInterval = base::milliseconds{50}; // longest sleep between checks of the stop token
 }
 
 UpstreamPoller::UpstreamPoller(http::UpstreamClient &client, prefix::CacheIndex &caches, base::Duration interval, ReportHandler onReport)
--- a/carawaylatch/router/upstreampoller.h
+++ b/carawaylatch/router/upstreampoller.h
@@ -1,7 +1,7 @@
-// Asks upstreams for their load and cache events, on threads of its own.
+// Polls upstreams for load reports and cache events on threads of its own.
 //
-// Each thread has its part of the upstreams, so that one that hangs delays only
-// the reports of its part, by at most the call's timeout.
+// Each thread polls one shard of the upstreams, so that an upstream that hangs delays
+// only the reports of its shard, by at most the call's timeout.
 #pragma once
 
 #include <functional>
@@ -33,7 +33,7 @@
 public:
     using ReportHandler = std::function<void(const base::UpstreamId &id, const base::Result<upstreams::LoadReport> &report)>;
 
-    // Both references outlive the poller; `onReport` is called from poller threads.
+    // Both references outlive the poller; `onReport` is called on poller threads.
     UpstreamPoller(http::UpstreamClient &client, prefix::CacheIndex &caches, base::Duration interval, ReportHandler onReport);
     ~UpstreamPoller();
 
