--- a/carawaylatch/router/testing/routerfaulttest.cpp
+++ b/carawaylatch/router/testing/routerfaulttest.cpp
@@ -53,18 +53,18 @@
     void testStreamsWithFaultAtEveryToken()
     {
         int cases = 0;
-        int whole = 0;
+        int completeStreams = 0;
         for (const StreamFault fault : AllStreamFaults) {
             FaultyEngine faulty;
             TestFleet fleet(1, {faulty.endpoint()});
             for (std::uint32_t step = 0; step < Tokens; ++step) {
                 faulty.setFault(fault, step);
-                whole += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
+                completeStreams += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
                 ++cases;
             }
             CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " never occurred", faulty.requestCount() > 0);
         }
-        std::cout << " streams: " << cases << " cases, " << whole << " whole";
+        std::cout << " streams: " << cases << " cases, " << completeStreams << " whole";
     }
 
     void testConfigurationSurvivesOutageAndRestart()
@@ -88,18 +88,18 @@
     void testGracefulShutdownFinishesStreams()
     {
         TestFleet fleet(1);
-        constexpr std::uint32_t LongAnswer = 400;
-        CallerResponse answer;
+        constexpr std::uint32_t LongResponseTokens = 400;
+        CallerResponse response;
         std::jthread caller([&] {
-            answer = fleet.complete(0, "a long answer", LongAnswer);
+            response = fleet.complete(0, "a long answer", LongResponseTokens);
         });
         while (fleet.engine(0).model().counters().jobs == 0) {
             std::this_thread::yield();
         }
         fleet.stopRouter(0);
         caller.join();
-        CPPUNIT_ASSERT(answer.isCompleteStream());
-        CPPUNIT_ASSERT_EQUAL(expectedText("a long answer", LongAnswer), answer.streamedText());
+        CPPUNIT_ASSERT(response.isCompleteStream());
+        CPPUNIT_ASSERT_EQUAL(expectedText("a long answer", LongResponseTokens), response.streamedText());
     }
 
     void testDrainReachesOtherRouter()
@@ -134,15 +134,15 @@
     // Checks a response stream; returns whether it was complete.
     static bool checkStream(TestFleet &fleet, const std::string &prompt, std::size_t router)
     {
-        const auto answer = fleet.complete(router, prompt, Tokens);
+        const auto response = fleet.complete(router, prompt, Tokens);
         const std::string expected = expectedText(prompt, Tokens);
-        const std::string name = prompt + ": " + answer.body;
-        if (answer.isCompleteStream()) {
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, expected, answer.streamedText());
+        const std::string name = prompt + ": " + response.body;
+        if (response.isCompleteStream()) {
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, expected, response.streamedText());
             return true;
         }
-        CPPUNIT_ASSERT_MESSAGE(name, expected.starts_with(answer.streamedText()));
-        CPPUNIT_ASSERT_MESSAGE(name, answer.body.find("\"error\"") != std::string::npos);
+        CPPUNIT_ASSERT_MESSAGE(name, expected.starts_with(response.streamedText()));
+        CPPUNIT_ASSERT_MESSAGE(name, response.body.find("\"error\"") != std::string::npos);
         return false;
     }
 
@@ -150,15 +150,15 @@
     {
         bool wasDone = false;
         for (const std::size_t router : {0, 1, 0}) {
-            const auto answer = fleet.order(router, key);
-            const std::size_t runs = fleet.executionCount(key);
-            const std::string name = key + " at router " + std::to_string(router) + ": " + answer.orderOutcome + " " + answer.body;
-            CPPUNIT_ASSERT_MESSAGE(name, !answer.orderOutcome.empty());
-            CPPUNIT_ASSERT_MESSAGE(name, runs <= 1);
-            CPPUNIT_ASSERT_MESSAGE(name, answer.orderOutcome != "not_run" || runs == 0);
-            CPPUNIT_ASSERT_MESSAGE(name, answer.orderOutcome != "done" || runs == 1);
-            CPPUNIT_ASSERT_MESSAGE(name, !wasDone || answer.orderOutcome != "not_run");
-            wasDone |= answer.orderOutcome == "done";
+            const auto response = fleet.order(router, key);
+            const std::size_t executions = fleet.executionCount(key);
+            const std::string name = key + " at router " + std::to_string(router) + ": " + response.orderOutcome + " " + response.body;
+            CPPUNIT_ASSERT_MESSAGE(name, !response.orderOutcome.empty());
+            CPPUNIT_ASSERT_MESSAGE(name, executions <= 1);
+            CPPUNIT_ASSERT_MESSAGE(name, response.orderOutcome != "not_run" || executions == 0);
+            CPPUNIT_ASSERT_MESSAGE(name, response.orderOutcome != "done" || executions == 1);
+            CPPUNIT_ASSERT_MESSAGE(name, !wasDone || response.orderOutcome != "not_run");
+            wasDone |= response.orderOutcome == "done";
         }
     }
 };
--- a/carawaylatch/router/testing/testfleet.cpp
+++ b/carawaylatch/router/testing/testfleet.cpp
@@ -39,17 +39,17 @@
 std::string CallerResponse::streamedText() const
 {
     constexpr std::string_view Field = "data: ";
-    std::string whole;
+    std::string content;
     std::size_t at = 0;
     while ((at = body.find("data: {", at)) != std::string::npos) {
         const auto end = body.find("\n\n", at);
         const auto json = nlohmann::json::parse(body.substr(at + Field.size(), end - at - Field.size()), nullptr, false);
         if (json.contains("token_index")) {
-            whole += json["choices"][0]["text"].get<std::string>();
+            content += json["choices"][0]["text"].get<std::string>();
         }
         at = end;
     }
-    return whole;
+    return content;
 }
 
 bool CallerResponse::isCompleteStream() const
@@ -149,19 +149,19 @@
 CallerResponse TestFleet::complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens)
 {
     auto client = createClient(m_routers[router]->callersEndpoint());
-    CallerResponse answer;
+    CallerResponse response;
     httplib::Request request;
     request.method = "POST";
     request.path = "/v1/completions";
     request.set_header("Authorization", "Bearer key");
     request.body = nlohmann::json{{"model", "clause-1"}, {"prompt", prompt}, {"max_tokens", maxTokens}, {"stream", true}}.dump();
-    request.content_receiver = [&answer](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
-        answer.body.append(data, n);
+    request.content_receiver = [&response](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
+        response.body.append(data, n);
         return true;
     };
     const auto result = client.send(request);
-    answer.status = result ? result->status : 0;
-    return answer;
+    response.status = result ? result->status : 0;
+    return response;
 }
 
 CallerResponse TestFleet::order(std::size_t router, std::string_view key)
@@ -185,11 +185,11 @@
 std::size_t TestFleet::executionCount(std::string_view key)
 {
     const auto journal = nlohmann::json::parse(createClient(m_service.endpoint()).Get("/journal")->body);
-    std::size_t runs = 0;
+    std::size_t executions = 0;
     for (const auto &it : journal.at("items")) {
-        runs += it.at("key").get<std::string>().ends_with(key) ? 1 : 0;
+        executions += it.at("key").get<std::string>().ends_with(key) ? 1 : 0;
     }
-    return runs;
+    return executions;
 }
 
 standin::Platform &TestFleet::platform()
@@ -227,11 +227,11 @@
 
 std::string expectedText(std::string_view prompt, std::uint32_t tokens)
 {
-    std::string whole;
+    std::string content;
     for (std::uint32_t i = 0; i < tokens; ++i) {
-        whole += standin::tokenText(prompt, i);
+        content += standin::tokenText(prompt, i);
     }
-    return whole;
+    return content;
 }
 
 } // namespace carawaylatch::router::testing
