--- a/carawaylatch/handover/snapshot.h
+++ b/carawaylatch/handover/snapshot.h
@@ -1,6 +1,6 @@
-// Snapshot of a router's state for the warm start of another router: without it
-// a restarted router would place requests without knowing any cache contents and
-// would miss leaving marks.
+// Snapshot of a router's state for the warm start of another router: configuration,
+// members, leaving marks and hot state. Without it a restarted router would place
+// requests without knowing any cache contents.
 #pragma once
 
 #include <cstdint>
--- a/carawaylatch/router/controlsnapshot.h
+++ b/carawaylatch/router/controlsnapshot.h
@@ -1,5 +1,5 @@
-// Immutable state that the control thread publishes to the traffic threads. A
-// request uses one snapshot throughout, so that its tables and views are consistent.
+// Immutable state that the control thread publishes to the traffic threads. A reader
+// always gets a complete snapshot, so that its tables and views are consistent.
 #pragma once
 
 #include <memory>
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -182,7 +182,7 @@
     std::unique_ptr<TrafficPlane> m_traffic;
 
     std::unique_ptr<Controllers> m_controllers;
-    // Forwards operators' requests to the handler in m_controllers.
+    // Forwards requests of callers and operators to m_traffic and m_controllers.
     class RequestHandlerProxy;
     std::unique_ptr<RequestHandlerProxy> m_handlerProxy;
     http::CallersServer m_callersServer;
