--- a/carawaylatch/handover/shutdown.cpp
+++ b/carawaylatch/handover/shutdown.cpp
@@ -1,10 +1,10 @@
-// Steps of a planned stop.
+// Transitions of the graceful shutdown.
 //
-// Running -> NotReady on the first signal; -> Refusing after the balancer's lag;
-// -> Finishing once the hot state is with a peer or its time is over; -> Departing
-// when no stream is open; -> Exited when peers were told or the time is over. A
-// second signal cuts the open streams at any step and shortens the waits; it
-// never skips the steps that tell others.
+// Running -> NotReady on the first signal; -> Refusing after the load balancer's
+// lag; -> Finishing once the hot state was handed over or on timeout; -> Departing
+// when no stream is open; -> Exited when peers were notified or on timeout. A second
+// signal before Departing aborts the open streams and ends the waits of NotReady and
+// Refusing; it skips no step, so peers are always notified.
 #include "carawaylatch/handover/shutdown.h"
 
 #include <utility>
@@ -25,9 +25,9 @@
     case ShutdownEvent::Signal:
         if (m_step == ShutdownStep::Running) {
             enter(ShutdownStep::NotReady, now);
-        } else if (!m_isCut && m_step != ShutdownStep::Departing && m_step != ShutdownStep::Exited) {
-            m_isCut = true;
-            m_actions.push_back(ShutdownAction::CutStreams);
+        } else if (!m_isForced && m_step != ShutdownStep::Departing && m_step != ShutdownStep::Exited) {
+            m_isForced = true;
+            m_actions.push_back(ShutdownAction::AbortStreams);
         }
         break;
     case ShutdownEvent::HandedOver:
@@ -46,7 +46,7 @@
 void Shutdown::enter(ShutdownStep step, TimePoint now)
 {
     m_step = step;
-    m_since = now;
+    m_stepSince = now;
     switch (step) {
     case ShutdownStep::NotReady:
         m_actions.push_back(ShutdownAction::BecomeNotReady);
@@ -69,16 +69,16 @@
 
 void Shutdown::advance(std::size_t openStreams, TimePoint now)
 {
-    if (m_step == ShutdownStep::NotReady && (m_isCut || now >= m_since + m_options.drainLag)) {
+    if (m_step == ShutdownStep::NotReady && (m_isForced || now >= m_stepSince + m_options.drainLag)) {
         enter(ShutdownStep::Refusing, now);
     }
-    if (m_step == ShutdownStep::Refusing && (m_isCut || m_isHandedOver || now >= m_since + m_options.handOver)) {
+    if (m_step == ShutdownStep::Refusing && (m_isForced || m_isHandedOver || now >= m_stepSince + m_options.handOverTimeout)) {
         enter(ShutdownStep::Finishing, now);
     }
     if (m_step == ShutdownStep::Finishing && openStreams == 0) {
         enter(ShutdownStep::Departing, now);
     }
-    if (m_step == ShutdownStep::Departing && (m_isDeparted || now >= m_since + m_options.depart)) {
+    if (m_step == ShutdownStep::Departing && (m_isDeparted || now >= m_stepSince + m_options.departTimeout)) {
         enter(ShutdownStep::Exited, now);
     }
 }
@@ -97,11 +97,11 @@
 {
     switch (m_step) {
     case ShutdownStep::NotReady:
-        return m_since + m_options.drainLag;
+        return m_stepSince + m_options.drainLag;
     case ShutdownStep::Refusing:
-        return m_since + m_options.handOver;
+        return m_stepSince + m_options.handOverTimeout;
     case ShutdownStep::Departing:
-        return m_since + m_options.depart;
+        return m_stepSince + m_options.departTimeout;
     case ShutdownStep::Running:
     case ShutdownStep::Finishing:
     case ShutdownStep::Exited:
--- a/carawaylatch/handover/testing/warmstarttest.cpp
+++ b/carawaylatch/handover/testing/warmstarttest.cpp
@@ -1,4 +1,5 @@
-// Warm starts against peers and platforms that fail in every way at every step.
+// Tests of warm starts with faulty peers and platforms: the router must load the
+// configuration of any working source, or report why it is not ready.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -34,11 +35,11 @@
     snapshot.levels.levels.push_back({1, 2.0F, 1});
     snapshot.marks.push_back({base::UpstreamId("e2"), {8}, 1});
     snapshot.floors.push_back({"lease/dakar-a", {41}});
-    snapshot.lives.push_back({base::UpstreamId("e1"), {7}});
+    snapshot.incarnations.push_back({base::UpstreamId("e1"), {7}});
     return snapshot;
 }
 
-// Returns a snapshot of several parts.
+// Returns an encoded snapshot that takes several parts.
 const std::string &encodedSnapshot(std::uint64_t revision)
 {
     static std::map<std::uint64_t, std::string> encoded;
@@ -49,24 +50,31 @@
     return bytes;
 }
 
-// How a peer fails.
+// Fault of a peer.
 enum class PeerFault {
     None,
-    Silent,
-    Empty, // started itself a moment ago
-    Damaged, // bytes that don't fit their digest
-    Changes, // another snapshot after the first part
-    AbsurdCount,
-    LosesFirst, // the first answer
-    Doubles,
-    DiesAfterFirst,
+    NoResponse,
+    NoSnapshot, // has just started itself
+    CorruptBytes, // bytes that don't match the digest
+    ChangesDigest, // parts of another snapshot after the first part
+    ExcessivePartCount,
+    DropsFirstResponse,
+    DuplicatesParts,
+    StopsAfterFirstPart,
 };
-constexpr PeerFault AllPeerFaults[] = {PeerFault::None,        PeerFault::Silent,     PeerFault::Empty,   PeerFault::Damaged,       PeerFault::Changes,
-                                       PeerFault::AbsurdCount, PeerFault::LosesFirst, PeerFault::Doubles, PeerFault::DiesAfterFirst};
+constexpr PeerFault AllPeerFaults[] = {PeerFault::None,
+                                       PeerFault::NoResponse,
+                                       PeerFault::NoSnapshot,
+                                       PeerFault::CorruptBytes,
+                                       PeerFault::ChangesDigest,
+                                       PeerFault::ExcessivePartCount,
+                                       PeerFault::DropsFirstResponse,
+                                       PeerFault::DuplicatesParts,
+                                       PeerFault::StopsAfterFirstPart};
 
-bool givesSnapshot(PeerFault fault)
+bool deliversSnapshot(PeerFault fault)
 {
-    return fault == PeerFault::None || fault == PeerFault::LosesFirst || fault == PeerFault::Doubles;
+    return fault == PeerFault::None || fault == PeerFault::DropsFirstResponse || fault == PeerFault::DuplicatesParts;
 }
 
 struct FakePeer
@@ -74,35 +82,35 @@
     base::FailureDomain domain;
     PeerFault fault = PeerFault::None;
     std::uint64_t revision = 0;
-    int answers = 0;
+    int requests = 0;
 };
 
-// A starting router with peers and a platform in virtual time.
-class Start
+// Simulates a starting router with its peers and the platform in virtual time.
+class WarmStartSimulation
 {
 public:
-    explicit Start(std::map<base::RouterId, FakePeer> peers, std::optional<std::uint64_t> platformRevision)
+    explicit WarmStartSimulation(std::map<base::RouterId, FakePeer> peers, std::optional<std::uint64_t> platformRevision)
         : m_peers(std::move(peers))
         , m_platformRevision(platformRevision)
-        , m_start(options(), peer::decodeSnapshot, m_now)
+        , m_warmStart(options(), peer::decodeSnapshot, m_now)
     {
         std::vector<config::DistributionPeer> members;
         for (const auto &it : m_peers) {
             members.push_back({it.first, it.second.domain});
         }
-        m_start.onPeers(members, m_now);
+        m_warmStart.onPeers(members, m_now);
     }
 
     void runFor(base::Duration duration)
     {
         for (const auto end = m_now + duration; m_now < end; m_now += milliseconds{10}) {
-            m_start.onTick(m_now);
-            for (int rounds = 0; rounds < 50 && act(); ++rounds) {}
+            m_warmStart.onTick(m_now);
+            for (int rounds = 0; rounds < 50 && executeActions(); ++rounds) {}
         }
     }
-    WarmStart &machine()
+    WarmStart &warmStart()
     {
-        return m_start;
+        return m_warmStart;
     }
     TimePoint now() const
     {
@@ -121,21 +129,21 @@
         options.seed = ::carawaylatch::testing::seed();
         return options;
     }
-    bool act()
+    bool executeActions()
     {
-        const auto actions = m_start.takeActions();
+        const auto actions = m_warmStart.takeActions();
         for (const auto &it : actions) {
-            if (const auto *ask = std::get_if<AskPeer>(&it)) {
-                answer(*ask);
+            if (const auto *send = std::get_if<SendSnapshotRequest>(&it)) {
+                respond(*send);
             } else if (const auto *load = std::get_if<LoadSnapshot>(&it)) {
                 ++loads;
                 mergeSnapshot(loaded, load->snapshot);
             } else {
                 ++platformReads;
-                m_start.onPlatform(platform(), m_now);
+                m_warmStart.onPlatform(platform(), m_now);
             }
         }
-        if (m_start.step() == WarmStartStep::Done && !doneAt) {
+        if (m_warmStart.step() == WarmStartStep::Done && !doneAt) {
             doneAt = m_now;
         }
         return !actions.empty();
@@ -147,38 +155,38 @@
         }
         return *m_platformRevision == 0 ? Snapshot{} : hotSnapshot(*m_platformRevision);
     }
-    void answer(const AskPeer &ask)
+    void respond(const SendSnapshotRequest &send)
     {
-        auto &peer = m_peers.at(ask.peer);
-        ++peer.answers;
-        const bool isLost = peer.fault == PeerFault::Silent || (peer.fault == PeerFault::LosesFirst && peer.answers == 1)
-                            || (peer.fault == PeerFault::DiesAfterFirst && peer.answers > 1);
+        auto &peer = m_peers.at(send.peer);
+        ++peer.requests;
+        const bool isLost = peer.fault == PeerFault::NoResponse || (peer.fault == PeerFault::DropsFirstResponse && peer.requests == 1)
+                            || (peer.fault == PeerFault::StopsAfterFirstPart && peer.requests > 1);
         if (isLost) {
             return;
         }
         SnapshotServer server(
             [&] {
-                return peer.fault == PeerFault::Empty ? std::string{} : encodedSnapshot(peer.revision);
+                return peer.fault == PeerFault::NoSnapshot ? std::string{} : encodedSnapshot(peer.revision);
             },
             seconds{1});
-        auto part = server.answer(ask.request, m_now);
-        if (peer.fault == PeerFault::Damaged && !part.bytes.empty()) {
+        auto part = server.serve(send.request, m_now);
+        if (peer.fault == PeerFault::CorruptBytes && !part.bytes.empty()) {
             part.bytes[part.bytes.size() / 2] ^= 1;
-        } else if (peer.fault == PeerFault::Changes && part.part > 0) {
+        } else if (peer.fault == PeerFault::ChangesDigest && part.part > 0) {
             ++part.digest;
-        } else if (peer.fault == PeerFault::AbsurdCount) {
+        } else if (peer.fault == PeerFault::ExcessivePartCount) {
             part.parts = 4'000'000'000U;
         }
-        m_start.onPart(ask.peer, part, m_now);
-        if (peer.fault == PeerFault::Doubles) {
-            m_start.onPart(ask.peer, part, m_now);
+        m_warmStart.onPart(send.peer, part, m_now);
+        if (peer.fault == PeerFault::DuplicatesParts) {
+            m_warmStart.onPart(send.peer, part, m_now);
         }
     }
 
     std::map<base::RouterId, FakePeer> m_peers;
-    std::optional<std::uint64_t> m_platformRevision; // nothing: down
+    std::optional<std::uint64_t> m_platformRevision; // empty if the platform is unreachable
     TimePoint m_now{base::hours{1}};
-    WarmStart m_start;
+    WarmStart m_warmStart;
 };
 
 const base::FailureDomain Own("own");
@@ -189,19 +197,20 @@
 class WarmStartTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(WarmStartTest);
-    CPPUNIT_TEST(testEveryFaultAtEveryStep);
+    CPPUNIT_TEST(testPeerAndPlatformFaultCombinations);
     CPPUNIT_TEST(testGreatestRevisionIsTaken);
     CPPUNIT_TEST(testNoPeerAndNoPlatform);
-    CPPUNIT_TEST(testAllRestartAtOnce);
+    CPPUNIT_TEST(testAllRoutersRestartAtOnce);
     CPPUNIT_TEST(testNotReadyWhileBehindPeers);
     CPPUNIT_TEST(testReadinessNeedsUpstream);
-    CPPUNIT_TEST(testShrinkKeepsTheHottest);
-    CPPUNIT_TEST(testMergeKeepsTheNewer);
+    CPPUNIT_TEST(testShrinkKeepsNewestBlocks);
+    CPPUNIT_TEST(testMergeKeepsNewerEntries);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Peers of the own domain, of another, and the platform fail in all combinations.
-    void testEveryFaultAtEveryStep()
+    // All combinations of faults of a peer in the own domain, a peer in another domain
+    // and the platform.
+    void testPeerAndPlatformFaultCombinations()
     {
         int cases = 0;
         for (const auto own : AllPeerFaults) {
@@ -218,62 +227,62 @@
 
     void testGreatestRevisionIsTaken()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}, {base::RouterId("b"), {Own, PeerFault::None, 9}}}, 4);
-        start.runFor(seconds{1});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, start.loaded.rows.revision.value);
-        CPPUNIT_ASSERT_EQUAL(0, start.platformReads);
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::None, 3}}, {base::RouterId("b"), {Own, PeerFault::None, 9}}}, 4);
+        simulation.runFor(seconds{1});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, simulation.loaded.rows.revision.value);
+        CPPUNIT_ASSERT_EQUAL(0, simulation.platformReads);
     }
 
     void testNoPeerAndNoPlatform()
     {
-        Start start({}, {});
-        start.runFor(seconds{30});
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoConfiguration);
-        CPPUNIT_ASSERT(start.machine().notReadyBecause().find("platform: connection refused") != std::string::npos);
-        CPPUNIT_ASSERT_MESSAGE("the platform is asked again, but not hammered", start.platformReads > 10 && start.platformReads <= 31);
+        WarmStartSimulation simulation({}, {});
+        simulation.runFor(seconds{30});
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::NoConfiguration);
+        CPPUNIT_ASSERT(simulation.warmStart().notReadyMessage().find("platform: connection refused") != std::string::npos);
+        CPPUNIT_ASSERT_MESSAGE("the platform is read again at the retry interval only", simulation.platformReads > 10 && simulation.platformReads <= 31);
     }
 
-    void testAllRestartAtOnce()
+    void testAllRoutersRestartAtOnce()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::Empty, 0}}, {base::RouterId("b"), {Other, PeerFault::Empty, 0}}}, 6);
-        start.runFor(seconds{1});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, start.loaded.rows.revision.value);
-        CPPUNIT_ASSERT(!start.loaded.placements.upstreams.empty());
-        CPPUNIT_ASSERT(start.doneAt && *start.doneAt <= start.now());
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::NoSnapshot, 0}}, {base::RouterId("b"), {Other, PeerFault::NoSnapshot, 0}}}, 6);
+        simulation.runFor(seconds{1});
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, simulation.loaded.rows.revision.value);
+        CPPUNIT_ASSERT(!simulation.loaded.placements.upstreams.empty());
+        CPPUNIT_ASSERT(simulation.doneAt && *simulation.doneAt <= simulation.now());
     }
 
     void testNotReadyWhileBehindPeers()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        start.machine().onSeenRevision(Revision{5});
-        start.runFor(milliseconds{100});
-        start.machine().onState(Revision{3}, 2);
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::BehindPeers);
-        start.machine().onState(Revision{5}, 2);
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
-        start.machine().onSeenRevision(Revision{8});
-        CPPUNIT_ASSERT_MESSAGE("readiness doesn't flap with every edit", start.machine().readiness() == NotReadyReason::None);
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
+        simulation.warmStart().onFleetRevision(Revision{5});
+        simulation.runFor(milliseconds{100});
+        simulation.warmStart().onStateChanged(Revision{3}, 2);
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::BehindPeers);
+        simulation.warmStart().onStateChanged(Revision{5}, 2);
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::None);
+        simulation.warmStart().onFleetRevision(Revision{8});
+        CPPUNIT_ASSERT_MESSAGE("a new revision after the start doesn't change readiness", simulation.warmStart().readiness() == NotReadyReason::None);
 
-        Start late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        late.machine().onSeenRevision(Revision{5});
+        WarmStartSimulation late({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
+        late.warmStart().onFleetRevision(Revision{5});
         late.runFor(seconds{4});
-        late.machine().onState(Revision{3}, 2);
-        CPPUNIT_ASSERT_MESSAGE("the wait ends", late.machine().readiness() == NotReadyReason::None);
+        late.warmStart().onStateChanged(Revision{3}, 2);
+        CPPUNIT_ASSERT_MESSAGE("the wait for a greater revision ends on timeout", late.warmStart().readiness() == NotReadyReason::None);
     }
 
     void testReadinessNeedsUpstream()
     {
-        Start start({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
-        start.runFor(milliseconds{100});
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::NoUpstream);
-        start.machine().onState(Revision{3}, 1);
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::None);
-        CPPUNIT_ASSERT_EQUAL(std::string{}, start.machine().notReadyBecause());
-        start.machine().onStopping();
-        CPPUNIT_ASSERT(start.machine().readiness() == NotReadyReason::Stopping);
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, PeerFault::None, 3}}}, {});
+        simulation.runFor(milliseconds{100});
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::NoUpstream);
+        simulation.warmStart().onStateChanged(Revision{3}, 1);
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::None);
+        CPPUNIT_ASSERT_EQUAL(std::string{}, simulation.warmStart().notReadyMessage());
+        simulation.warmStart().onStopping();
+        CPPUNIT_ASSERT(simulation.warmStart().readiness() == NotReadyReason::Stopping);
     }
 
-    void testShrinkKeepsTheHottest()
+    void testShrinkKeepsNewestBlocks()
     {
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 20; ++i) {
@@ -295,7 +304,7 @@
         }
     }
 
-    void testMergeKeepsTheNewer()
+    void testMergeKeepsNewerEntries()
     {
         auto first = hotSnapshot(3);
         auto second = hotSnapshot(2);
@@ -319,13 +328,13 @@
     {
         std::ostringstream label;
         label << "own " << static_cast<int>(own) << " other " << static_cast<int>(other) << " platform " << (platform ? static_cast<int>(*platform) : -1);
-        Start start({{base::RouterId("a"), {Own, own, 7}}, {base::RouterId("b"), {Other, other, 8}}}, platform);
-        start.runFor(seconds{8});
-        const std::uint64_t expected = givesSnapshot(own) ? 7 : givesSnapshot(other) ? 8 : platform.value_or(0);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected, start.loaded.rows.revision.value);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, start.machine().readiness() != NotReadyReason::NoConfiguration);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, start.doneAt.has_value());
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, !start.loaded.marks.empty() && !start.loaded.floors.empty());
+        WarmStartSimulation simulation({{base::RouterId("a"), {Own, own, 7}}, {base::RouterId("b"), {Other, other, 8}}}, platform);
+        simulation.runFor(seconds{8});
+        const std::uint64_t expected = deliversSnapshot(own) ? 7 : deliversSnapshot(other) ? 8 : platform.value_or(0);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected, simulation.loaded.rows.revision.value);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, simulation.warmStart().readiness() != NotReadyReason::NoConfiguration);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, simulation.doneAt.has_value());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label.str(), expected != 0, !simulation.loaded.marks.empty() && !simulation.loaded.floors.empty());
     }
 };
 
--- a/carawaylatch/handover/warmstart.cpp
+++ b/carawaylatch/handover/warmstart.cpp
@@ -1,14 +1,14 @@
-// Steps of a start: members, own domain, other domains, platform.
+// Steps of the warm start: members, own domain, other domains, platform.
 //
-// Two peers are asked at a time and their snapshots merged, so that one stale or
-// young peer does no harm: of two configurations the greater revision counts, of
-// two placements both. The step ends with the first complete snapshot once all
-// asked have answered or failed, or when its time is over. The platform is asked
-// in any case until a configuration is in force, because after a herd of restarts
-// all peers are empty; and its snapshot is loaded only if no peer gave hot state.
+// Up to maxParallelTransfers peers are queried at a time and their snapshots merged,
+// so that a peer that is stale or has just started does no harm: the greater
+// configuration revision wins, and placements are united. A step ends when every
+// queried peer has delivered its snapshot or failed, or on timeout. The platform is
+// read only if the peers did not provide both a configuration and hot state: when
+// many routers restart at once, all peers are empty.
 //
-// Readiness is not a step: it is asked for at any time and follows from what is
-// held. It never falls back because a peer or the platform went away.
+// Readiness is not a step: it is computed from the current state at any time. Losing
+// a peer or the platform never makes a ready router not ready.
 #include "carawaylatch/handover/warmstart.h"
 
 #include <algorithm>
@@ -22,13 +22,13 @@
 namespace
 {
 
-constexpr std::uint32_t MaxRepeats = 2; // of one part
+constexpr std::uint32_t MaxPartRetries = 2; // then the transfer is abandoned
 constexpr std::uint32_t MaxParts = MaxSnapshotBytes / SnapshotPartBytes + 1;
 
 bool isEmpty(const Snapshot &snapshot)
 {
     return snapshot.rows.revision.value == 0 && snapshot.placements.upstreams.empty() && snapshot.levels.levels.empty() && snapshot.marks.empty()
-           && snapshot.floors.empty() && snapshot.lives.empty();
+           && snapshot.floors.empty() && snapshot.incarnations.empty();
 }
 
 bool hasHotState(const Snapshot &snapshot)
@@ -38,30 +38,30 @@
 
 } // namespace
 
-std::string notReadyText(NotReadyReason reason, std::string_view platformError)
+std::string describeNotReady(NotReadyReason reason, std::string_view platformError)
 {
     switch (reason) {
     case NotReadyReason::None:
         return {};
     case NotReadyReason::NoConfiguration:
         return "no configuration: no peer has one"
-               + (platformError.empty() ? std::string(" and the platform has not answered yet") : "; platform: " + std::string(platformError))
+               + (platformError.empty() ? std::string(" and the platform has not responded yet") : "; platform: " + std::string(platformError))
                + "; check [platform] and [peers] in the settings, or apply the first tables";
     case NotReadyReason::BehindPeers:
-        return "other routers hold a newer configuration, which is being fetched; wait, or check the peers' ports";
+        return "other routers have a newer configuration, which is being fetched; wait, or check the peers' ports";
     case NotReadyReason::NoUpstream:
-        return "no upstream answers; check the pools' members and that their VMs run";
+        return "no upstream is available; check the pools' members and that their VMs run";
     case NotReadyReason::Stopping:
-        return "a planned stop is under way";
+        return "the router is shutting down";
     }
     return {};
 }
 
-WarmStart::WarmStart(WarmStartOptions options, Decode decode, TimePoint now)
+WarmStart::WarmStart(WarmStartOptions options, Decoder decoder, TimePoint now)
     : m_options(std::move(options))
-    , m_decode(std::move(decode))
+    , m_decoder(std::move(decoder))
     , m_random(m_options.seed)
-    , m_stepUntil(now + m_options.findPeers)
+    , m_stepDeadline(now + m_options.findPeersTimeout)
 {
 }
 
@@ -69,9 +69,9 @@
 {
     m_peers.assign(peers.begin(), peers.end());
     if (m_step == WarmStartStep::FindPeers && !m_peers.empty()) {
-        enter(WarmStartStep::AskOwnDomain, now);
+        enter(WarmStartStep::QueryOwnDomain, now);
     }
-    askMore(now);
+    startTransfers(now);
 }
 
 void WarmStart::enter(WarmStartStep step, TimePoint now)
@@ -81,100 +81,100 @@
     switch (step) {
     case WarmStartStep::FindPeers:
         break;
-    case WarmStartStep::AskOwnDomain:
-        m_stepUntil = now + m_options.askDomain;
+    case WarmStartStep::QueryOwnDomain:
+        m_stepDeadline = now + m_options.ownDomainTimeout;
         break;
-    case WarmStartStep::AskOthers:
-        m_stepUntil = now + m_options.askOthers;
+    case WarmStartStep::QueryOtherDomains:
+        m_stepDeadline = now + m_options.otherDomainsTimeout;
         break;
-    case WarmStartStep::AskPlatform:
-        m_stepUntil = now;
+    case WarmStartStep::QueryPlatform:
+        m_stepDeadline = now;
         break;
     case WarmStartStep::Done:
-        m_stepUntil = TimePoint::max();
-        m_catchUpUntil = now + m_options.catchUp;
+        m_stepDeadline = TimePoint::max();
+        m_catchUpDeadline = now + m_options.catchUpTimeout;
         break;
     }
-    askMore(now);
-    if ((step == WarmStartStep::AskOwnDomain || step == WarmStartStep::AskOthers) && m_transfers.empty()) {
-        advance(now);
-    } else if (step == WarmStartStep::AskPlatform) {
+    startTransfers(now);
+    if ((step == WarmStartStep::QueryOwnDomain || step == WarmStartStep::QueryOtherDomains) && m_transfers.empty()) {
+        finishStep(now);
+    } else if (step == WarmStartStep::QueryPlatform) {
         onTick(now);
     }
 }
 
-bool WarmStart::mayAsk(const config::DistributionPeer &peer) const
+bool WarmStart::mayQuery(const config::DistributionPeer &peer) const
 {
-    const bool isOwn = peer.domain == m_options.domain;
-    return !m_asked.contains(peer.id) && (m_step == WarmStartStep::AskOwnDomain ? isOwn : m_step == WarmStartStep::AskOthers && !isOwn);
+    const bool isOwnDomain = peer.domain == m_options.domain;
+    return !m_queried.contains(peer.id) && (m_step == WarmStartStep::QueryOwnDomain ? isOwnDomain : m_step == WarmStartStep::QueryOtherDomains && !isOwnDomain);
 }
 
-void WarmStart::askMore(TimePoint now)
+void WarmStart::startTransfers(TimePoint now)
 {
     for (const auto &it : m_peers) {
-        if (m_transfers.size() < m_options.askAtOnce && mayAsk(it)) {
-            m_asked.insert(it.id);
+        if (m_transfers.size() < m_options.maxParallelTransfers && mayQuery(it)) {
+            m_queried.insert(it.id);
             auto &transfer = m_transfers[it.id];
             transfer.request = m_random.next();
-            ask(it.id, transfer, now);
+            requestPart(it.id, transfer, now);
         }
     }
 }
 
-void WarmStart::ask(const base::RouterId &peer, Transfer &transfer, TimePoint now)
+void WarmStart::requestPart(const base::RouterId &peer, Transfer &transfer, TimePoint now)
 {
-    transfer.askedAt = now;
-    m_actions.emplace_back(AskPeer{peer, {transfer.request, transfer.nextPart}});
+    transfer.requestedAt = now;
+    m_actions.emplace_back(SendSnapshotRequest{peer, {transfer.request, transfer.nextPart}});
 }
 
 void WarmStart::onPart(const base::RouterId &from, const SnapshotPart &part, TimePoint now)
 {
     const auto it = m_transfers.find(from);
     if (it == m_transfers.end() || it->second.request != part.request || it->second.nextPart != part.part) {
-        return; // late or doubled
+        return; // late or duplicate
     }
     auto &transfer = it->second;
     const bool isFirst = part.part == 0;
-    const bool isOther = !isFirst && (part.digest != transfer.digest || part.parts != transfer.parts);
-    if (part.parts == 0 || part.parts > MaxParts || isOther || part.bytes.size() > SnapshotPartBytes) {
-        drop(from, now);
+    const bool isInconsistent = !isFirst && (part.digest != transfer.digest || part.parts != transfer.parts);
+    if (part.parts == 0 || part.parts > MaxParts || isInconsistent || part.bytes.size() > SnapshotPartBytes) {
+        abandonTransfer(from, now);
         return;
     }
     transfer.parts = part.parts;
     transfer.digest = part.digest;
     transfer.bytes += part.bytes;
-    transfer.repeats = 0;
+    transfer.retries = 0;
     if (++transfer.nextPart < transfer.parts) {
-        ask(from, transfer, now);
+        requestPart(from, transfer, now);
     } else {
-        complete(from, now);
+        completeTransfer(from, now);
     }
 }
 
-void WarmStart::drop(const base::RouterId &peer, TimePoint now)
+void WarmStart::abandonTransfer(const base::RouterId &peer, TimePoint now)
 {
     m_transfers.erase(peer);
-    askMore(now);
+    startTransfers(now);
     if (m_transfers.empty()) {
-        advance(now);
+        finishStep(now);
     }
 }
 
-void WarmStart::complete(const base::RouterId &peer, TimePoint now)
+void WarmStart::completeTransfer(const base::RouterId &peer, TimePoint now)
 {
     const auto transfer = std::move(m_transfers.extract(peer).mapped());
     if (base::hash64(transfer.bytes) == transfer.digest) {
-        if (const auto snapshot = m_decode(transfer.bytes); snapshot) {
+        if (const auto snapshot = m_decoder(transfer.bytes); snapshot) {
             mergeSnapshot(m_snapshot, snapshot.value());
         }
     }
     if (m_transfers.empty()) {
-        advance(now);
+        finishStep(now);
     }
 }
 
-// Ends a step: loads what was found, or goes on to the next.
-void WarmStart::advance(TimePoint now)
+// Loads the snapshots received in this step, then ends the warm start or enters the next step.
+void WarmStart::finishStep(TimePoint now)
 {
     if (!isEmpty(m_snapshot)) {
         m_hasHotState = m_hasHotState || hasHotState(m_snapshot);
@@ -183,23 +183,23 @@
     }
     if (m_hasHotState && m_revision.value != 0) {
         enter(WarmStartStep::Done, now);
-    } else if (m_step == WarmStartStep::FindPeers || m_step == WarmStartStep::AskOthers) {
-        enter(m_step == WarmStartStep::FindPeers ? WarmStartStep::AskOwnDomain : WarmStartStep::AskPlatform, now);
-    } else if (m_step == WarmStartStep::AskOwnDomain) {
-        enter(WarmStartStep::AskOthers, now);
+    } else if (m_step == WarmStartStep::FindPeers || m_step == WarmStartStep::QueryOtherDomains) {
+        enter(m_step == WarmStartStep::FindPeers ? WarmStartStep::QueryOwnDomain : WarmStartStep::QueryPlatform, now);
+    } else if (m_step == WarmStartStep::QueryOwnDomain) {
+        enter(WarmStartStep::QueryOtherDomains, now);
     }
 }
 
 void WarmStart::onPlatform(const base::Result<Snapshot> &result, TimePoint now)
 {
-    m_hasAskedPlatform = false;
-    m_stepUntil = now + m_options.platformRetry;
+    m_isPlatformReadPending = false;
+    m_stepDeadline = now + m_options.platformRetryInterval;
     if (!result) {
         m_platformError = result.error().message;
         return;
     }
-    m_platformError = result.value().rows.revision.value == 0 ? "it holds no tables yet" : "";
-    if (m_step != WarmStartStep::AskPlatform) {
+    m_platformError = result.value().rows.revision.value == 0 ? "no tables are stored yet" : "";
+    if (m_step != WarmStartStep::QueryPlatform) {
         return;
     }
     auto snapshot = result.value();
@@ -212,19 +212,19 @@
     }
 }
 
-void WarmStart::onState(base::Revision revision, std::size_t answeringUpstreams)
+void WarmStart::onStateChanged(base::Revision revision, std::size_t availableUpstreams)
 {
     m_revision = std::max(m_revision, revision);
-    m_answeringUpstreams = answeringUpstreams;
-    if (m_step == WarmStartStep::Done && m_revision >= m_seen) {
-        m_seen = {};
+    m_availableUpstreams = availableUpstreams;
+    if (m_step == WarmStartStep::Done && m_revision >= m_requiredRevision) {
+        m_requiredRevision = {};
     }
 }
 
-void WarmStart::onSeenRevision(base::Revision revision)
+void WarmStart::onFleetRevision(base::Revision revision)
 {
     if (m_step != WarmStartStep::Done) {
-        m_seen = std::max(m_seen, revision);
+        m_requiredRevision = std::max(m_requiredRevision, revision);
     }
 }
 
@@ -235,34 +235,34 @@
 
 void WarmStart::onTick(TimePoint now)
 {
-    std::vector<base::RouterId> silent;
+    std::vector<base::RouterId> timedOut;
     for (auto &[peer, transfer] : m_transfers) {
-        if (now >= transfer.askedAt + m_options.partTimeout) {
-            if (++transfer.repeats > MaxRepeats) {
-                silent.push_back(peer);
+        if (now >= transfer.requestedAt + m_options.partTimeout) {
+            if (++transfer.retries > MaxPartRetries) {
+                timedOut.push_back(peer);
             } else {
-                ask(peer, transfer, now);
+                requestPart(peer, transfer, now);
             }
         }
     }
-    for (const auto &it : silent) {
-        drop(it, now);
+    for (const auto &it : timedOut) {
+        abandonTransfer(it, now);
     }
-    if (m_step == WarmStartStep::Done || now < m_stepUntil) {
-        m_seen = m_step == WarmStartStep::Done && now >= m_catchUpUntil ? base::Revision{} : m_seen;
+    if (m_step == WarmStartStep::Done || now < m_stepDeadline) {
+        m_requiredRevision = m_step == WarmStartStep::Done && now >= m_catchUpDeadline ? base::Revision{} : m_requiredRevision;
         return;
     }
-    if (m_step == WarmStartStep::AskPlatform) {
-        if (!m_hasAskedPlatform) {
-            m_hasAskedPlatform = true;
-            m_stepUntil = now + m_options.platformRetry;
+    if (m_step == WarmStartStep::QueryPlatform) {
+        if (!m_isPlatformReadPending) {
+            m_isPlatformReadPending = true;
+            m_stepDeadline = now + m_options.platformRetryInterval;
             m_actions.emplace_back(ReadPlatform{});
         }
         if (m_revision.value != 0 && !m_platformError.empty()) {
-            enter(WarmStartStep::Done, now); // a peer's configuration came meanwhile
+            enter(WarmStartStep::Done, now); // a peer sent a configuration in the meantime
         }
     } else {
-        advance(now);
+        finishStep(now);
     }
 }
 
@@ -284,22 +284,22 @@
     if (m_revision.value == 0) {
         return NotReadyReason::NoConfiguration;
     }
-    if (m_revision < m_seen) {
+    if (m_revision < m_requiredRevision) {
         return NotReadyReason::BehindPeers;
     }
-    return m_answeringUpstreams == 0 ? NotReadyReason::NoUpstream : NotReadyReason::None;
+    return m_availableUpstreams == 0 ? NotReadyReason::NoUpstream : NotReadyReason::None;
 }
 
-std::string WarmStart::notReadyBecause() const
+std::string WarmStart::notReadyMessage() const
 {
-    return notReadyText(readiness(), m_platformError);
+    return describeNotReady(readiness(), m_platformError);
 }
 
 TimePoint WarmStart::nextDeadline() const
 {
-    auto next = m_step == WarmStartStep::Done && m_seen.value != 0 ? m_catchUpUntil : m_stepUntil;
+    auto next = m_step == WarmStartStep::Done && m_requiredRevision.value != 0 ? m_catchUpDeadline : m_stepDeadline;
     for (const auto &it : m_transfers) {
-        next = std::min(next, it.second.askedAt + m_options.partTimeout);
+        next = std::min(next, it.second.requestedAt + m_options.partTimeout);
     }
     return next;
 }
--- a/carawaylatch/router/published.h
+++ b/carawaylatch/router/controlsnapshot.h
@@ -1,4 +1,5 @@
-// What the control thread publishes to traffic threads: immutable, taken whole.
+// Immutable state that the control thread publishes to the traffic threads. A reader
+// always gets a complete snapshot, so that its tables and views are consistent.
 #pragma once
 
 #include <memory>
@@ -12,11 +13,11 @@
 namespace carawaylatch::router
 {
 
-// Whether new requests are taken; the balancer is told by /readyz.
-enum class Serving {
-    NotYet, // started, configuration or upstreams are missing
-    Yes,
-    Draining, // a planned stop began; requests that still come are served
+// Whether new requests are accepted. /readyz reports ready only for Ready.
+enum class ServingState {
+    NotReady, // configuration or upstreams are missing
+    Ready,
+    Draining, // the shutdown has started; requests that still arrive are served
     Refusing, // new requests are refused as not run
 };
 
@@ -25,17 +26,17 @@
     std::shared_ptr<const config::Tables> tables; // nullptr before the first configuration
     std::shared_ptr<const upstreams::UpstreamView> upstreams; // never nullptr
     std::shared_ptr<const membership::MembershipView> members; // nullptr before the first view
-    Serving serving = Serving::NotYet;
-    std::string notReadyBecause; // empty when ready
+    ServingState serving = ServingState::NotReady;
+    std::string notReadyMessage; // empty when ready
 };
 
-// The newest snapshot. Written by the control thread, read by all.
-class Published : public base::SnapshotPointer<ControlSnapshot>
+// The latest snapshot. Written by the control thread, read by all threads.
+class ControlSnapshotPointer : public base::SnapshotPointer<ControlSnapshot>
 {
 public:
-    Published()
+    ControlSnapshotPointer()
         : SnapshotPointer(std::make_shared<const ControlSnapshot>(
-            ControlSnapshot{nullptr, std::make_shared<const upstreams::UpstreamView>(), nullptr, Serving::NotYet, "starting"}))
+            ControlSnapshot{nullptr, std::make_shared<const upstreams::UpstreamView>(), nullptr, ServingState::NotReady, "starting"}))
     {
     }
 };
--- a/carawaylatch/router/controlstate.cpp
+++ b/carawaylatch/router/controlstate.cpp
@@ -1,4 +1,4 @@
-// A snapshot is some pointers and a text: cheap to copy for each change.
+// A snapshot is a few pointers and a string, so copying it for each change is cheap.
 #include "carawaylatch/router/controlstate.h"
 
 #include <utility>
@@ -6,7 +6,7 @@
 namespace carawaylatch::router
 {
 
-ControlState::ControlState(Published &published)
+ControlState::ControlState(ControlSnapshotPointer &published)
     : m_published(published)
     , m_snapshot(*published.load())
 {
@@ -34,10 +34,10 @@
     }
 }
 
-void ControlState::setServing(Serving serving, std::string notReadyBecause)
+void ControlState::setServing(ServingState serving, std::string notReadyMessage)
 {
     m_snapshot.serving = serving;
-    m_snapshot.notReadyBecause = std::move(notReadyBecause);
+    m_snapshot.notReadyMessage = std::move(notReadyMessage);
     publish();
 }
 
--- a/carawaylatch/router/handovercontroller.h
+++ b/carawaylatch/router/handovercontroller.h
@@ -1,5 +1,5 @@
-// Controller of start and stop: warm start, snapshots for others, graceful
-// shutdown.
+// Controller of startup and shutdown: warm start, snapshots for other routers,
+// graceful shutdown.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +17,7 @@
 namespace carawaylatch::router
 {
 
-// The other controllers, whose state a snapshot is made of.
+// The other controllers, whose state goes into snapshots.
 struct HandoverSources
 {
     ConfigController &config;
@@ -25,55 +25,55 @@
     UpstreamController &upstreams;
 };
 
-// What the shutdown needs from the rest of the router; called on the control thread.
+// Callbacks into the rest of the router; called on the control thread.
 struct ShutdownHooks
 {
     std::function<std::size_t()> openRequests;
-    std::function<void()> refuseRequests; // waiting ones too
-    std::function<void()> cutStreams;
+    std::function<void()> refuseRequests; // queued ones too
+    std::function<void()> abortStreams;
     std::function<void()> exit;
 };
 
 class HandoverController
 {
 public:
-    // `platformLoop` runs blocking calls to the platform. All outlive the controller.
-    HandoverController(const ControlParts &parts, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop, const HandoverSources &sources,
-                       ShutdownHooks hooks);
+    // `platformLoop` runs blocking calls to the platform. All references outlive the controller.
+    HandoverController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, base::EventLoop &platformLoop,
+                       const HandoverSources &sources, ShutdownHooks hooks);
 
     void start(base::TimePoint now);
-    // Revision in force or answering upstreams may have changed.
-    void onState(base::TimePoint now);
-    // A signal to stop; the second one cuts open streams.
+    // Called when the configuration revision or the available upstreams may have changed.
+    void onStateChanged(base::TimePoint now);
+    // The first signal starts the shutdown, the second aborts open streams.
     void onSignal(base::TimePoint now);
 
 private:
     void advance(base::TimePoint now);
-    void carryOutStart(base::TimePoint now);
-    void load(const handover::Snapshot &snapshot, base::TimePoint now);
+    void executeWarmStartActions(base::TimePoint now);
+    void loadSnapshot(const handover::Snapshot &snapshot, base::TimePoint now);
     void importPlacements(base::TimePoint now);
-    void readPlatform();
+    void readPlatformSnapshot();
     void updateServing();
-    void carryOutStop(base::TimePoint now);
-    void handOver();
-    [[nodiscard]] handover::Snapshot makeSnapshot(base::TimePoint now) const;
+    void executeShutdownActions(base::TimePoint now);
+    void sendHotPlacements();
+    [[nodiscard]] handover::Snapshot collectSnapshot(base::TimePoint now) const;
     void storeSnapshot(base::TimePoint now);
-    [[nodiscard]] bool writesSnapshots() const;
+    [[nodiscard]] bool isSnapshotWriter() const;
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     ControlState &m_state;
     PeerBus &m_bus;
     base::EventLoop &m_platformLoop;
     HandoverSources m_sources;
     const ShutdownHooks m_hooks;
-    handover::WarmStart m_start;
-    handover::SnapshotServer m_server;
-    handover::Shutdown m_stop;
-    // Placements of lives that this router doesn't know yet; tried again until m_importUntil.
-    prefix::HotPlacements m_placements;
-    base::TimePoint m_importUntil;
-    base::TimerService::Subscription m_tick;
-    base::TimerService::Subscription m_snapshots;
+    handover::WarmStart m_warmStart;
+    handover::SnapshotServer m_snapshotServer;
+    handover::Shutdown m_shutdown;
+    // Placements at incarnations that this router has not seen yet; retried until m_importDeadline.
+    prefix::HotPlacements m_pendingPlacements;
+    base::TimePoint m_importDeadline;
+    base::TimerService::Subscription m_tickTimer;
+    base::TimerService::Subscription m_snapshotTimer;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/membercontroller.h
+++ b/carawaylatch/router/membercontroller.h
@@ -1,5 +1,5 @@
-// Controller of membership: the member list, its probes, and the exchange of
-// customers' limits that travels beside them.
+// Controller of membership: the member list with its failure detector, and the
+// exchange of demand reports and limit shares of customers.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 namespace carawaylatch::router
 {
 
-// Control thread, but for liveness().
+// Control thread only.
 class MemberController
 {
 public:
@@ -22,7 +22,7 @@
     using RevisionHandler = std::function<void(const base::RouterId &peer, base::Revision revision, base::TimePoint now)>;
 
     // All outlive the controller.
-    MemberController(const ControlParts &parts, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
+    MemberController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, admission::AdmissionController &admissionController,
                      const base::Endpoint &peerEndpoint, ViewHandler onView, RevisionHandler onRevision);
 
     void start(base::TimePoint now);
@@ -32,26 +32,26 @@
     void leave(base::TimePoint now);
     void depart(base::TimePoint now);
     [[nodiscard]] std::vector<membership::MemberRecord> records() const;
-    // Live routers but this one, those of the own failure domain first.
+    // Live routers except this one, those of the same failure domain first.
     [[nodiscard]] std::vector<config::DistributionPeer> peers() const;
 
 private:
     template <typename Message>
     void subscribe();
     void advance(base::TimePoint now);
-    void exchangeShares(base::TimePoint now);
+    void sendDemandReport(base::TimePoint now);
     [[nodiscard]] base::Endpoint endpointOf(const base::RouterId &router) const;
 
-    const ControlParts &m_parts;
+    const ControllerDependencies &m_dependencies;
     ControlState &m_state;
     PeerBus &m_bus;
     admission::AdmissionController &m_admissionController;
     const ViewHandler m_onView;
     const RevisionHandler m_onRevision;
     membership::MemberList m_members;
-    std::size_t m_nextShare = 0; // index into peers() of the next report
-    base::TimerService::Subscription m_tick;
-    base::TimerService::Subscription m_shares;
+    std::size_t m_nextReportPeer = 0; // counter, modulo peers(): receiver of the next demand report
+    base::TimerService::Subscription m_tickTimer;
+    base::TimerService::Subscription m_demandReportTimer;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/operatordesk.h
+++ b/carawaylatch/router/operatorrequesthandler.h
@@ -1,4 +1,5 @@
-// What the operators' port asks of the router.
+// Handles the requests of the operators' port: readiness, metrics, status, dashboard,
+// explain, drain and undrain.
 #pragma once
 
 #include <mutex>
@@ -16,15 +17,15 @@
 namespace carawaylatch::router
 {
 
-// Parts that outlive the desk.
-struct OperatorParts
+// Dependencies that outlive the handler.
+struct OperatorDependencies
 {
     const config::Settings &settings;
     base::Incarnation incarnation;
     const base::Clock &clock;
     base::EventLoop &loop;
-    const Published &published;
-    const Knowledge &knowledge;
+    const ControlSnapshotPointer &published;
+    const RoutingState &routingState;
     const admission::AdmissionController &admissionController;
     telemetry::Metrics &metrics;
     TrafficPlane &traffic;
@@ -33,10 +34,10 @@
     const store::HttpObjectStore &objects;
 };
 
-class OperatorDesk : public http::OperatorHandler
+class OperatorRequestHandler : public http::OperatorHandler
 {
 public:
-    explicit OperatorDesk(const OperatorParts &parts);
+    explicit OperatorRequestHandler(const OperatorDependencies &dependencies);
 
     [[nodiscard]] std::string notReadyBecause() override;
     [[nodiscard]] std::string metricsText() override;
@@ -46,19 +47,19 @@
     [[nodiscard]] base::Result<void> drain(const base::UpstreamId &upstream) override;
     [[nodiscard]] base::Result<void> undrain(const base::UpstreamId &upstream) override;
 
-    // Takes a sample for the page's charts and notes what control costs; called
-    // every few seconds.
+    // Records a sample for the dashboard's charts and the cost of the control plane;
+    // called every few seconds.
     void sample(base::TimePoint now);
 
 private:
-    void noteControlTraffic();
+    void recordControlTraffic();
     [[nodiscard]] telemetry::StatusReport report();
-    [[nodiscard]] base::Result<void> known(const base::UpstreamId &upstream) const;
+    [[nodiscard]] base::Result<void> checkUpstreamExists(const base::UpstreamId &upstream) const;
 
-    const OperatorParts m_parts;
+    const OperatorDependencies m_dependencies;
     const base::TimePoint m_startedAt;
     std::mutex m_mutex;
-    // All below are guarded by m_mutex.
+    // All members below are guarded by m_mutex.
     telemetry::DashboardSeries m_series;
     base::TimePoint m_sampledAt;
     base::Duration m_sampledProcessorTime{};
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -1,5 +1,6 @@
-// Builds the parts in the order in which they depend on each other and ends them
-// in the opposite one: first the ports, then what serves them, last the loops.
+// Creates the components in the order of their dependencies and stops them in
+// reverse: first the server ports, then the components behind them, the event loop
+// and the peer transport last.
 #include "carawaylatch/router/router.h"
 
 #include <condition_variable>
@@ -19,8 +20,8 @@
 #include "carawaylatch/router/configcontroller.h"
 #include "carawaylatch/router/handovercontroller.h"
 #include "carawaylatch/router/membercontroller.h"
-#include "carawaylatch/router/operatordesk.h"
-#include "carawaylatch/router/platformduties.h"
+#include "carawaylatch/router/operatorrequesthandler.h"
+#include "carawaylatch/router/periodictasks.h"
 #include "carawaylatch/router/trafficplane.h"
 #include "carawaylatch/router/upstreamcontroller.h"
 #include "carawaylatch/store/httpobjectstore.h"
@@ -34,8 +35,8 @@
 constexpr base::Duration ConnectTimeout = base::milliseconds{500};
 constexpr base::Duration PollTimeout = base::milliseconds{500};
 constexpr base::Duration SampleInterval = base::seconds{2};
-constexpr base::Duration LongestFlush = base::seconds{10};
-constexpr base::Duration FlushPause = base::milliseconds{200};
+constexpr base::Duration MaxFlushTime = base::seconds{10};
+constexpr base::Duration FlushRetryInterval = base::milliseconds{200};
 constexpr std::uint32_t PercentScale = 100;
 
 admission::AdmissionOptions admissionOptions(const config::Settings &settings, base::Incarnation incarnation)
@@ -56,7 +57,7 @@
     return options;
 }
 
-relay::RetryBudgetOptions budgetOptions(const config::Settings &settings)
+relay::RetryBudgetOptions retryBudgetOptions(const config::Settings &settings)
 {
     relay::RetryBudgetOptions options;
     options.share = static_cast<double>(settings.admission.retryBudgetPercent) / PercentScale;
@@ -78,11 +79,11 @@
     return {{settings.callers.address, settings.callers.port}, settings.callers.maxStreams, settings.callers.maxBodyBytes};
 }
 
-// What the published member list says of other routers.
-class PublishedLiveness : public orders::RouterLiveness
+// Liveness of other routers as the published membership view shows it.
+class MembershipLiveness : public orders::RouterLiveness
 {
 public:
-    explicit PublishedLiveness(const Published &published)
+    explicit MembershipLiveness(const ControlSnapshotPointer &published)
         : m_published(published)
     {
     }
@@ -102,7 +103,7 @@
     }
 
 private:
-    const Published &m_published;
+    const ControlSnapshotPointer &m_published;
 };
 
 } // namespace
@@ -119,11 +120,11 @@
 
     [[nodiscard]] base::Endpoint callersEndpoint() const
     {
-        return m_callers.endpoint();
+        return m_callersServer.endpoint();
     }
     [[nodiscard]] base::Endpoint operatorsEndpoint() const
     {
-        return m_operators.endpoint();
+        return m_operatorsServer.endpoint();
     }
     [[nodiscard]] base::Endpoint peersEndpoint() const
     {
@@ -131,7 +132,7 @@
     }
 
 private:
-    // Controllers, made once the peers' port is bound. Control thread.
+    // Created once the peers' port is bound. Control thread.
     struct Controllers
     {
         explicit Controllers(Impl &router);
@@ -139,97 +140,97 @@
         UpstreamController upstreams;
         ConfigController config;
         MemberController members;
-        PlatformDuties duties;
+        PeriodicTasks tasks;
         HandoverController handover;
-        OperatorDesk desk;
+        OperatorRequestHandler operatorHandler;
     };
 
     void startControllers();
     void applyTables(const std::shared_ptr<const config::Tables> &tables, base::TimePoint now);
-    void onList(const std::vector<store::VmRecord> &vms, base::TimePoint now);
+    void onVmList(const std::vector<store::VmRecord> &vms, base::TimePoint now);
     [[nodiscard]] ShutdownHooks shutdownHooks();
-    void noteStopped(StopKind kind);
+    void setStopped(StopKind kind);
     void flushOrders();
-    void stopParts();
+    void stopComponents();
 
     const config::Settings m_settings;
     const base::SteadyClock m_clock;
     const base::Incarnation m_incarnation = base::newIncarnation();
-    base::EventLoop m_loop{m_clock};
-    Published m_published;
+    base::EventLoop m_controlLoop{m_clock};
+    ControlSnapshotPointer m_published;
     telemetry::Metrics m_metrics;
-    Knowledge m_knowledge;
+    RoutingState m_routingState;
     store::HttpObjectStore m_objects;
-    const ControlParts m_controlParts;
+    const ControllerDependencies m_controllerDependencies;
     ControlState m_state{m_published};
     http::UpstreamClient m_upstreamClient{PollTimeout};
     peer::Http2Transport m_transport;
-    PeerBus m_bus{m_transport, m_loop};
+    PeerBus m_bus{m_transport, m_controlLoop};
 
-    // Traffic.
+    // Traffic threads.
     admission::AdmissionController m_admissionController;
     relay::AttemptIdGenerator m_attemptIds;
-    relay::RetryBudgets m_budgets;
+    relay::RetryBudgets m_retryBudgets;
     relay::HedgeDelays m_hedgeDelays;
     http::EngineClient m_engineClient;
     http::ServiceClient m_serviceClient{ConnectTimeout};
-    relay::RelayDriver m_relay;
-    orders::ObjectRecordStore m_claims{m_objects};
-    const PublishedLiveness m_liveness{m_published};
+    relay::RelayDriver m_relayDriver;
+    orders::ObjectRecordStore m_orderRecords{m_objects};
+    const MembershipLiveness m_liveness{m_published};
     orders::OrderExecutor m_orderExecutor;
     std::unique_ptr<routing::RoutingStrategy> m_strategy;
     std::unique_ptr<TrafficPlane> m_traffic;
 
     std::unique_ptr<Controllers> m_controllers;
-    // The operators' port forwards to the desk in m_controllers.
-    class OperatorFront;
-    std::unique_ptr<OperatorFront> m_operatorFront;
-    http::CallersServer m_callers;
-    http::OperatorsServer m_operators;
+    // Forwards requests of callers and operators to m_traffic and m_controllers.
+    class RequestHandlerProxy;
+    std::unique_ptr<RequestHandlerProxy> m_handlerProxy;
+    http::CallersServer m_callersServer;
+    http::OperatorsServer m_operatorsServer;
     base::TimerService::Subscription m_sampleTimer;
 
     std::mutex m_mutex;
-    std::condition_variable m_exitChanged;
-    std::optional<StopKind> m_stopped; // guarded by m_mutex
+    std::condition_variable m_stopChanged;
+    std::optional<StopKind> m_stopKind; // guarded by m_mutex
 };
 
-// The ports are bound after the controllers stand, but their types need a handler
-// from the start.
-class Router::Impl::OperatorFront : public http::OperatorHandler, public http::CallerHandler
+// The servers need their handler when they are constructed, before the controllers
+// and the traffic plane exist. No request arrives before the ports are bound.
+class Router::Impl::RequestHandlerProxy : public http::OperatorHandler, public http::CallerHandler
 {
 public:
-    explicit OperatorFront(Impl &router)
+    explicit RequestHandlerProxy(Impl &router)
         : m_router(router)
     {
     }
 
     std::string notReadyBecause() override
     {
-        return desk().notReadyBecause();
+        return operatorHandler().notReadyBecause();
     }
     std::string metricsText() override
     {
-        return desk().metricsText();
+        return operatorHandler().metricsText();
     }
     std::string statusJson() override
     {
-        return desk().statusJson();
+        return operatorHandler().statusJson();
     }
     std::string dashboard() override
     {
-        return desk().dashboard();
+        return operatorHandler().dashboard();
     }
     base::Result<std::string> explainJson(const http::CompletionCall &call) override
     {
-        return desk().explainJson(call);
+        return operatorHandler().explainJson(call);
     }
     base::Result<void> drain(const base::UpstreamId &upstream) override
     {
-        return desk().drain(upstream);
+        return operatorHandler().drain(upstream);
     }
     base::Result<void> undrain(const base::UpstreamId &upstream) override
     {
-        return desk().undrain(upstream);
+        return operatorHandler().undrain(upstream);
     }
     void complete(const http::CompletionCall &call, relay::CallerSink &sink) override
     {
@@ -245,83 +246,83 @@
     }
 
 private:
-    OperatorDesk &desk()
+    OperatorRequestHandler &operatorHandler()
     {
-        return m_router.m_controllers->desk;
+        return m_router.m_controllers->operatorHandler;
     }
 
     Impl &m_router;
 };
 
 Router::Impl::Controllers::Controllers(Impl &router)
-    : upstreams(router.m_controlParts, router.m_state, router.m_bus, router.m_upstreamClient, router.m_admissionController, router.m_metrics)
-    , config(router.m_controlParts, router.m_bus,
+    : upstreams(router.m_controllerDependencies, router.m_state, router.m_bus, router.m_upstreamClient, router.m_admissionController, router.m_metrics)
+    , config(router.m_controllerDependencies, router.m_bus,
              [&router](const auto &tables, base::TimePoint now) {
                  router.applyTables(tables, now);
              })
     , members(
-          router.m_controlParts, router.m_state, router.m_bus, router.m_admissionController, router.m_transport.endpoint(),
+          router.m_controllerDependencies, router.m_state, router.m_bus, router.m_admissionController, router.m_transport.endpoint(),
           [this](const auto &view, base::TimePoint now) {
               config.onMembers(view, now);
           },
           [this](const auto &peer, base::Revision revision, base::TimePoint now) {
               config.onPeerRevision(peer, revision, now);
           })
-    , duties(router.m_controlParts, router.m_orderExecutor, router.m_upstreamClient,
-             [&router](const auto &vms, base::TimePoint now) {
-                 router.onList(vms, now);
-             })
-    , handover(router.m_controlParts, router.m_state, router.m_bus, duties.platformLoop(), {config, members, upstreams}, router.shutdownHooks())
-    , desk({router.m_settings, router.m_incarnation, router.m_clock, router.m_loop, router.m_published, router.m_knowledge, router.m_admissionController,
-            router.m_metrics, *router.m_traffic, upstreams, router.m_transport, router.m_objects})
+    , tasks(router.m_controllerDependencies, router.m_orderExecutor, router.m_upstreamClient,
+            [&router](const auto &vms, base::TimePoint now) {
+                router.onVmList(vms, now);
+            })
+    , handover(router.m_controllerDependencies, router.m_state, router.m_bus, tasks.platformLoop(), {config, members, upstreams}, router.shutdownHooks())
+    , operatorHandler({router.m_settings, router.m_incarnation, router.m_clock, router.m_controlLoop, router.m_published, router.m_routingState,
+                       router.m_admissionController, router.m_metrics, *router.m_traffic, upstreams, router.m_transport, router.m_objects})
 {
 }
 
 Router::Impl::Impl(const config::Settings &settings)
     : m_settings(settings)
-    , m_knowledge(indexOptions(settings))
+    , m_routingState(indexOptions(settings))
     , m_objects({settings.platform.address, settings.platform.port}, settings.router.failureDomain, settings.platform.timeout)
-    , m_controlParts{m_settings, m_clock, m_incarnation, m_loop, m_objects, m_knowledge, m_published}
+    , m_controllerDependencies{m_settings, m_clock, m_incarnation, m_controlLoop, m_objects, m_routingState, m_published}
     , m_transport(transportOptions(settings, m_incarnation))
     , m_admissionController(admissionOptions(settings, m_incarnation), m_clock)
     , m_attemptIds(settings.router.id, m_incarnation)
-    , m_budgets(budgetOptions(settings))
+    , m_retryBudgets(retryBudgetOptions(settings))
     , m_engineClient(ConnectTimeout,
                      [this](const base::UpstreamId &upstream) {
-                         m_loop.post([this, upstream](base::TimePoint now) {
+                         m_controlLoop.post([this, upstream](base::TimePoint now) {
                              m_controllers->upstreams.onLeaving(upstream, upstreams::LeavingSource::Refusal, now);
                          });
                      })
-    , m_relay(m_engineClient, m_clock, m_attemptIds, m_budgets, m_hedgeDelays)
-    , m_orderExecutor(settings.router.id, m_incarnation, m_claims, m_liveness, m_clock)
-    , m_operatorFront(std::make_unique<OperatorFront>(*this))
-    , m_callers(callersOptions(settings), *m_operatorFront)
-    , m_operators({settings.operators.address, settings.operators.port}, *m_operatorFront)
+    , m_relayDriver(m_engineClient, m_clock, m_attemptIds, m_retryBudgets, m_hedgeDelays)
+    , m_orderExecutor(settings.router.id, m_incarnation, m_orderRecords, m_liveness, m_clock)
+    , m_handlerProxy(std::make_unique<RequestHandlerProxy>(*this))
+    , m_callersServer(callersOptions(settings), *m_handlerProxy)
+    , m_operatorsServer({settings.operators.address, settings.operators.port}, *m_handlerProxy)
 {
 }
 
 Router::Impl::~Impl()
 {
-    stopParts();
+    stopComponents();
 }
 
 base::Result<void> Router::Impl::start()
 {
-    BOOST_OUTCOME_TRY(strategy, routing::makeStrategy(m_settings.routing.strategy, m_knowledge.forStrategy(), m_settings.routing.seed));
+    BOOST_OUTCOME_TRY(strategy, routing::makeStrategy(m_settings.routing.strategy, m_routingState.sharedRoutingState(), m_settings.routing.seed));
     m_strategy = std::move(strategy);
-    const AttemptListener onAttempt = [this](const AttemptNotice &notice) {
-        m_loop.post([this, notice](base::TimePoint now) {
-            m_controllers->upstreams.onAttempt(notice, now);
+    const AttemptListener onAttempt = [this](const AttemptReport &attempt) {
+        m_controlLoop.post([this, attempt](base::TimePoint now) {
+            m_controllers->upstreams.onAttempt(attempt, now);
         });
     };
-    m_traffic = std::make_unique<TrafficPlane>(TrafficParts{{m_published, m_knowledge, *m_strategy, m_clock, onAttempt},
-                                                            m_admissionController,
-                                                            m_relay,
-                                                            m_orderExecutor,
-                                                            m_serviceClient,
-                                                            m_attemptIds,
-                                                            m_metrics,
-                                                            m_settings.timings.upstreamTimeout});
+    m_traffic = std::make_unique<TrafficPlane>(TrafficDependencies{{m_published, m_routingState, *m_strategy, m_clock, onAttempt},
+                                                                   m_admissionController,
+                                                                   m_relayDriver,
+                                                                   m_orderExecutor,
+                                                                   m_serviceClient,
+                                                                   m_attemptIds,
+                                                                   m_metrics,
+                                                                   m_settings.timings.upstreamTimeout});
     BOOST_OUTCOME_TRYV(m_transport.start([this](const peer::PeerEnvelope &envelope) {
         m_bus.deliver(envelope);
     }));
@@ -330,10 +331,10 @@
                                                    {"incarnation", std::to_string(m_incarnation.value)},
                                                    {"version", m_settings.router.versionLabel}});
     startControllers();
-    if (!m_operators.start()) {
+    if (!m_operatorsServer.start()) {
         return base::fail(base::ErrorKind::Unavailable, "the operators' port can't be bound; change [operators] address or port");
     }
-    if (!m_callers.start()) {
+    if (!m_callersServer.start()) {
         return base::fail(base::ErrorKind::Unavailable, "the callers' port can't be bound; change [callers] address or port");
     }
     return base::ok();
@@ -347,11 +348,11 @@
     m_controllers->members.start(now);
     m_controllers->upstreams.start(now);
     m_controllers->handover.start(now);
-    m_controllers->duties.start(now);
-    m_sampleTimer = m_loop.timers().every(now, SampleInterval, [this](base::TimePoint at) {
-        m_controllers->desk.sample(at);
+    m_controllers->tasks.start(now);
+    m_sampleTimer = m_controlLoop.timers().every(now, SampleInterval, [this](base::TimePoint at) {
+        m_controllers->operatorHandler.sample(at);
     });
-    m_loop.start();
+    m_controlLoop.start();
 }
 
 void Router::Impl::applyTables(const std::shared_ptr<const config::Tables> &tables, base::TimePoint now)
@@ -364,7 +365,7 @@
     m_controllers->members.setRevision(tables->revision);
 }
 
-void Router::Impl::onList(const std::vector<store::VmRecord> &vms, base::TimePoint now)
+void Router::Impl::onVmList(const std::vector<store::VmRecord> &vms, base::TimePoint now)
 {
     m_controllers->upstreams.onPlatformList(vms, now);
     m_controllers->members.onPlatformList(vms, now);
@@ -380,24 +381,24 @@
         m_admissionController.stop();
     };
     hooks.exit = [this] {
-        noteStopped(StopKind::Graceful);
+        setStopped(StopKind::Graceful);
     };
-    hooks.cutStreams = [this] {
-        noteStopped(StopKind::Cut);
+    hooks.abortStreams = [this] {
+        setStopped(StopKind::Forced);
     };
     return hooks;
 }
 
-void Router::Impl::noteStopped(StopKind kind)
+void Router::Impl::setStopped(StopKind kind)
 {
     const std::lock_guard lock(m_mutex);
-    m_stopped = m_stopped.value_or(kind);
-    m_exitChanged.notify_all();
+    m_stopKind = m_stopKind.value_or(kind);
+    m_stopChanged.notify_all();
 }
 
 void Router::Impl::requestStop()
 {
-    m_loop.post([this](base::TimePoint now) {
+    m_controlLoop.post([this](base::TimePoint now) {
         m_controllers->handover.onSignal(now);
     });
 }
@@ -407,37 +408,38 @@
     std::optional<StopKind> kind;
     {
         std::unique_lock lock(m_mutex);
-        m_exitChanged.wait(lock, [this] {
-            return m_stopped.has_value();
+        m_stopChanged.wait(lock, [this] {
+            return m_stopKind.has_value();
         });
-        kind = m_stopped;
+        kind = m_stopKind;
     }
     base::logEvent(base::LogEvent::RouterStopped, {{"streams", std::to_string(m_traffic->openRequests())}});
     return *kind;
 }
 
-// Outcomes that only this process knows must reach the platform before it ends; an
-// outage that outlasts the bound leaves them unknown.
+// Outcomes of orders that are not stored yet must be written to the platform before
+// the process exits. If the platform is unreachable for longer than MaxFlushTime,
+// these orders stay unknown.
 void Router::Impl::flushOrders()
 {
-    const base::TimePoint until = m_clock.now() + LongestFlush;
+    const base::TimePoint until = m_clock.now() + MaxFlushTime;
     while (!m_orderExecutor.flush() && m_clock.now() < until) {
-        std::this_thread::sleep_for(FlushPause);
+        std::this_thread::sleep_for(FlushRetryInterval);
     }
 }
 
-void Router::Impl::stopParts()
+void Router::Impl::stopComponents()
 {
-    m_callers.stop();
+    m_callersServer.stop();
     flushOrders();
-    m_operators.stop();
+    m_operatorsServer.stop();
     m_objects.stop();
     if (m_controllers) {
         m_controllers->upstreams.stop();
         m_controllers->config.stop();
-        m_controllers->duties.stop();
+        m_controllers->tasks.stop();
     }
-    m_loop.stop();
+    m_controlLoop.stop();
     m_transport.stop();
 }
 
--- a/carawaylatch/router/servicechooser.h
+++ b/carawaylatch/router/servicechooser.h
@@ -1,10 +1,10 @@
-// Chooses among the plain services of a pool for one call.
+// Chooses a service of a pool for each attempt of one call.
 #pragma once
 
 #include <vector>
 
 #include "carawaylatch/orders/orderexecutor.h"
-#include "carawaylatch/router/routeplacer.h"
+#include "carawaylatch/router/completionplacer.h"
 
 namespace carawaylatch::router
 {
@@ -13,14 +13,14 @@
 {
 public:
     // Both outlive the chooser.
-    ServiceChooser(const PlacingParts &parts, const RequestContext &context);
+    ServiceChooser(const PlacementDependencies &dependencies, const RequestContext &context);
 
     [[nodiscard]] base::Result<orders::ChosenUpstream> choose(const std::vector<base::UpstreamId> &refused) override;
 
 private:
-    const PlacingParts &m_parts;
+    const PlacementDependencies &m_dependencies;
     const RequestContext &m_context;
-    upstreams::InflightTable::Ticket m_ticket; // of the call under way
+    upstreams::InflightTable::Ticket m_ticket; // of the current attempt
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/statusbuilder.cpp
+++ b/carawaylatch/router/statusbuilder.cpp
@@ -1,9 +1,9 @@
-// One function for each list of the report.
+// Each list of the report has its own function.
 #include "carawaylatch/router/statusbuilder.h"
 
 #include <algorithm>
 
-#include "carawaylatch/router/shownstate.h"
+#include "carawaylatch/router/telemetrystate.h"
 #include "carawaylatch/telemetry/processcost.h"
 
 namespace carawaylatch::router
@@ -12,7 +12,7 @@
 namespace
 {
 
-telemetry::PeerState stateOf(membership::MemberState state)
+telemetry::PeerState toPeerState(membership::MemberState state)
 {
     switch (state) {
     case membership::MemberState::Alive:
@@ -34,19 +34,20 @@
     }
     for (const auto &it : snapshot.members->members) {
         if (it.record.id != snapshot.members->self) {
-            report.peers.push_back({it.record.id, it.record.domain, it.record.incarnation, stateOf(it.record.state), it.revision});
+            report.peers.push_back({it.record.id, it.record.domain, it.record.incarnation, toPeerState(it.record.state), it.revision});
         }
     }
 }
 
-telemetry::UpstreamStatus upstreamRow(const upstreams::UpstreamStatus &status, const base::PoolName &pool, const Knowledge &knowledge, base::TimePoint now)
+telemetry::UpstreamStatus upstreamRow(const upstreams::UpstreamStatus &status, const base::PoolName &pool, const RoutingState &routingState,
+                                      base::TimePoint now)
 {
     telemetry::UpstreamStatus row;
     row.id = status.id;
     row.pool = pool;
     row.domain = status.domain;
     row.endpoint = status.endpoint;
-    row.state = shownState(status.state);
+    row.state = toTelemetryState(status.state);
     row.incarnation = status.incarnation;
     row.weightsVersion = status.load.weightsVersion;
     row.running = status.load.running;
@@ -54,13 +55,13 @@
     row.queuedTokens = status.load.queuedTokens;
     row.usedBlocks = status.load.usedBlocks;
     row.capacityBlocks = status.load.capacityBlocks;
-    row.inFlight = knowledge.inflight.counts(status.slot, now, now).requests;
-    row.confidence = knowledge.caches.confidence(status.slot);
+    row.inFlight = routingState.inflight.counts(status.slot, now, now).requests;
+    row.confidence = routingState.caches.confidence(status.slot);
     row.reportAge = status.incarnation.value == 0 ? base::Duration{} : now - status.loadAt;
     return row;
 }
 
-void addPools(telemetry::StatusReport &report, const ControlSnapshot &snapshot, const Knowledge &knowledge, base::TimePoint now)
+void addPools(telemetry::StatusReport &report, const ControlSnapshot &snapshot, const RoutingState &routingState, base::TimePoint now)
 {
     for (const auto &pool : snapshot.tables->pools) {
         telemetry::PoolStatus row;
@@ -75,7 +76,7 @@
         report.pools.push_back(row);
         for (const auto &it : pool.members) {
             if (const auto *status = snapshot.upstreams->find(it.id)) {
-                report.upstreams.push_back(upstreamRow(*status, pool.name, knowledge, now));
+                report.upstreams.push_back(upstreamRow(*status, pool.name, routingState, now));
             }
         }
     }
@@ -99,7 +100,7 @@
 void addCustomers(telemetry::StatusReport &report, const config::Tables &tables, const admission::AdmissionController &admissionController,
                   std::span<const CustomerRate> rates, base::TimePoint now)
 {
-    const auto figures = admissionController.stats();
+    const auto stats = admissionController.stats();
     for (const auto &customer : tables.customers) {
         telemetry::CustomerStatus row;
         row.id = customer.id;
@@ -107,7 +108,7 @@
         if (const auto *rate = findRate(rates, customer.id)) {
             row.requestsPerSecond = rate->perSecond;
         }
-        for (const auto &it : figures) {
+        for (const auto &it : stats) {
             row.waiting += it.customer == customer.id ? it.waiting : 0;
         }
         if (customer.concurrency > 0) {
@@ -133,9 +134,9 @@
         rates.back().admitted += it.admitted;
     }
     for (auto &it : rates) {
-        const auto *before = findRate(earlier, it.customer);
-        const std::uint64_t since = it.admitted - (before == nullptr ? 0 : before->admitted);
-        it.perSecond = interval > base::Duration{} ? static_cast<double>(since) / base::toSeconds(interval) : 0;
+        const auto *previous = findRate(earlier, it.customer);
+        const std::uint64_t admittedSince = it.admitted - (previous == nullptr ? 0 : previous->admitted);
+        it.perSecond = interval > base::Duration{} ? static_cast<double>(admittedSince) / base::toSeconds(interval) : 0;
     }
     return rates;
 }
@@ -145,12 +146,12 @@
     const auto snapshot = sources.published.load();
     telemetry::StatusReport report;
     report.router = sources.self;
-    report.router.readiness = snapshot->serving == Serving::Yes ? telemetry::Readiness::Ready : telemetry::Readiness::NotReady;
-    report.router.reason = snapshot->notReadyBecause;
+    report.router.readiness = snapshot->serving == ServingState::Ready ? telemetry::Readiness::Ready : telemetry::Readiness::NotReady;
+    report.router.reason = snapshot->notReadyMessage;
     addPeers(report, *snapshot);
     if (snapshot->tables) {
         report.router.revision = snapshot->tables->revision;
-        addPools(report, *snapshot, sources.knowledge, now);
+        addPools(report, *snapshot, sources.routingState, now);
         addRoutes(report, *snapshot->tables);
         addCustomers(report, *snapshot->tables, sources.admissionController, sources.rates, now);
     }
--- a/carawaylatch/router/shownstate.cpp
+++ b/carawaylatch/router/telemetrystate.cpp
@@ -1,10 +1,11 @@
-// Operators see five states; why an upstream takes no work is in the log.
-#include "carawaylatch/router/shownstate.h"
+// Metrics and status pages have only five states; log events have the reason why an
+// upstream gets no requests.
+#include "carawaylatch/router/telemetrystate.h"
 
 namespace carawaylatch::router
 {
 
-telemetry::UpstreamState shownState(upstreams::UpstreamState state)
+telemetry::UpstreamState toTelemetryState(upstreams::UpstreamState state)
 {
     switch (state) {
     case upstreams::UpstreamState::Live:
--- a/carawaylatch/router/testing/faultyengine.h
+++ b/carawaylatch/router/testing/faultyengine.h
@@ -1,4 +1,4 @@
-// An engine whose answers are wrong in one stated way from one token on.
+// A test engine that injects one fault into its response streams.
 #pragma once
 
 #include <atomic>
@@ -11,11 +11,11 @@
 namespace carawaylatch::router::testing
 {
 
-// With a wrong echo the text is foreign too, as it would be from another request,
-// a dead engine, older weights or another namespace.
+// With a wrong identity header the text is wrong too, as in a response to another
+// request, of an earlier incarnation, of older weights or of another cache namespace.
 enum class StreamFault {
-    BreaksOff,
-    WrongAttempt, // a crossed answer
+    ClosesEarly,
+    WrongAttempt, // the response to another attempt
     WrongIncarnation,
     WrongWeights,
     WrongSalt,
@@ -23,10 +23,10 @@
     SkipsToken,
     WrongCount,
 };
-constexpr StreamFault AllStreamFaults[] = {StreamFault::BreaksOff, StreamFault::WrongAttempt, StreamFault::WrongIncarnation, StreamFault::WrongWeights,
-                                           StreamFault::WrongSalt, StreamFault::RepeatsToken, StreamFault::SkipsToken,       StreamFault::WrongCount};
+constexpr StreamFault AllStreamFaults[] = {StreamFault::ClosesEarly, StreamFault::WrongAttempt, StreamFault::WrongIncarnation, StreamFault::WrongWeights,
+                                           StreamFault::WrongSalt,   StreamFault::RepeatsToken, StreamFault::SkipsToken,       StreamFault::WrongCount};
 
-// Answers of six tokens.
+// Responds with `Tokens` tokens.
 class FaultyEngine
 {
 public:
@@ -36,16 +36,16 @@
 
     void setFault(StreamFault fault, std::uint32_t step);
     [[nodiscard]] const base::Endpoint &endpoint() const;
-    // How many requests it was given.
-    [[nodiscard]] int asked() const;
+    // Number of completion requests received.
+    [[nodiscard]] int requestCount() const;
 
 private:
-    [[nodiscard]] std::string events(StreamFault fault, const std::string &prompt) const;
+    [[nodiscard]] std::string eventStream(StreamFault fault, const std::string &prompt) const;
 
     const base::Incarnation m_incarnation;
-    std::atomic<StreamFault> m_fault = StreamFault::BreaksOff;
+    std::atomic<StreamFault> m_fault = StreamFault::ClosesEarly;
     std::atomic<std::uint32_t> m_step = 0;
-    std::atomic<int> m_asked = 0;
+    std::atomic<int> m_requestCount = 0;
     http::HttpServer m_server;
 };
 
--- a/carawaylatch/router/testing/routerfaulttest.cpp
+++ b/carawaylatch/router/testing/routerfaulttest.cpp
@@ -1,12 +1,13 @@
-// Faults at exact steps of the whole path: platform calls of an order, tokens and
-// echoes of a stream, stop and restart of routers, new weights.
+// End-to-end tests with faults at exact steps: failed platform calls of an order,
+// damaged response streams, platform outage, shutdown and restart of routers, drain and
+// a change of weights.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
 #include <thread>
 
 #include "carawaylatch/router/testing/faultyengine.h"
-#include "carawaylatch/router/testing/smallfleet.h"
+#include "carawaylatch/router/testing/testfleet.h"
 
 namespace carawaylatch::router::testing
 {
@@ -16,21 +17,22 @@
 class RouterFaultTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(RouterFaultTest);
-    CPPUNIT_TEST(testOrdersAtEveryPlatformCall);
-    CPPUNIT_TEST(testStreamsAtEveryStep);
-    CPPUNIT_TEST(testConfigurationThroughOutageAndRestart);
-    CPPUNIT_TEST(testPlannedStopFinishesStreams);
-    CPPUNIT_TEST(testDrainReachesTheOtherRouter);
-    CPPUNIT_TEST(testNewWeightsAreOrderedAndServed);
+    CPPUNIT_TEST(testOrdersWithFaultAtEveryPlatformCall);
+    CPPUNIT_TEST(testStreamsWithFaultAtEveryToken);
+    CPPUNIT_TEST(testConfigurationSurvivesOutageAndRestart);
+    CPPUNIT_TEST(testGracefulShutdownFinishesStreams);
+    CPPUNIT_TEST(testDrainReachesOtherRouter);
+    CPPUNIT_TEST(testWeightsUpdateIsRolledOut);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // An order at one router with one fault at its k-th platform call, a duplicate at
-    // the other router, and one more at the first.
-    void testOrdersAtEveryPlatformCall()
+    // An order at one router with one or three failed platform calls from the k-th on, then
+    // duplicates at the other router and again at the first: the order must be executed at
+    // most once, and the outcomes must agree with the executions.
+    void testOrdersWithFaultAtEveryPlatformCall()
     {
         constexpr std::uint64_t Calls = 6;
-        SmallFleet fleet(1);
+        TestFleet fleet(1);
         int cases = 0;
         for (const char *mode : {"down", "lose_answers"}) {
             for (std::uint64_t skip = 0; skip < Calls; ++skip) {
@@ -44,118 +46,119 @@
         std::cout << " orders: " << cases << " cases";
     }
 
-    // A refusal or an open break is honest; what looks whole must be whole and the
-    // caller's own. Each fault has a fleet of its own, since an engine that failed
-    // before is ejected and would not be asked again.
-    void testStreamsAtEveryStep()
+    // An error response or a stream that ends with an error is correct; a stream that
+    // looks complete must be complete and belong to the caller's request. Each fault
+    // gets its own fleet, since an engine that failed before is ejected and gets no
+    // further requests.
+    void testStreamsWithFaultAtEveryToken()
     {
         int cases = 0;
-        int whole = 0;
+        int completeStreams = 0;
         for (const StreamFault fault : AllStreamFaults) {
             FaultyEngine faulty;
-            SmallFleet fleet(1, {faulty.endpoint()});
+            TestFleet fleet(1, {faulty.endpoint()});
             for (std::uint32_t step = 0; step < Tokens; ++step) {
                 faulty.setFault(fault, step);
-                whole += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
+                completeStreams += checkStream(fleet, "prompt " + std::to_string(static_cast<int>(fault)) + " " + std::to_string(step), step % 2) ? 1 : 0;
                 ++cases;
             }
-            CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " was never met", faulty.asked() > 0);
+            CPPUNIT_ASSERT_MESSAGE("fault " + std::to_string(static_cast<int>(fault)) + " never occurred", faulty.requestCount() > 0);
         }
-        std::cout << " streams: " << cases << " cases, " << whole << " whole";
+        std::cout << " streams: " << cases << " cases, " << completeStreams << " whole";
     }
 
-    void testConfigurationThroughOutageAndRestart()
+    void testConfigurationSurvivesOutageAndRestart()
     {
-        SmallFleet fleet(1);
+        TestFleet fleet(1);
         fleet.awaitStatus(0, "\"revision\":1");
         fleet.platform().injectFault({"down", 0, {}, {}, 0});
         fleet.stopRouter(1);
         fleet.startRouter(1);
         fleet.awaitReady(1);
         fleet.awaitStatus(1, "\"revision\":1");
-        CPPUNIT_ASSERT(fleet.complete(1, "during the outage", Tokens).isWholeStream());
+        CPPUNIT_ASSERT(fleet.complete(1, "during the outage", Tokens).isCompleteStream());
         CPPUNIT_ASSERT_EQUAL(std::string("unknown"), fleet.order(1, "outage").orderOutcome);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.runsOf("outage"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.executionCount("outage"));
         fleet.platform().injectFault({"up", 0, {}, {}, 0});
         fleet.applyTables(2);
         fleet.awaitStatus(0, "\"revision\":2");
         fleet.awaitStatus(1, "\"revision\":2");
     }
 
-    void testPlannedStopFinishesStreams()
+    void testGracefulShutdownFinishesStreams()
     {
-        SmallFleet fleet(1);
-        constexpr std::uint32_t LongAnswer = 400;
-        CallerAnswer answer;
+        TestFleet fleet(1);
+        constexpr std::uint32_t LongResponseTokens = 400;
+        CallerResponse response;
         std::jthread caller([&] {
-            answer = fleet.complete(0, "a long answer", LongAnswer);
+            response = fleet.complete(0, "a long answer", LongResponseTokens);
         });
         while (fleet.engine(0).model().counters().jobs == 0) {
             std::this_thread::yield();
         }
         fleet.stopRouter(0);
         caller.join();
-        CPPUNIT_ASSERT(answer.isWholeStream());
-        CPPUNIT_ASSERT_EQUAL(expectedText("a long answer", LongAnswer), answer.streamedText());
+        CPPUNIT_ASSERT(response.isCompleteStream());
+        CPPUNIT_ASSERT_EQUAL(expectedText("a long answer", LongResponseTokens), response.streamedText());
     }
 
-    void testDrainReachesTheOtherRouter()
+    void testDrainReachesOtherRouter()
     {
-        SmallFleet fleet(2);
+        TestFleet fleet(2);
         fleet.drain(0, "engine-0");
         fleet.awaitStatus(1, "\"state\":\"leaving\"");
         const auto before = fleet.engine(0).model().counters().jobs;
         for (int i = 0; i < 10; ++i) {
-            CPPUNIT_ASSERT(fleet.complete(static_cast<std::size_t>(i) % 2, "after the drain " + std::to_string(i), 1).isWholeStream());
+            CPPUNIT_ASSERT(fleet.complete(static_cast<std::size_t>(i) % 2, "after the drain " + std::to_string(i), 1).isCompleteStream());
         }
         CPPUNIT_ASSERT_EQUAL(before, fleet.engine(0).model().counters().jobs);
     }
 
-    void testNewWeightsAreOrderedAndServed()
+    void testWeightsUpdateIsRolledOut()
     {
-        SmallFleet fleet(2);
+        TestFleet fleet(2);
         fleet.applyTables(2);
         for (std::size_t i = 0; i < 2; ++i) {
             while (fleet.engine(i).model().loadReport().weights.value != 2) {
                 std::this_thread::yield();
             }
         }
-        // Refusals are allowed while no engine serves; a whole answer must come in the end.
-        while (!fleet.complete(0, "new weights", Tokens).isWholeStream()) {
+        // Requests may be refused while no engine serves; eventually one must succeed.
+        while (!fleet.complete(0, "new weights", Tokens).isCompleteStream()) {
             std::this_thread::yield();
         }
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.engine(0).model().counters().wrongHits);
     }
 
 private:
-    // Returns whether the stream was whole.
-    static bool checkStream(SmallFleet &fleet, const std::string &prompt, std::size_t router)
+    // Checks a response stream; returns whether it was complete.
+    static bool checkStream(TestFleet &fleet, const std::string &prompt, std::size_t router)
     {
-        const auto answer = fleet.complete(router, prompt, Tokens);
+        const auto response = fleet.complete(router, prompt, Tokens);
         const std::string expected = expectedText(prompt, Tokens);
-        const std::string name = prompt + ": " + answer.body;
-        if (answer.isWholeStream()) {
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, expected, answer.streamedText());
+        const std::string name = prompt + ": " + response.body;
+        if (response.isCompleteStream()) {
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, expected, response.streamedText());
             return true;
         }
-        CPPUNIT_ASSERT_MESSAGE(name, expected.starts_with(answer.streamedText()));
-        CPPUNIT_ASSERT_MESSAGE(name, answer.body.find("\"error\"") != std::string::npos);
+        CPPUNIT_ASSERT_MESSAGE(name, expected.starts_with(response.streamedText()));
+        CPPUNIT_ASSERT_MESSAGE(name, response.body.find("\"error\"") != std::string::npos);
         return false;
     }
 
-    static void checkOrder(SmallFleet &fleet, const std::string &key)
+    static void checkOrder(TestFleet &fleet, const std::string &key)
     {
         bool wasDone = false;
         for (const std::size_t router : {0, 1, 0}) {
-            const auto answer = fleet.order(router, key);
-            const std::size_t runs = fleet.runsOf(key);
-            const std::string name = key + " at router " + std::to_string(router) + ": " + answer.orderOutcome + " " + answer.body;
-            CPPUNIT_ASSERT_MESSAGE(name, !answer.orderOutcome.empty());
-            CPPUNIT_ASSERT_MESSAGE(name, runs <= 1);
-            CPPUNIT_ASSERT_MESSAGE(name, answer.orderOutcome != "not_run" || runs == 0);
-            CPPUNIT_ASSERT_MESSAGE(name, answer.orderOutcome != "done" || runs == 1);
-            CPPUNIT_ASSERT_MESSAGE(name, !wasDone || answer.orderOutcome != "not_run");
-            wasDone |= answer.orderOutcome == "done";
+            const auto response = fleet.order(router, key);
+            const std::size_t executions = fleet.executionCount(key);
+            const std::string name = key + " at router " + std::to_string(router) + ": " + response.orderOutcome + " " + response.body;
+            CPPUNIT_ASSERT_MESSAGE(name, !response.orderOutcome.empty());
+            CPPUNIT_ASSERT_MESSAGE(name, executions <= 1);
+            CPPUNIT_ASSERT_MESSAGE(name, response.orderOutcome != "not_run" || executions == 0);
+            CPPUNIT_ASSERT_MESSAGE(name, response.orderOutcome != "done" || executions == 1);
+            CPPUNIT_ASSERT_MESSAGE(name, !wasDone || response.orderOutcome != "not_run");
+            wasDone |= response.orderOutcome == "done";
         }
     }
 };
--- a/carawaylatch/router/testing/smallfleet.cpp
+++ b/carawaylatch/router/testing/testfleet.cpp
@@ -1,6 +1,6 @@
-// Waits here are loops until a condition holds: a slow machine makes a test slow,
-// never wrong.
-#include "carawaylatch/router/testing/smallfleet.h"
+// Waits poll until a condition holds, without a timeout, so that a slow machine makes
+// a test slow but never fail.
+#include "carawaylatch/router/testing/testfleet.h"
 
 #include <cppunit/TestAssert.h>
 #include <httplib.h>
@@ -20,14 +20,14 @@
 {
 
 constexpr std::chrono::seconds CallTimeout{60};
-constexpr base::Duration LookInterval = base::milliseconds{5};
+constexpr base::Duration PollInterval = base::milliseconds{5};
 
 std::string text(const base::Endpoint &endpoint)
 {
     return endpoint.address + ":" + std::to_string(endpoint.port);
 }
 
-httplib::Client clientOf(const base::Endpoint &endpoint)
+httplib::Client createClient(const base::Endpoint &endpoint)
 {
     httplib::Client client(endpoint.address, endpoint.port);
     client.set_read_timeout(CallTimeout);
@@ -36,31 +36,31 @@
 
 } // namespace
 
-std::string CallerAnswer::streamedText() const
+std::string CallerResponse::streamedText() const
 {
     constexpr std::string_view Field = "data: ";
-    std::string whole;
+    std::string content;
     std::size_t at = 0;
     while ((at = body.find("data: {", at)) != std::string::npos) {
         const auto end = body.find("\n\n", at);
         const auto json = nlohmann::json::parse(body.substr(at + Field.size(), end - at - Field.size()), nullptr, false);
         if (json.contains("token_index")) {
-            whole += json["choices"][0]["text"].get<std::string>();
+            content += json["choices"][0]["text"].get<std::string>();
         }
         at = end;
     }
-    return whole;
+    return content;
 }
 
-bool CallerAnswer::isWholeStream() const
+bool CallerResponse::isCompleteStream() const
 {
     return status == 200 && body.ends_with("data: [DONE]\n\n");
 }
 
-SmallFleet::SmallFleet(std::size_t engines, const std::vector<base::Endpoint> &ownEngines)
+TestFleet::TestFleet(std::size_t engines, const std::vector<base::Endpoint> &extraEngines)
     : m_platform({})
     , m_service({})
-    , m_ownEngines(ownEngines)
+    , m_extraEngines(extraEngines)
     , m_routers(2)
 {
     CPPUNIT_ASSERT(m_platform.start() && m_service.start());
@@ -80,53 +80,53 @@
     awaitReady(1);
 }
 
-SmallFleet::~SmallFleet() = default;
+TestFleet::~TestFleet() = default;
 
-void SmallFleet::startRouter(std::size_t index)
+void TestFleet::startRouter(std::size_t index)
 {
-    m_routers[index] = std::make_unique<Router>(settingsOf(index));
+    m_routers[index] = std::make_unique<Router>(createSettings(index));
     const auto started = m_routers[index]->start();
     CPPUNIT_ASSERT_MESSAGE(started ? "" : started.error().message, started.has_value());
 }
 
-void SmallFleet::stopRouter(std::size_t index)
+void TestFleet::stopRouter(std::size_t index)
 {
     m_routers[index]->requestStop();
     CPPUNIT_ASSERT(m_routers[index]->waitUntilStopped() == StopKind::Graceful);
     m_routers[index].reset();
 }
 
-void SmallFleet::awaitReady(std::size_t index)
+void TestFleet::awaitReady(std::size_t index)
 {
-    auto client = clientOf(m_routers[index]->operatorsEndpoint());
+    auto client = createClient(m_routers[index]->operatorsEndpoint());
     while (true) {
         const auto result = client.Get("/readyz");
         if (result && result->status == 200) {
             return;
         }
-        std::this_thread::sleep_for(LookInterval);
+        std::this_thread::sleep_for(PollInterval);
     }
 }
 
-void SmallFleet::awaitStatus(std::size_t index, std::string_view part)
+void TestFleet::awaitStatus(std::size_t index, std::string_view part)
 {
-    auto client = clientOf(m_routers[index]->operatorsEndpoint());
+    auto client = createClient(m_routers[index]->operatorsEndpoint());
     while (true) {
         const auto result = client.Get("/v1/status");
         const auto json = result ? nlohmann::json::parse(result->body, nullptr, false) : nlohmann::json();
         if (json.dump().find(part) != std::string::npos) {
             return;
         }
-        std::this_thread::sleep_for(LookInterval);
+        std::this_thread::sleep_for(PollInterval);
     }
 }
 
-void SmallFleet::applyTables(std::uint32_t weightsVersion)
+void TestFleet::applyTables(std::uint32_t weightsVersion)
 {
     std::string ini = "[customer desk]\nkey_digest = " + config::keyDigest("key") + "\n[pool readers]\nfencing = checked\nmodel = clause-1\nblock_bytes = 64\n";
     ini += "weights_version = " + std::to_string(weightsVersion) + "\n";
-    for (std::size_t i = 0; i < m_ownEngines.size(); ++i) {
-        ini += "member = own-" + std::to_string(i) + " " + text(m_ownEngines[i]) + " domain-0\n";
+    for (std::size_t i = 0; i < m_extraEngines.size(); ++i) {
+        ini += "member = own-" + std::to_string(i) + " " + text(m_extraEngines[i]) + " domain-0\n";
     }
     for (std::size_t i = 0; i < m_engines.size(); ++i) {
         ini += "member = engine-" + std::to_string(i) + " " + text(m_engines[i]->endpoint()) + " domain-" + std::to_string(i % 2) + "\n";
@@ -146,27 +146,27 @@
     CPPUNIT_ASSERT_MESSAGE(accepted ? "" : accepted.error().message, accepted.has_value());
 }
 
-CallerAnswer SmallFleet::complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens)
+CallerResponse TestFleet::complete(std::size_t router, std::string_view prompt, std::uint32_t maxTokens)
 {
-    auto client = clientOf(m_routers[router]->callersEndpoint());
-    CallerAnswer answer;
+    auto client = createClient(m_routers[router]->callersEndpoint());
+    CallerResponse response;
     httplib::Request request;
     request.method = "POST";
     request.path = "/v1/completions";
     request.set_header("Authorization", "Bearer key");
     request.body = nlohmann::json{{"model", "clause-1"}, {"prompt", prompt}, {"max_tokens", maxTokens}, {"stream", true}}.dump();
-    request.content_receiver = [&answer](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
-        answer.body.append(data, n);
+    request.content_receiver = [&response](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
+        response.body.append(data, n);
         return true;
     };
     const auto result = client.send(request);
-    answer.status = result ? result->status : 0;
-    return answer;
+    response.status = result ? result->status : 0;
+    return response;
 }
 
-CallerAnswer SmallFleet::order(std::size_t router, std::string_view key)
+CallerResponse TestFleet::order(std::size_t router, std::string_view key)
 {
-    auto client = clientOf(m_routers[router]->callersEndpoint());
+    auto client = createClient(m_routers[router]->callersEndpoint());
     const httplib::Headers headers{{"Authorization", "Bearer key"}, {"Idempotency-Key", std::string(key)}};
     const auto result = client.Post("/v1/services/bookings/trucks", headers, "truck", "text/plain");
     if (!result) {
@@ -175,34 +175,34 @@
     return {result->status, result->body, result->get_header_value("X-Order-Outcome")};
 }
 
-void SmallFleet::drain(std::size_t router, std::string_view upstream)
+void TestFleet::drain(std::size_t router, std::string_view upstream)
 {
-    auto client = clientOf(m_routers[router]->operatorsEndpoint());
+    auto client = createClient(m_routers[router]->operatorsEndpoint());
     const auto result = client.Post("/v1/drain", nlohmann::json{{"upstream", upstream}}.dump(), "application/json");
     CPPUNIT_ASSERT_EQUAL(200, result->status);
 }
 
-std::size_t SmallFleet::runsOf(std::string_view key)
+std::size_t TestFleet::executionCount(std::string_view key)
 {
-    const auto journal = nlohmann::json::parse(clientOf(m_service.endpoint()).Get("/journal")->body);
-    std::size_t runs = 0;
+    const auto journal = nlohmann::json::parse(createClient(m_service.endpoint()).Get("/journal")->body);
+    std::size_t executions = 0;
     for (const auto &it : journal.at("items")) {
-        runs += it.at("key").get<std::string>().ends_with(key) ? 1 : 0;
+        executions += it.at("key").get<std::string>().ends_with(key) ? 1 : 0;
     }
-    return runs;
+    return executions;
 }
 
-standin::Platform &SmallFleet::platform()
+standin::Platform &TestFleet::platform()
 {
     return m_platform;
 }
 
-standin::Engine &SmallFleet::engine(std::size_t index)
+standin::Engine &TestFleet::engine(std::size_t index)
 {
     return *m_engines[index];
 }
 
-config::Settings SmallFleet::settingsOf(std::size_t index) const
+config::Settings TestFleet::createSettings(std::size_t index) const
 {
     config::Settings settings;
     settings.router.id = base::RouterId("router-" + std::to_string(index));
@@ -227,11 +227,11 @@
 
 std::string expectedText(std::string_view prompt, std::uint32_t tokens)
 {
-    std::string whole;
+    std::string content;
     for (std::uint32_t i = 0; i < tokens; ++i) {
-        whole += standin::tokenText(prompt, i);
+        content += standin::tokenText(prompt, i);
     }
-    return whole;
+    return content;
 }
 
 } // namespace carawaylatch::router::testing
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -1,5 +1,6 @@
-// The traffic threads' side of the router: callers' requests through the filter
-// chain to the relay, to the order desk or to a plain service.
+// Handles callers' requests on the traffic threads: runs the filter chain, then passes
+// completions to the relay, at-most-once calls to the order executor and idempotent
+// calls to a service.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +12,18 @@
 #include "carawaylatch/http/callerhandler.h"
 #include "carawaylatch/orders/orderexecutor.h"
 #include "carawaylatch/relay/relaydriver.h"
+#include "carawaylatch/router/completionplacer.h"
 #include "carawaylatch/router/filterchain.h"
-#include "carawaylatch/router/routeplacer.h"
 #include "carawaylatch/telemetry/explainreport.h"
 #include "carawaylatch/telemetry/metrics.h"
 
 namespace carawaylatch::router
 {
 
-// Parts that the traffic plane uses; all outlive it.
-struct TrafficParts
+// Dependencies of the traffic plane; all references outlive it.
+struct TrafficDependencies
 {
-    PlacingParts placing;
+    PlacementDependencies placing;
     admission::AdmissionController &admissionController;
     relay::RelayDriver &relay;
     orders::OrderExecutor &executor;
@@ -35,7 +36,7 @@
 class TrafficPlane : public http::CallerHandler, public WaitEstimator
 {
 public:
-    explicit TrafficPlane(const TrafficParts &parts);
+    explicit TrafficPlane(const TrafficDependencies &dependencies);
     ~TrafficPlane() override;
 
     void complete(const http::CompletionCall &call, relay::CallerSink &sink) override;
@@ -43,26 +44,26 @@
     [[nodiscard]] base::Result<std::vector<base::ModelId>> models(const http::CallerHead &head) override;
 
     [[nodiscard]] base::Duration expectedFirstToken(const RequestContext &context) const override;
-    // Says where a request would go and why, without running it.
+    // Returns where a request would be placed and why, without executing it.
     [[nodiscard]] base::Result<telemetry::ExplainReport> explain(const http::CompletionCall &call);
-    // Requests in flight, waiting ones included.
+    // Number of requests in flight, queued ones included.
     [[nodiscard]] std::size_t openRequests() const;
 
 private:
-    // Counts a request while it is open.
-    class OpenRequest;
+    // Counts a request as open during its lifetime.
+    class OpenRequestScope;
 
-    [[nodiscard]] RequestContext contextOf(const http::CallerHead &head) const;
-    void account(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens);
-    void accountRefusal(const RequestContext &context, const base::Error &error);
+    [[nodiscard]] RequestContext createContext(const http::CallerHead &head) const;
+    void recordMetrics(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens);
+    void recordRefusal(const RequestContext &context, const base::Error &error);
     [[nodiscard]] http::ServiceReply runOrder(const http::ServiceCall &call, RequestContext &context);
-    [[nodiscard]] http::ServiceReply runPlainCall(const http::ServiceCall &call, RequestContext &context);
+    [[nodiscard]] http::ServiceReply runIdempotentCall(const http::ServiceCall &call, RequestContext &context);
     [[nodiscard]] orders::ServiceRequest serviceRequest(const http::ServiceCall &call, const RequestContext &context) const;
 
-    TrafficParts m_parts;
+    TrafficDependencies m_dependencies;
     std::vector<std::unique_ptr<Filter>> m_filters; // of every request
-    std::vector<std::unique_ptr<Filter>> m_explainFilters; // the same without admission
-    std::atomic<std::size_t> m_open = 0;
+    std::vector<std::unique_ptr<Filter>> m_explainFilters; // the same without Admit
+    std::atomic<std::size_t> m_openRequests = 0;
 };
 
 } // namespace carawaylatch::router
--- a/carawaylatch/router/upstreamcontroller.cpp
+++ b/carawaylatch/router/upstreamcontroller.cpp
@@ -1,16 +1,17 @@
-// A leaving mark spreads as a rumour: whoever hears of it first sends it to
-// FanOut other routers at once and, against losses and cuts, to FanOut others
-// every SpreadInterval for SpreadPeriod. A fleet of up to FanOut + 1 routers so
-// hears it in one step; in a fleet of n, a few steps of FanOut each reach all but
-// a share of about exp(-FanOut) in each round, and no router sends more than
-// FanOut messages a round. After a freeze marks are asked for in full.
+// Leaving marks spread by gossip. A router that learns of a new mark sends it to
+// GossipFanOut random routers at once and, since messages can be lost or the network
+// partitioned, to GossipFanOut random routers every GossipInterval for GossipPeriod.
+// A fleet of up to GossipFanOut + 1 routers receives a mark in one hop. In a larger
+// fleet a few hops reach all routers but a share of about exp(-GossipFanOut) in each
+// round, and no router sends more than GossipFanOut messages per round. After the
+// process was suspended, all marks are requested from the other routers.
 #include "carawaylatch/router/upstreamcontroller.h"
 
 #include <algorithm>
 #include <variant>
 
 #include "carawaylatch/base/logevents.h"
-#include "carawaylatch/router/shownstate.h"
+#include "carawaylatch/router/telemetrystate.h"
 
 namespace carawaylatch::router
 {
@@ -19,28 +20,28 @@
 {
 
 constexpr base::Duration TickInterval = base::milliseconds{100};
-constexpr std::size_t FanOut = 8; // routers told in one round
-constexpr base::Duration SpreadInterval = base::milliseconds{500};
-constexpr base::Duration SpreadPeriod = base::seconds{3};
-constexpr std::size_t MaxRecentMarks = 256; // beyond it the oldest is repeated no more
-constexpr std::uint32_t MinCapacity = 4; // requests in flight while no upstream is known
+constexpr std::size_t GossipFanOut = 8; // receivers in one round
+constexpr base::Duration GossipInterval = base::milliseconds{500};
+constexpr base::Duration GossipPeriod = base::seconds{3};
+constexpr std::size_t MaxRecentMarks = 256; // if exceeded, gossip of the oldest mark ends early
+constexpr std::uint32_t MinCapacity = 4; // requests in flight while no upstream is live
 
 } // namespace
 
-UpstreamController::UpstreamController(const ControlParts &parts, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
+UpstreamController::UpstreamController(const ControllerDependencies &dependencies, ControlState &state, PeerBus &bus, http::UpstreamClient &client,
                                        admission::AdmissionController &admissionController, telemetry::Metrics &metrics)
-    : m_parts(parts)
+    : m_dependencies(dependencies)
     , m_state(state)
     , m_bus(bus)
     , m_admissionController(admissionController)
     , m_metrics(metrics)
-    , m_poller(client, parts.knowledge.caches, parts.settings.timings.loadPoll,
+    , m_poller(client, dependencies.routingState.caches, dependencies.settings.timings.loadPoll,
                [this](const auto &id, const auto &report) {
-                   m_parts.loop.post([this, id, report](base::TimePoint now) {
+                   m_dependencies.loop.post([this, id, report](base::TimePoint now) {
                        onReport(id, report, now);
                    });
                })
-    , m_random(base::combineHashes(parts.settings.routing.seed, parts.incarnation.value))
+    , m_random(base::combineHashes(dependencies.settings.routing.seed, dependencies.incarnation.value))
 {
     m_bus.subscribe<peer::MarksMessage>([this](const auto &, const peer::MarksMessage &message, base::TimePoint now) {
         importMarks(message.marks, now);
@@ -54,11 +55,11 @@
 
 void UpstreamController::start(base::TimePoint now)
 {
-    m_tick = m_parts.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
+    m_tickTimer = m_dependencies.loop.timers().every(now, TickInterval, [this](base::TimePoint at) {
         advance(at);
     });
-    m_spread = m_parts.loop.timers().every(now, SpreadInterval, [this](base::TimePoint at) {
-        spreadRecent(at);
+    m_gossipTimer = m_dependencies.loop.timers().every(now, GossipInterval, [this](base::TimePoint at) {
+        gossipRecentMarks(at);
     });
     m_poller.start();
 }
@@ -72,13 +73,13 @@
 {
     m_registry.configure(tables, now);
     advance(now);
-    retarget(tables);
+    updatePollTargets(tables);
 }
 
-void UpstreamController::onAttempt(const AttemptNotice &notice, base::TimePoint now)
+void UpstreamController::onAttempt(const AttemptReport &attempt, base::TimePoint now)
 {
-    m_registry.onAttempt(notice.upstream, notice.incarnation, notice.outcome, now);
-    if (notice.outcome != upstreams::AttemptOutcome::Succeeded) {
+    m_registry.onAttempt(attempt.upstream, attempt.incarnation, attempt.outcome, now);
+    if (attempt.outcome != upstreams::AttemptOutcome::Succeeded) {
         advance(now);
     }
 }
@@ -112,7 +113,7 @@
     return m_registry.exportMarks();
 }
 
-std::size_t UpstreamController::answeringCount(base::TimePoint now) const
+std::size_t UpstreamController::availableCount(base::TimePoint now) const
 {
     const auto view = m_registry.view();
     return static_cast<std::size_t>(std::count_if(view->upstreams.begin(), view->upstreams.end(), [now](const upstreams::UpstreamStatus &it) {
@@ -130,7 +131,7 @@
     m_registry.onLoadReport(id, report.value(), now);
     const auto *status = m_registry.view()->find(id);
     if (status != nullptr && status->incarnation == report.value().incarnation) {
-        m_parts.knowledge.inflight.onLoadReport(status->slot, report.value());
+        m_dependencies.routingState.inflight.onLoadReport(status->slot, report.value());
     }
     advance(now);
 }
@@ -139,7 +140,7 @@
 {
     m_registry.onTick(now);
     for (const auto &it : m_registry.takeActions()) {
-        carryOut(it, now);
+        executeAction(it, now);
     }
     const auto view = m_registry.view();
     if (view != m_state.snapshot().upstreams) {
@@ -148,11 +149,11 @@
     }
 }
 
-void UpstreamController::carryOut(const upstreams::RegistryAction &action, base::TimePoint now)
+void UpstreamController::executeAction(const upstreams::RegistryAction &action, base::TimePoint now)
 {
     if (const auto *adopted = std::get_if<upstreams::AdoptIncarnation>(&action)) {
-        auto &caches = m_parts.knowledge.caches;
-        m_parts.knowledge.inflight.onIncarnation(adopted->slot);
+        auto &caches = m_dependencies.routingState.caches;
+        m_dependencies.routingState.inflight.onIncarnation(adopted->slot);
         if (adopted->incarnation.value == 0) {
             caches.invalidate(adopted->slot);
         } else {
@@ -160,11 +161,11 @@
         }
         base::logEvent(base::LogEvent::UpstreamAdopted, {{"upstream", adopted->upstream.value()}, {"incarnation", std::to_string(adopted->incarnation.value)}});
     } else if (const auto *announced = std::get_if<upstreams::AnnounceMark>(&action)) {
-        announce(announced->mark, now);
+        announceMark(announced->mark, now);
     } else {
         const auto others = otherRouters();
         if (others.empty()) {
-            m_registry.onMarksSynchronised(m_parts.clock.now());
+            m_registry.onMarksSynchronised(m_dependencies.clock.now());
         }
         for (const auto &it : others) {
             m_bus.send(it, peer::MarksRequest{});
@@ -172,7 +173,7 @@
     }
 }
 
-void UpstreamController::announce(const upstreams::LeavingMark &mark, base::TimePoint now)
+void UpstreamController::announceMark(const upstreams::LeavingMark &mark, base::TimePoint now)
 {
     base::logEvent(mark.isLeaving() ? base::LogEvent::UpstreamLeaving : base::LogEvent::UpstreamReturned,
                    {{"upstream", mark.upstream.value()}, {"incarnation", std::to_string(mark.incarnation.value)}});
@@ -180,12 +181,12 @@
     if (m_recentMarks.size() > MaxRecentMarks) {
         m_recentMarks.pop_front();
     }
-    spread({&mark, 1});
+    gossipMarks({&mark, 1});
 }
 
-void UpstreamController::spreadRecent(base::TimePoint now)
+void UpstreamController::gossipRecentMarks(base::TimePoint now)
 {
-    while (!m_recentMarks.empty() && now - m_recentMarks.front().heardAt > SpreadPeriod) {
+    while (!m_recentMarks.empty() && now - m_recentMarks.front().receivedAt > GossipPeriod) {
         m_recentMarks.pop_front();
     }
     std::vector<upstreams::LeavingMark> marks;
@@ -193,20 +194,20 @@
         marks.push_back(it.mark);
     }
     if (!marks.empty()) {
-        spread(marks);
+        gossipMarks(marks);
     }
 }
 
-void UpstreamController::spread(std::span<const upstreams::LeavingMark> marks)
+void UpstreamController::gossipMarks(std::span<const upstreams::LeavingMark> marks)
 {
     auto others = otherRouters();
-    for (std::size_t i = 0; i < std::min(FanOut, others.size()); ++i) {
+    for (std::size_t i = 0; i < std::min(GossipFanOut, others.size()); ++i) {
         std::swap(others[i], others[i + m_random.below(others.size() - i)]);
         m_bus.send(others[i], peer::MarksMessage{{marks.begin(), marks.end()}});
     }
 }
 
-void UpstreamController::retarget(const config::Tables &tables)
+void UpstreamController::updatePollTargets(const config::Tables &tables)
 {
     std::vector<PollTarget> targets;
     const auto view = m_registry.view();
@@ -232,9 +233,9 @@
     std::uint32_t capacity = 0;
     for (const auto &it : view.upstreams) {
         if (it.state == upstreams::UpstreamState::Live) {
-            capacity += m_parts.knowledge.inflight.limit(it.slot);
+            capacity += m_dependencies.routingState.inflight.limit(it.slot);
         }
-        m_metrics.setUpstreamState(it.id, shownState(it.state));
+        m_metrics.setUpstreamState(it.id, toTelemetryState(it.state));
     }
     m_admissionController.setCapacity(std::max(MinCapacity, capacity));
 }
