--- a/carawaylatch/router.h
+++ b/carawaylatch/router.h
@@ -58,7 +58,7 @@
 //     carawaylatch/membership/memberlist.h          membership and failure detection
 //     carawaylatch/store/objectstore.h              storage interface that an embedder implements
 //
-// examples/placement.cpp embeds only the strategy, examples/orderguard.cpp only the
+// examples/placement.cpp embeds only the strategy, examples/orderexecutor.cpp only the
 // order executor. To build against an installed tree:
 //
 //     find_package(carawaylatch REQUIRED)
