--- a/carawaylatch/http/callerhandler.h
+++ b/carawaylatch/http/callerhandler.h
@@ -17,7 +17,7 @@
 {
 
 // What every request of a caller carries.
-struct CallerHead
+struct RequestMetadata
 {
     std::string bearerKey; // empty without one
     std::string requestId; // the caller's or a new one
@@ -28,7 +28,7 @@
 
 struct CompletionCall
 {
-    CallerHead head;
+    RequestMetadata metadata;
     base::ModelId model;
     std::string prompt; // chat messages joined as the engine reads them
     std::uint32_t maxTokens = 0;
@@ -36,7 +36,7 @@
 
 struct ServiceCall
 {
-    CallerHead head;
+    RequestMetadata metadata;
     std::string method;
     std::string contentType;
     std::string body;
@@ -52,11 +52,11 @@
     Running,
 };
 
-struct ServiceReply
+struct ServiceResult
 {
     OrderOutcome outcome = OrderOutcome::None;
     bool isReplayed = false; // a stored answer of an earlier request
-    orders::ServiceAnswer answer; // set unless there is an error
+    orders::ServiceAnswer response; // set unless there is an error
     std::optional<base::Error> error;
 };
 
@@ -67,8 +67,8 @@
     virtual ~CallerHandler() = default;
     // Runs the request and gives the sink its whole answer or an error.
     virtual void complete(const CompletionCall &call, relay::CallerSink &sink) = 0;
-    [[nodiscard]] virtual ServiceReply callService(const ServiceCall &call) = 0;
-    [[nodiscard]] virtual base::Result<std::vector<base::ModelId>> models(const CallerHead &head) = 0;
+    [[nodiscard]] virtual ServiceResult callService(const ServiceCall &call) = 0;
+    [[nodiscard]] virtual base::Result<std::vector<base::ModelId>> models(const RequestMetadata &head) = 0;
 };
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/callerjson.cpp
+++ b/carawaylatch/http/callerjson.cpp
@@ -78,7 +78,7 @@
     return json;
 }
 
-Json envelope(const AnswerIdentity &identity, Streaming streaming, std::string_view text, const Json &finishReason)
+Json envelope(const CompletionIdentity &identity, Streaming streaming, std::string_view text, const Json &finishReason)
 {
     const std::string_view object = identity.form == CompletionForm::Text ? "text_completion"
                                     : streaming == Streaming::On          ? "chat.completion.chunk"
@@ -149,14 +149,14 @@
     return completion;
 }
 
-std::string encodeTokenEvent(const AnswerIdentity &identity, std::uint64_t index, std::string_view text)
+std::string encodeTokenEvent(const CompletionIdentity &identity, std::uint64_t index, std::string_view text)
 {
     Json json = envelope(identity, Streaming::On, text, nullptr);
     json["token_index"] = index;
     return event(json);
 }
 
-std::string encodeFinalEvent(const AnswerIdentity &identity, const relay::DoneEvent &done)
+std::string encodeFinalEvent(const CompletionIdentity &identity, const relay::DoneEvent &done)
 {
     Json json = envelope(identity, Streaming::On, "", done.finishReason);
     addUsage(json, done);
@@ -168,7 +168,7 @@
     return event(errorJson(error));
 }
 
-std::string encodeAnswer(const AnswerIdentity &identity, std::string_view text, const relay::DoneEvent &done)
+std::string encodeCompletion(const CompletionIdentity &identity, std::string_view text, const relay::DoneEvent &done)
 {
     Json json = envelope(identity, Streaming::Off, text, done.finishReason);
     addUsage(json, done);
--- a/carawaylatch/http/callerjson.h
+++ b/carawaylatch/http/callerjson.h
@@ -39,7 +39,7 @@
 [[nodiscard]] base::Result<CompletionBody> decodeCompletion(std::string_view body, CompletionForm form);
 
 // Parts of an answer's identity that each chunk repeats.
-struct AnswerIdentity
+struct CompletionIdentity
 {
     std::string requestId;
     base::ModelId model;
@@ -47,11 +47,11 @@
 };
 
 // Each returns one complete server-sent event.
-[[nodiscard]] std::string encodeTokenEvent(const AnswerIdentity &identity, std::uint64_t index, std::string_view text);
-[[nodiscard]] std::string encodeFinalEvent(const AnswerIdentity &identity, const relay::DoneEvent &done);
+[[nodiscard]] std::string encodeTokenEvent(const CompletionIdentity &identity, std::uint64_t index, std::string_view text);
+[[nodiscard]] std::string encodeFinalEvent(const CompletionIdentity &identity, const relay::DoneEvent &done);
 [[nodiscard]] std::string encodeErrorEvent(const base::Error &error);
 
-[[nodiscard]] std::string encodeAnswer(const AnswerIdentity &identity, std::string_view text, const relay::DoneEvent &done);
+[[nodiscard]] std::string encodeCompletion(const CompletionIdentity &identity, std::string_view text, const relay::DoneEvent &done);
 [[nodiscard]] std::string encodeError(const base::Error &error);
 [[nodiscard]] std::string encodeModels(std::span<const base::ModelId> models);
 
--- a/carawaylatch/http/callerrequest.cpp
+++ b/carawaylatch/http/callerrequest.cpp
@@ -61,9 +61,9 @@
 
 } // namespace
 
-base::Result<CallerHead> readCallerHead(const httplib::Request &request)
+base::Result<RequestMetadata> readRequestMetadata(const httplib::Request &request)
 {
-    CallerHead head;
+    RequestMetadata head;
     const std::string requestId = request.get_header_value("X-Request-Id");
     head.requestId = isPlainId(requestId) ? requestId : std::string();
     head.bearerKey = bearerKey(request);
@@ -75,7 +75,7 @@
     return head;
 }
 
-void answerError(httplib::Response &response, const base::Error &error)
+void respondWithError(httplib::Response &response, const base::Error &error)
 {
     response.status = httpStatus(error.kind);
     if (error.retryAfter > base::Duration{}) {
--- a/carawaylatch/http/callerrequest.h
+++ b/carawaylatch/http/callerrequest.h
@@ -16,9 +16,9 @@
 
 // Returns what every request carries, or InvalidArgument that names the header.
 // The request id is empty if the caller sent none, or one that is no plain word.
-[[nodiscard]] base::Result<CallerHead> readCallerHead(const httplib::Request &request);
+[[nodiscard]] base::Result<RequestMetadata> readRequestMetadata(const httplib::Request &request);
 
 // Answers with the error's status, body and Retry-After.
-void answerError(httplib::Response &response, const base::Error &error);
+void respondWithError(httplib::Response &response, const base::Error &error);
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/callersserver.cpp
+++ b/carawaylatch/http/callersserver.cpp
@@ -72,7 +72,7 @@
             explainStatus(response);
         });
         server.set_exception_handler([](const httplib::Request &, httplib::Response &response, const std::exception_ptr &) {
-            answerError(response, base::fail(base::ErrorKind::Internal, "the router failed on this request; report its request id"));
+            respondWithError(response, base::fail(base::ErrorKind::Internal, "the router failed on this request; report its request id"));
         });
     }
 
@@ -122,9 +122,9 @@
     }
 
     // Reads what every request carries; sets the answer's request id.
-    base::Result<CallerHead> headOf(const httplib::Request &request, httplib::Response &response)
+    base::Result<RequestMetadata> headOf(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = readCallerHead(request);
+        auto head = readRequestMetadata(request);
         if (head && head.value().requestId.empty()) {
             head.value().requestId = toHex(base::combineHashes(m_idSeed, ++m_requests));
         }
@@ -138,17 +138,17 @@
     {
         auto head = headOf(request, response);
         if (!head) {
-            answerError(response, head.error());
+            respondWithError(response, head.error());
             return;
         }
         auto body = decodeCompletion(request.body, form);
         if (!body) {
-            answerError(response, body.error());
+            respondWithError(response, body.error());
             return;
         }
-        const AnswerIdentity identity{head.value().requestId, body.value().model, form};
+        const CompletionIdentity identity{head.value().requestId, body.value().model, form};
         auto call = std::make_shared<CompletionCall>();
-        call->head = std::move(head).value();
+        call->metadata = std::move(head).value();
         call->model = body.value().model;
         call->maxTokens = body.value().maxTokens;
         call->prompt = std::move(body.value().prompt);
@@ -159,25 +159,25 @@
         }
     }
 
-    void answerWhole(const CompletionCall &call, const AnswerIdentity &identity, httplib::Response &response)
+    void answerWhole(const CompletionCall &call, const CompletionIdentity &identity, httplib::Response &response)
     {
         relay::CollectingSink sink;
         m_handler.complete(call, sink);
         if (sink.done()) {
-            response.set_content(encodeAnswer(identity, sink.text(), *sink.done()), JsonType);
+            response.set_content(encodeCompletion(identity, sink.text(), *sink.done()), JsonType);
         } else {
-            answerError(response, sink.error().value_or(base::fail(base::ErrorKind::Internal, "the router gave no answer; report the request id")));
+            respondWithError(response, sink.error().value_or(base::fail(base::ErrorKind::Internal, "the router gave no answer; report the request id")));
         }
     }
 
-    void stream(std::shared_ptr<CompletionCall> call, const AnswerIdentity &identity, httplib::Response &response)
+    void stream(std::shared_ptr<CompletionCall> call, const CompletionIdentity &identity, httplib::Response &response)
     {
         auto bridge = std::make_shared<StreamBridge>(identity);
         m_relayThreads.enqueue([this, call = std::move(call), bridge] {
             m_handler.complete(*call, *bridge);
         });
         if (bridge->waitForOpening() == StreamBridge::Opening::Refused) {
-            answerError(response, bridge->error());
+            respondWithError(response, bridge->error());
             return;
         }
         response.set_header("Cache-Control", "no-store");
@@ -214,23 +214,23 @@
     {
         const auto head = headOf(request, response);
         if (!head) {
-            answerError(response, head.error());
+            respondWithError(response, head.error());
             return;
         }
         const auto models = m_handler.models(head.value());
-        models ? response.set_content(encodeModels(models.value()), JsonType) : answerError(response, models.error());
+        models ? response.set_content(encodeModels(models.value()), JsonType) : respondWithError(response, models.error());
     }
 
     void callService(const httplib::Request &request, httplib::Response &response)
     {
         auto head = headOf(request, response);
         if (!head) {
-            answerError(response, head.error());
+            respondWithError(response, head.error());
             return;
         }
         ServiceCall call;
-        call.head = std::move(head).value();
-        call.head.path = request.target;
+        call.metadata = std::move(head).value();
+        call.metadata.path = request.target;
         call.method = request.method;
         call.contentType = request.get_header_value("Content-Type");
         call.body = request.body;
@@ -238,7 +238,7 @@
         answerService(m_handler.callService(call), response);
     }
 
-    static void answerService(const ServiceReply &reply, httplib::Response &response)
+    static void answerService(const ServiceResult &reply, httplib::Response &response)
     {
         static constexpr std::string_view OutcomeNames[] = {"", "done", "not_run", "unknown", "running"};
         if (reply.outcome != OrderOutcome::None) {
@@ -248,11 +248,11 @@
             response.set_header("X-Order-Replayed", "true");
         }
         if (reply.error) {
-            answerError(response, *reply.error);
+            respondWithError(response, *reply.error);
             return;
         }
-        response.status = reply.answer.status;
-        response.set_content(reply.answer.body, reply.answer.contentType);
+        response.status = reply.response.status;
+        response.set_content(reply.response.body, reply.response.contentType);
     }
 
     CallersServerOptions m_options;
--- a/carawaylatch/http/engineclient.cpp
+++ b/carawaylatch/http/engineclient.cpp
@@ -137,7 +137,7 @@
 class EngineClient::Impl
 {
 public:
-    Impl(base::Duration connectTimeout, LeavingNotice onLeaving)
+    Impl(base::Duration connectTimeout, LeavingCallback onLeaving)
         : m_connectTimeout(connectTimeout)
         , m_onLeaving(std::move(onLeaving))
     {
@@ -241,12 +241,12 @@
     }
 
     const base::Duration m_connectTimeout;
-    const LeavingNotice m_onLeaving;
+    const LeavingCallback m_onLeaving;
     std::mutex m_mutex;
     std::map<base::AttemptId, Running> m_running; // guarded by m_mutex; clients live in run()
 };
 
-EngineClient::EngineClient(base::Duration connectTimeout, LeavingNotice onLeaving)
+EngineClient::EngineClient(base::Duration connectTimeout, LeavingCallback onLeaving)
     : m_impl(std::make_unique<Impl>(connectTimeout, std::move(onLeaving)))
 {
 }
--- a/carawaylatch/http/engineclient.h
+++ b/carawaylatch/http/engineclient.h
@@ -14,9 +14,9 @@
 {
 public:
     // Told when an engine refused because it leaves. Called from traffic threads.
-    using LeavingNotice = std::function<void(const base::UpstreamId &upstream)>;
+    using LeavingCallback = std::function<void(const base::UpstreamId &upstream)>;
 
-    explicit EngineClient(base::Duration connectTimeout, LeavingNotice onLeaving = {});
+    explicit EngineClient(base::Duration connectTimeout, LeavingCallback onLeaving = {});
     ~EngineClient() override;
 
     void run(const relay::EngineRequest &request, relay::EngineListener &listener) override;
--- a/carawaylatch/http/operatorsserver.cpp
+++ b/carawaylatch/http/operatorsserver.cpp
@@ -93,31 +93,31 @@
 
     void explain(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = readCallerHead(request);
+        auto head = readRequestMetadata(request);
         auto body = decodeCompletion(request.body, request.body.find("\"messages\"") == std::string::npos ? CompletionForm::Text : CompletionForm::Chat);
         if (!head || !body) {
-            answerError(response, head ? body.error() : head.error());
+            respondWithError(response, head ? body.error() : head.error());
             return;
         }
         CompletionCall call;
-        call.head = std::move(head).value();
-        call.head.path = request.has_param("path") ? request.get_param_value("path") : "/v1/completions";
+        call.metadata = std::move(head).value();
+        call.metadata.path = request.has_param("path") ? request.get_param_value("path") : "/v1/completions";
         call.model = body.value().model;
         call.prompt = std::move(body.value().prompt);
         call.maxTokens = body.value().maxTokens;
         const auto report = m_handler.explainJson(call);
-        report ? response.set_content(report.value(), JsonType) : answerError(response, report.error());
+        report ? response.set_content(report.value(), JsonType) : respondWithError(response, report.error());
     }
 
     void change(const httplib::Request &request, httplib::Response &response, base::Result<void> (OperatorHandler::*action)(const base::UpstreamId &))
     {
         const auto upstream = upstreamOf(request.body);
         if (!upstream) {
-            answerError(response, upstream.error());
+            respondWithError(response, upstream.error());
             return;
         }
         const auto done = (m_handler.*action)(upstream.value());
-        done ? response.set_content("{}", JsonType) : answerError(response, done.error());
+        done ? response.set_content("{}", JsonType) : respondWithError(response, done.error());
     }
 
     OperatorHandler &m_handler;
--- a/carawaylatch/http/streambridge.cpp
+++ b/carawaylatch/http/streambridge.cpp
@@ -6,7 +6,7 @@
 namespace carawaylatch::http
 {
 
-StreamBridge::StreamBridge(AnswerIdentity identity)
+StreamBridge::StreamBridge(CompletionIdentity identity)
     : m_identity(std::move(identity))
 {
 }
--- a/carawaylatch/http/streambridge.h
+++ b/carawaylatch/http/streambridge.h
@@ -35,7 +35,7 @@
         Broken, // the error event is in the buffer or written
     };
 
-    explicit StreamBridge(AnswerIdentity identity);
+    explicit StreamBridge(CompletionIdentity identity);
 
     // The relay's side.
     [[nodiscard]] relay::CallerState begin(const relay::AttemptPlan &plan) override;
@@ -52,7 +52,7 @@
     void callerLeft();
 
 private:
-    const AnswerIdentity m_identity;
+    const CompletionIdentity m_identity;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     // All below are guarded by m_mutex.
--- a/carawaylatch/http/testing/callersservertest.cpp
+++ b/carawaylatch/http/testing/callersservertest.cpp
@@ -26,12 +26,12 @@
         onComplete(sink);
         ++completed;
     }
-    ServiceReply callService(const ServiceCall &call) override
+    ServiceResult callService(const ServiceCall &call) override
     {
         lastService = call;
         return reply;
     }
-    base::Result<std::vector<base::ModelId>> models(const CallerHead &) override
+    base::Result<std::vector<base::ModelId>> models(const RequestMetadata &) override
     {
         return std::vector<base::ModelId>{base::ModelId("clause-1")};
     }
@@ -39,7 +39,7 @@
     std::function<void(relay::CallerSink &sink)> onComplete;
     CompletionCall lastCall;
     ServiceCall lastService;
-    ServiceReply reply;
+    ServiceResult reply;
     std::atomic<int> completed = 0;
 };
 
@@ -92,8 +92,8 @@
         CPPUNIT_ASSERT(result->body.find("\"token_index\":2") != std::string::npos);
         CPPUNIT_ASSERT(result->body.find("\"cached_tokens\":4") != std::string::npos);
         CPPUNIT_ASSERT(!result->get_header_value("X-Request-Id").empty());
-        CPPUNIT_ASSERT_EQUAL(std::string("k"), m_handler.lastCall.head.bearerKey);
-        CPPUNIT_ASSERT(m_handler.lastCall.head.deadline == base::Duration(base::milliseconds{900}));
+        CPPUNIT_ASSERT_EQUAL(std::string("k"), m_handler.lastCall.metadata.bearerKey);
+        CPPUNIT_ASSERT(m_handler.lastCall.metadata.deadline == base::Duration(base::milliseconds{900}));
     }
 
     void testWholeAnswer()
@@ -225,14 +225,14 @@
         auto client = clientOf();
         m_handler.reply.outcome = OrderOutcome::Done;
         m_handler.reply.isReplayed = true;
-        m_handler.reply.answer = {201, "text/plain", "booked", {}, {}};
+        m_handler.reply.response = {201, "text/plain", "booked", {}, {}};
         auto result = client.Put("/v1/services/bookings/trucks?day=2", {{"Idempotency-Key", "k1"}}, "truck", "text/plain");
         CPPUNIT_ASSERT_EQUAL(201, result->status);
         CPPUNIT_ASSERT_EQUAL(std::string("booked"), result->body);
         CPPUNIT_ASSERT_EQUAL(std::string("done"), result->get_header_value("X-Order-Outcome"));
         CPPUNIT_ASSERT_EQUAL(std::string("true"), result->get_header_value("X-Order-Replayed"));
         CPPUNIT_ASSERT_EQUAL(std::string("PUT"), m_handler.lastService.method);
-        CPPUNIT_ASSERT_EQUAL(std::string("/v1/services/bookings/trucks?day=2"), m_handler.lastService.head.path);
+        CPPUNIT_ASSERT_EQUAL(std::string("/v1/services/bookings/trucks?day=2"), m_handler.lastService.metadata.path);
         CPPUNIT_ASSERT_EQUAL(std::string("k1"), m_handler.lastService.idempotencyKey);
         m_handler.reply = {OrderOutcome::NotRun, false, {}, base::fail(base::ErrorKind::NotRun, "not run", base::seconds{1})};
         result = client.Get("/v1/services/bookings");
--- a/carawaylatch/peer/gate.h
+++ b/carawaylatch/peer/authenticatedcodec.h
@@ -9,17 +9,17 @@
 
 #include "carawaylatch/peer/codec.h"
 #include "carawaylatch/peer/message.h"
-#include "carawaylatch/peer/seal.h"
+#include "carawaylatch/peer/messageauthenticator.h"
 #include "carawaylatch/peer/transport.h"
 
 namespace carawaylatch::peer
 {
 
 // Not thread-safe.
-class Gate
+class AuthenticatedCodec
 {
 public:
-    Gate(PeerIdentity self, std::string key);
+    AuthenticatedCodec(PeerIdentity self, std::string key);
     // Returns a message's sealed bytes; numbers it.
     [[nodiscard]] std::string wrap(const PeerMessage &message);
     // Returns the message, or why it is refused.
@@ -27,8 +27,8 @@
 
 private:
     PeerIdentity m_self;
-    Seal m_seal;
-    ReplayGuard m_replays;
+    MessageAuthenticator m_seal;
+    ReplayFilter m_replays;
     std::uint64_t m_sequence = 0;
 };
 
--- a/carawaylatch/peer/http2session.cpp
+++ b/carawaylatch/peer/http2session.cpp
@@ -212,7 +212,7 @@
     return std::exchange(m_requests, {});
 }
 
-std::vector<Http2Session::Answer> Http2Session::takeAnswers()
+std::vector<Http2Session::Response> Http2Session::takeResponses()
 {
     return std::exchange(m_answers, {});
 }
--- a/carawaylatch/peer/http2session.h
+++ b/carawaylatch/peer/http2session.h
@@ -30,7 +30,7 @@
         bool isTooLarge = false;
     };
     // The end of a request as the client side sees it.
-    struct Answer
+    struct Response
     {
         std::int32_t stream = 0;
         int status = 0; // zero if the stream broke
@@ -51,7 +51,7 @@
     // Server: answers a request.
     void respond(std::int32_t stream, int status);
     [[nodiscard]] std::vector<Request> takeRequests();
-    [[nodiscard]] std::vector<Answer> takeAnswers();
+    [[nodiscard]] std::vector<Response> takeResponses();
 
 private:
     struct Callbacks; // nghttp2's, in the .cpp
@@ -70,7 +70,7 @@
     std::map<std::int32_t, Stream> m_streams;
     std::size_t m_buffered = 0; // bytes of received bodies in m_streams
     std::vector<Request> m_requests;
-    std::vector<Answer> m_answers;
+    std::vector<Response> m_answers;
 };
 
 } // namespace carawaylatch::peer
--- a/carawaylatch/peer/http2transport.cpp
+++ b/carawaylatch/peer/http2transport.cpp
@@ -23,7 +23,7 @@
 #include <thread>
 #include <utility>
 
-#include "carawaylatch/peer/gate.h"
+#include "carawaylatch/peer/authenticatedcodec.h"
 #include "carawaylatch/peer/http2session.h"
 
 namespace carawaylatch::peer
@@ -140,7 +140,7 @@
     asio::steady_timer m_housekeeping;
     std::thread m_thread; // runs m_context; all below but the counters belong to it
     Handler m_handler;
-    Gate m_gate;
+    AuthenticatedCodec m_gate;
     std::map<base::Endpoint, ConnectionPointer> m_clients; // at most maxConnections
     std::list<ConnectionPointer> m_servers; // at most ServerConnectionFactor times maxConnections
     base::Endpoint m_endpoint; // set before the thread starts
@@ -357,7 +357,7 @@
         connection->usedAt = m_clock.now();
         receive(connection, it);
     }
-    for (const auto &it : connection->session.takeAnswers()) {
+    for (const auto &it : connection->session.takeResponses()) {
         if (const auto sent = connection->unanswered.find(it.stream); sent != connection->unanswered.end()) {
             connection->waitingBytes -= sent->second.bytes;
             connection->unanswered.erase(sent);
--- a/carawaylatch/peer/seal.cpp
+++ b/carawaylatch/peer/messageauthenticator.cpp
@@ -5,7 +5,7 @@
 // one life of a sender, since a new life counts from the start. It is wide because
 // a large message on a stream of its own is overtaken by all small ones that are
 // sent while it is under way.
-#include "carawaylatch/peer/seal.h"
+#include "carawaylatch/peer/messageauthenticator.h"
 
 #include <openssl/crypto.h>
 #include <openssl/hmac.h>
@@ -33,19 +33,19 @@
 
 } // namespace
 
-Seal::Seal(std::string key)
+MessageAuthenticator::MessageAuthenticator(std::string key)
     : m_key(std::move(key))
 {
 }
 
-std::string Seal::close(std::string bytes) const
+std::string MessageAuthenticator::close(std::string bytes) const
 {
     const auto digest = digestOf(m_key, bytes);
     bytes.append(reinterpret_cast<const char *>(digest.data()), digest.size());
     return bytes;
 }
 
-base::Result<std::string_view> Seal::open(std::string_view sealed) const
+base::Result<std::string_view> MessageAuthenticator::open(std::string_view sealed) const
 {
     if (sealed.size() >= SealBytes) {
         const auto bytes = sealed.substr(0, sealed.size() - SealBytes);
@@ -57,7 +57,7 @@
     return base::fail(base::ErrorKind::Unauthenticated, "a message is not sealed with this fleet's key; give all routers the same key in [peers]");
 }
 
-bool ReplayGuard::admit(const PeerIdentity &sender, std::uint64_t sequence)
+bool ReplayFilter::admit(const PeerIdentity &sender, std::uint64_t sequence)
 {
     const std::pair key(sender.id, sender.incarnation);
     if (!m_windows.contains(key) && m_windows.size() >= MaxSenders) {
--- a/carawaylatch/peer/seal.h
+++ b/carawaylatch/peer/messageauthenticator.h
@@ -18,10 +18,10 @@
 namespace carawaylatch::peer
 {
 
-class Seal
+class MessageAuthenticator
 {
 public:
-    explicit Seal(std::string key);
+    explicit MessageAuthenticator(std::string key);
     // Returns the bytes with the keyed hash behind them.
     [[nodiscard]] std::string close(std::string bytes) const;
     // Returns the bytes without the hash, or Unauthenticated.
@@ -33,7 +33,7 @@
 
 // Refuses messages that came before. One entry for each sender, at most MaxSenders,
 // beyond which the one heard longest ago is dropped. Not thread-safe.
-class ReplayGuard
+class ReplayFilter
 {
 public:
     static constexpr std::size_t MaxSenders = 8'192;
--- a/carawaylatch/peer/testing/codectest.cpp
+++ b/carawaylatch/peer/testing/codectest.cpp
@@ -3,9 +3,9 @@
 
 #include <set>
 
+#include "carawaylatch/peer/authenticatedcodec.h"
 #include "carawaylatch/peer/codec.h"
-#include "carawaylatch/peer/gate.h"
-#include "carawaylatch/peer/testing/samples.h"
+#include "carawaylatch/peer/testing/samplemessages.h"
 #include "testing/seed.h"
 
 namespace carawaylatch::peer::testing
@@ -33,7 +33,7 @@
 public:
     void testEveryKindSurvives()
     {
-        Samples samples(::carawaylatch::testing::seed());
+        SampleMessages samples(::carawaylatch::testing::seed());
         std::set<std::string_view> names;
         for (int round = 0; round < 50; ++round) {
             const auto messages = samples.all();
@@ -65,7 +65,7 @@
     void testDamagedBytesAreRefusedOrDecode()
     {
         base::Random random(::carawaylatch::testing::seed());
-        Samples samples(::carawaylatch::testing::seed());
+        SampleMessages samples(::carawaylatch::testing::seed());
         int refused = 0;
         for (int round = 0; round < 300; ++round) {
             for (const auto &it : samples.all()) {
@@ -92,8 +92,8 @@
 
     void testSeal()
     {
-        const Seal seal{std::string(Key)};
-        const Seal other("another key of 24 bytes!");
+        const MessageAuthenticator seal{std::string(Key)};
+        const MessageAuthenticator other("another key of 24 bytes!");
         const auto sealed = seal.close("message");
         CPPUNIT_ASSERT_EQUAL(std::string("message"), std::string(seal.open(sealed).value()));
         CPPUNIT_ASSERT(!other.open(sealed) && !seal.open("") && !seal.open("message"));
@@ -108,13 +108,13 @@
     void testReplayGuardAgainstSet()
     {
         base::Random random(::carawaylatch::testing::seed());
-        ReplayGuard guard;
+        ReplayFilter guard;
         std::set<std::uint64_t> admitted;
         std::uint64_t greatest = 0;
         for (int i = 0; i < 20'000; ++i) {
-            const auto back = random.below(ReplayGuard::WindowBits + 200);
+            const auto back = random.below(ReplayFilter::WindowBits + 200);
             const auto sequence = std::max<std::uint64_t>(1, greatest + random.below(10) == 0 ? 1 : greatest + 3 - std::min(greatest, back));
-            const bool isTooOld = sequence + ReplayGuard::WindowBits <= greatest;
+            const bool isTooOld = sequence + ReplayFilter::WindowBits <= greatest;
             const bool expected = !isTooOld && !admitted.contains(sequence);
             CPPUNIT_ASSERT_EQUAL(expected, guard.admit(Sender, sequence));
             if (expected) {
@@ -128,11 +128,11 @@
 
     void testReplayGuardIsBounded()
     {
-        ReplayGuard guard;
-        for (std::uint64_t i = 0; i < ReplayGuard::MaxSenders + 10; ++i) {
+        ReplayFilter guard;
+        for (std::uint64_t i = 0; i < ReplayFilter::MaxSenders + 10; ++i) {
             CPPUNIT_ASSERT(guard.admit({base::RouterId("r"), {i + 1}}, 5));
         }
-        CPPUNIT_ASSERT_MESSAGE("the newest is held", !guard.admit({base::RouterId("r"), {ReplayGuard::MaxSenders}}, 5));
+        CPPUNIT_ASSERT_MESSAGE("the newest is held", !guard.admit({base::RouterId("r"), {ReplayFilter::MaxSenders}}, 5));
     }
 };
 
--- a/carawaylatch/peer/testing/fakenetwork.h
+++ b/carawaylatch/peer/testing/fakenetwork.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "carawaylatch/peer/gate.h"
+#include "carawaylatch/peer/authenticatedcodec.h"
 #include "carawaylatch/peer/transport.h"
 #include "testing/virtualnetwork.h"
 
@@ -102,7 +102,7 @@
     }
 
     FakeNetwork &m_network;
-    Gate m_gate;
+    AuthenticatedCodec m_gate;
     base::Endpoint m_endpoint;
     std::uint32_t m_group;
     Handler m_handler;
--- a/carawaylatch/peer/testing/samples.h
+++ b/carawaylatch/peer/testing/samplemessages.h
@@ -10,10 +10,10 @@
 namespace carawaylatch::peer::testing
 {
 
-class Samples
+class SampleMessages
 {
 public:
-    explicit Samples(std::uint64_t seed)
+    explicit SampleMessages(std::uint64_t seed)
         : m_random(seed)
     {
     }
--- a/carawaylatch/peer/testing/transporttest.cpp
+++ b/carawaylatch/peer/testing/transporttest.cpp
@@ -13,7 +13,7 @@
 #include "carawaylatch/peer/http2session.h"
 #include "carawaylatch/peer/http2transport.h"
 #include "carawaylatch/peer/testing/fakenetwork.h"
-#include "carawaylatch/peer/testing/samples.h"
+#include "carawaylatch/peer/testing/samplemessages.h"
 #include "testing/seed.h"
 
 namespace carawaylatch::peer::testing
@@ -151,7 +151,7 @@
         const RawConnection connection(to);
         Http2Session session(Http2Session::Role::Client, 2 * MaxMessageBytes);
         (void)session.submit(bytes);
-        for (auto answers = session.takeAnswers(); answers.empty(); answers = session.takeAnswers()) {
+        for (auto answers = session.takeResponses(); answers.empty(); answers = session.takeResponses()) {
             for (auto output = session.takeOutput(); !output.empty(); output = session.takeOutput()) {
                 connection.write(output);
             }
@@ -207,7 +207,7 @@
 
     void testEveryKindArrives()
     {
-        const auto messages = Samples(::carawaylatch::testing::seed()).all();
+        const auto messages = SampleMessages(::carawaylatch::testing::seed()).all();
         for (const auto &it : messages) {
             m_sender->send(m_receiver->endpoint(), it);
         }
@@ -245,15 +245,15 @@
 
     void testBadMessagesAreRefusedAndCounted()
     {
-        Gate gate({base::RouterId("c"), {3}}, Key);
+        AuthenticatedCodec gate({base::RouterId("c"), {3}}, Key);
         const auto good = gate.wrap(MarksRequest{});
-        const Seal seal(Key);
+        const MessageAuthenticator seal(Key);
         const struct
         {
             PeerRefusal refusal;
             std::string bytes;
         } cases[] = {
-            {PeerRefusal::WrongKey, Gate(First, "another key of 24 bytes!").wrap(MarksRequest{})},
+            {PeerRefusal::WrongKey, AuthenticatedCodec(First, "another key of 24 bytes!").wrap(MarksRequest{})},
             {PeerRefusal::WrongKey, "short"},
             {PeerRefusal::WrongVersion, seal.close("\x08\x07\x12\x01"
                                                    "c")},
--- a/carawaylatch/peer/transport.cpp
+++ b/carawaylatch/peer/transport.cpp
@@ -1,7 +1,7 @@
 // Names of refusals, and the gate that every transport passes bytes through.
 #include "carawaylatch/peer/transport.h"
 
-#include "carawaylatch/peer/gate.h"
+#include "carawaylatch/peer/authenticatedcodec.h"
 
 namespace carawaylatch::peer
 {
@@ -12,18 +12,18 @@
     return RefusalNames.at(static_cast<std::size_t>(refusal));
 }
 
-Gate::Gate(PeerIdentity self, std::string key)
+AuthenticatedCodec::AuthenticatedCodec(PeerIdentity self, std::string key)
     : m_self(std::move(self))
     , m_seal(std::move(key))
 {
 }
 
-std::string Gate::wrap(const PeerMessage &message)
+std::string AuthenticatedCodec::wrap(const PeerMessage &message)
 {
     return m_seal.close(encodeEnvelope({m_self, ++m_sequence, message}));
 }
 
-std::variant<PeerEnvelope, PeerRefusal> Gate::unwrap(std::string_view sealed)
+std::variant<PeerEnvelope, PeerRefusal> AuthenticatedCodec::unwrap(std::string_view sealed)
 {
     if (sealed.size() > MaxMessageBytes) {
         return PeerRefusal::TooLarge;
--- a/carawaylatch/proxy/peerexchange.cpp
+++ b/carawaylatch/proxy/peerexchange.cpp
@@ -236,7 +236,7 @@
                                          self->drop(ec ? ec.message() : "invalid HTTP/2 response");
                                          return;
                                      }
-                                     if (const std::size_t answers = self->m_session->takeAnswers().size(); answers > 0) {
+                                     if (const std::size_t answers = self->m_session->takeResponses().size(); answers > 0) {
                                          self->onResponses(answers);
                                      }
                                      self->write();
--- a/carawaylatch/router/filterchain.h
+++ b/carawaylatch/router/filterchain.h
@@ -25,7 +25,7 @@
 struct RequestContext
 {
     // Set at the arrival.
-    const http::CallerHead &head;
+    const http::RequestMetadata &head;
     base::ModelId model; // empty for services
     std::string_view prompt; // the body for services
     std::uint32_t maxTokens = 0;
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -235,11 +235,11 @@
     {
         m_router.m_traffic->complete(call, sink);
     }
-    http::ServiceReply callService(const http::ServiceCall &call) override
+    http::ServiceResult callService(const http::ServiceCall &call) override
     {
         return m_router.m_traffic->callService(call);
     }
-    base::Result<std::vector<base::ModelId>> models(const http::CallerHead &head) override
+    base::Result<std::vector<base::ModelId>> models(const http::RequestMetadata &head) override
     {
         return m_router.m_traffic->models(head);
     }
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -50,16 +50,16 @@
     return telemetry::OrderOutcome::Done;
 }
 
-http::ServiceReply replyOf(const orders::OrderAnswer &answer)
+http::ServiceResult replyOf(const orders::OrderAnswer &answer)
 {
-    http::ServiceReply reply;
+    http::ServiceResult reply;
     switch (answer.kind) {
     case orders::OrderAnswerKind::Done:
         reply.outcome = http::OrderOutcome::Done;
         reply.isReplayed = answer.execution == orders::ExecutionStatus::NotRun;
-        reply.answer.status = answer.answer.status;
-        reply.answer.contentType = answer.answer.contentType;
-        reply.answer.body = answer.answer.body;
+        reply.response.status = answer.answer.status;
+        reply.response.contentType = answer.answer.contentType;
+        reply.response.body = answer.answer.body;
         return reply;
     case orders::OrderAnswerKind::NotRun:
         reply.outcome = http::OrderOutcome::NotRun;
@@ -77,9 +77,9 @@
     return reply;
 }
 
-http::ServiceReply refusedReply(const base::Error &error)
+http::ServiceResult refusedReply(const base::Error &error)
 {
-    http::ServiceReply reply;
+    http::ServiceResult reply;
     reply.error = error;
     return reply;
 }
@@ -137,7 +137,7 @@
 void TrafficPlane::complete(const http::CompletionCall &call, relay::CallerSink &sink)
 {
     const OpenRequest open(*this);
-    RequestContext context = contextOf(call.head);
+    RequestContext context = contextOf(call.metadata);
     context.model = call.model;
     context.prompt = call.prompt;
     context.maxTokens = call.maxTokens;
@@ -148,25 +148,25 @@
     }
     RoutePlacer placer(m_parts.placing, context);
     relay::RelayRequest request;
-    request.requestId = call.head.requestId;
+    request.requestId = call.metadata.requestId;
     request.pool = context.pool->name;
     request.model = call.model;
-    request.trafficClass = call.head.trafficClass;
+    request.trafficClass = call.metadata.trafficClass;
     request.prompt = call.prompt;
     request.maxTokens = call.maxTokens;
     request.idempotency = context.route->idempotency;
     request.hedging = context.route->hedging;
     request.firstTokenDeadline = context.deadline;
     request.deadline = context.deadline;
-    TokenMeter meter(sink, m_parts.metrics, context.customer->id, call.head.trafficClass, m_parts.placing.clock);
+    TokenMeter meter(sink, m_parts.metrics, context.customer->id, call.metadata.trafficClass, m_parts.placing.clock);
     const relay::RelayReport report = m_parts.relay.run(request, placer, meter);
     account(context, report, placer.wastedTokens());
 }
 
-http::ServiceReply TrafficPlane::callService(const http::ServiceCall &call)
+http::ServiceResult TrafficPlane::callService(const http::ServiceCall &call)
 {
     const OpenRequest open(*this);
-    RequestContext context = contextOf(call.head);
+    RequestContext context = contextOf(call.metadata);
     context.prompt = call.body;
     if (const auto passed = runFilters(m_filters, context); !passed) {
         accountRefusal(context, passed.error());
@@ -177,7 +177,7 @@
     return reply;
 }
 
-base::Result<std::vector<base::ModelId>> TrafficPlane::models(const http::CallerHead &head)
+base::Result<std::vector<base::ModelId>> TrafficPlane::models(const http::RequestMetadata &head)
 {
     RequestContext context = contextOf(head);
     BOOST_OUTCOME_TRYV(CheckServing().apply(context));
@@ -194,7 +194,7 @@
 
 base::Result<telemetry::ExplainReport> TrafficPlane::explain(const http::CompletionCall &call)
 {
-    RequestContext context = contextOf(call.head);
+    RequestContext context = contextOf(call.metadata);
     context.model = call.model;
     context.prompt = call.prompt;
     BOOST_OUTCOME_TRYV(runFilters(m_explainFilters, context));
@@ -235,7 +235,7 @@
     return placement ? placement.value().expectedFirstToken : base::Duration{};
 }
 
-RequestContext TrafficPlane::contextOf(const http::CallerHead &head) const
+RequestContext TrafficPlane::contextOf(const http::RequestMetadata &head) const
 {
     return RequestContext{head, {}, {}, 0, m_parts.placing.clock.now(), m_parts.placing.published.load(), nullptr, nullptr, nullptr, {}, {}};
 }
@@ -276,7 +276,7 @@
     }
 }
 
-http::ServiceReply TrafficPlane::runOrder(const http::ServiceCall &call, RequestContext &context)
+http::ServiceResult TrafficPlane::runOrder(const http::ServiceCall &call, RequestContext &context)
 {
     if (call.idempotencyKey.empty()) {
         return refusedReply(
@@ -293,7 +293,7 @@
     return reply;
 }
 
-http::ServiceReply TrafficPlane::runPlainCall(const http::ServiceCall &call, RequestContext &context)
+http::ServiceResult TrafficPlane::runPlainCall(const http::ServiceCall &call, RequestContext &context)
 {
     ServiceChooser chooser(m_parts.placing, context);
     orders::ServiceRequest request = serviceRequest(call, context);
@@ -311,8 +311,8 @@
         request.attempt = m_parts.attemptIds.next();
         auto answer = m_parts.services.call(request);
         if (answer && answer.value().attempt == request.attempt) {
-            http::ServiceReply reply;
-            reply.answer = std::move(answer).value();
+            http::ServiceResult reply;
+            reply.response = std::move(answer).value();
             return reply;
         }
         error = answer ? base::fail(base::ErrorKind::StaleState, request.upstream.value() + " answered another request; try again") : answer.error();
@@ -324,9 +324,9 @@
 orders::ServiceRequest TrafficPlane::serviceRequest(const http::ServiceCall &call, const RequestContext &context) const
 {
     orders::ServiceRequest request;
-    request.requestId = call.head.requestId;
+    request.requestId = call.metadata.requestId;
     request.method = call.method;
-    request.path = call.head.path.substr(context.route->path.size());
+    request.path = call.metadata.path.substr(context.route->path.size());
     if (!request.path.starts_with('/')) {
         request.path.insert(request.path.begin(), '/');
     }
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -39,8 +39,8 @@
     ~TrafficPlane() override;
 
     void complete(const http::CompletionCall &call, relay::CallerSink &sink) override;
-    [[nodiscard]] http::ServiceReply callService(const http::ServiceCall &call) override;
-    [[nodiscard]] base::Result<std::vector<base::ModelId>> models(const http::CallerHead &head) override;
+    [[nodiscard]] http::ServiceResult callService(const http::ServiceCall &call) override;
+    [[nodiscard]] base::Result<std::vector<base::ModelId>> models(const http::RequestMetadata &head) override;
 
     [[nodiscard]] base::Duration expectedFirstToken(const RequestContext &context) const override;
     // Says where a request would go and why, without running it.
@@ -52,11 +52,11 @@
     // Counts a request while it is open.
     class OpenRequest;
 
-    [[nodiscard]] RequestContext contextOf(const http::CallerHead &head) const;
+    [[nodiscard]] RequestContext contextOf(const http::RequestMetadata &head) const;
     void account(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens);
     void accountRefusal(const RequestContext &context, const base::Error &error);
-    [[nodiscard]] http::ServiceReply runOrder(const http::ServiceCall &call, RequestContext &context);
-    [[nodiscard]] http::ServiceReply runPlainCall(const http::ServiceCall &call, RequestContext &context);
+    [[nodiscard]] http::ServiceResult runOrder(const http::ServiceCall &call, RequestContext &context);
+    [[nodiscard]] http::ServiceResult runPlainCall(const http::ServiceCall &call, RequestContext &context);
     [[nodiscard]] orders::ServiceRequest serviceRequest(const http::ServiceCall &call, const RequestContext &context) const;
 
     TrafficParts m_parts;
