--- a/carawaylatch/http/callerhandler.h
+++ b/carawaylatch/http/callerhandler.h
@@ -68,7 +68,7 @@
     // Runs the request and gives the sink its whole answer or an error.
     virtual void complete(const CompletionCall &call, relay::CallerSink &sink) = 0;
     [[nodiscard]] virtual ServiceResult callService(const ServiceCall &call) = 0;
-    [[nodiscard]] virtual base::Result<std::vector<base::ModelId>> models(const RequestMetadata &head) = 0;
+    [[nodiscard]] virtual base::Result<std::vector<base::ModelId>> models(const RequestMetadata &metadata) = 0;
 };
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/callerjson.cpp
+++ b/carawaylatch/http/callerjson.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-base::Error invalid(std::string message)
+base::Error invalidArgument(std::string message)
 {
     return base::fail(base::ErrorKind::InvalidArgument, std::move(message));
 }
@@ -21,51 +21,51 @@
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-std::string event(const Json &json)
+std::string sseEvent(const Json &json)
 {
     return "data: " + dump(json) + "\n\n";
 }
 
 // Joins chat messages in the form in which engines read them.
-base::Result<std::string> joinMessages(const Json &messages)
+base::Result<std::string> formatChatPrompt(const Json &messages)
 {
     if (!messages.is_array() || messages.empty()) {
-        return invalid("\"messages\" is not a list of messages; write [{\"role\":\"user\",\"content\":\"...\"}]");
+        return invalidArgument("\"messages\" is not a list of messages; write [{\"role\":\"user\",\"content\":\"...\"}]");
     }
     std::string prompt;
     for (const auto &it : messages) {
         if (!it.is_object() || !it.contains("role") || !it["role"].is_string() || !it.contains("content") || !it["content"].is_string()) {
-            return invalid("a message lacks \"role\" or \"content\" as strings; write {\"role\":\"user\",\"content\":\"...\"}");
+            return invalidArgument("a message lacks \"role\" or \"content\" as strings; write {\"role\":\"user\",\"content\":\"...\"}");
         }
         prompt += "<|" + it["role"].get<std::string>() + "|>\n" + it["content"].get<std::string>() + "\n";
     }
     return prompt + "<|assistant|>\n";
 }
 
-base::Result<std::string> promptOf(const Json &json, CompletionForm form)
+base::Result<std::string> parsePrompt(const Json &json, CompletionForm form)
 {
     if (form == CompletionForm::Chat) {
-        return joinMessages(json.value("messages", Json()));
+        return formatChatPrompt(json.value("messages", Json()));
     }
     if (!json.contains("prompt") || !json["prompt"].is_string()) {
-        return invalid("\"prompt\" is missing or not a string; write the prompt as one JSON string");
+        return invalidArgument("\"prompt\" is missing or not a string; write the prompt as one JSON string");
     }
     return json["prompt"].get<std::string>();
 }
 
-base::Result<std::uint32_t> maxTokensOf(const Json &json)
+base::Result<std::uint32_t> parseMaxTokens(const Json &json)
 {
     if (!json.contains("max_tokens")) {
         return DefaultMaxTokens;
     }
     const Json &value = json["max_tokens"];
     if (!value.is_number_integer() || value.get<std::int64_t>() < 1 || value.get<std::int64_t>() > MaxMaxTokens) {
-        return invalid("\"max_tokens\" is not a whole number from 1 to " + std::to_string(MaxMaxTokens) + "; write one or leave it out");
+        return invalidArgument("\"max_tokens\" is not a whole number from 1 to " + std::to_string(MaxMaxTokens) + "; write one or leave it out");
     }
     return value.get<std::uint32_t>();
 }
 
-Json choice(CompletionForm form, Streaming streaming, std::string_view text, const Json &finishReason)
+Json choiceJson(CompletionForm form, Streaming streaming, std::string_view text, const Json &finishReason)
 {
     Json json{{"index", 0}, {"finish_reason", finishReason}};
     if (form == CompletionForm::Text) {
@@ -78,7 +78,7 @@
     return json;
 }
 
-Json envelope(const CompletionIdentity &identity, Streaming streaming, std::string_view text, const Json &finishReason)
+Json completionJson(const CompletionIdentity &identity, Streaming streaming, std::string_view text, const Json &finishReason)
 {
     const std::string_view object = identity.form == CompletionForm::Text ? "text_completion"
                                     : streaming == Streaming::On          ? "chat.completion.chunk"
@@ -86,7 +86,7 @@
     return {{"id", identity.requestId},
             {"object", object},
             {"model", identity.model.value()},
-            {"choices", Json::array({choice(identity.form, streaming, text, finishReason)})}};
+            {"choices", Json::array({choiceJson(identity.form, streaming, text, finishReason)})}};
 }
 
 void addUsage(Json &json, const relay::DoneEvent &done)
@@ -131,18 +131,18 @@
 {
     const Json json = Json::parse(body, nullptr, false);
     if (!json.is_object()) {
-        return invalid("the body is not a JSON object; send {\"model\":\"...\",\"prompt\":\"...\"}");
+        return invalidArgument("the body is not a JSON object; send {\"model\":\"...\",\"prompt\":\"...\"}");
     }
     if (!json.contains("model") || !json["model"].is_string()) {
-        return invalid("\"model\" is missing or not a string; GET /v1/models lists the models");
+        return invalidArgument("\"model\" is missing or not a string; GET /v1/models lists the models");
     }
     if (json.contains("stream") && !json["stream"].is_boolean()) {
-        return invalid("\"stream\" is not true or false; write one or leave it out");
+        return invalidArgument("\"stream\" is not true or false; write one or leave it out");
     }
     CompletionBody completion;
     completion.model = base::ModelId(json["model"].get<std::string>());
-    BOOST_OUTCOME_TRY(prompt, promptOf(json, form));
-    BOOST_OUTCOME_TRY(maxTokens, maxTokensOf(json));
+    BOOST_OUTCOME_TRY(prompt, parsePrompt(json, form));
+    BOOST_OUTCOME_TRY(maxTokens, parseMaxTokens(json));
     completion.prompt = std::move(prompt);
     completion.maxTokens = maxTokens;
     completion.streaming = json.value("stream", false) ? Streaming::On : Streaming::Off;
@@ -151,26 +151,26 @@
 
 std::string encodeTokenEvent(const CompletionIdentity &identity, std::uint64_t index, std::string_view text)
 {
-    Json json = envelope(identity, Streaming::On, text, nullptr);
+    Json json = completionJson(identity, Streaming::On, text, nullptr);
     json["token_index"] = index;
-    return event(json);
+    return sseEvent(json);
 }
 
 std::string encodeFinalEvent(const CompletionIdentity &identity, const relay::DoneEvent &done)
 {
-    Json json = envelope(identity, Streaming::On, "", done.finishReason);
+    Json json = completionJson(identity, Streaming::On, "", done.finishReason);
     addUsage(json, done);
-    return event(json) + "data: [DONE]\n\n";
+    return sseEvent(json) + "data: [DONE]\n\n";
 }
 
 std::string encodeErrorEvent(const base::Error &error)
 {
-    return event(errorJson(error));
+    return sseEvent(errorJson(error));
 }
 
 std::string encodeCompletion(const CompletionIdentity &identity, std::string_view text, const relay::DoneEvent &done)
 {
-    Json json = envelope(identity, Streaming::Off, text, done.finishReason);
+    Json json = completionJson(identity, Streaming::Off, text, done.finishReason);
     addUsage(json, done);
     return dump(json);
 }
--- a/carawaylatch/http/callerrequest.cpp
+++ b/carawaylatch/http/callerrequest.cpp
@@ -18,21 +18,21 @@
 constexpr std::uint64_t MaxDeadlineMilliseconds = 3'600'000;
 constexpr std::size_t MaxRequestIdLength = 128;
 
-std::string bearerKey(const httplib::Request &request)
+std::string parseBearerKey(const httplib::Request &request)
 {
     constexpr std::string_view Scheme = "Bearer ";
     const std::string value = request.get_header_value("Authorization");
     return value.starts_with(Scheme) ? value.substr(Scheme.size()) : std::string();
 }
 
-bool isPlainId(std::string_view text)
+bool isValidRequestId(std::string_view text)
 {
     return !text.empty() && text.size() <= MaxRequestIdLength && std::all_of(text.begin(), text.end(), [](char it) {
         return std::isalnum(static_cast<unsigned char>(it)) != 0 || it == '-' || it == '_' || it == '.';
     });
 }
 
-base::Result<base::TrafficClass> trafficClassOf(const httplib::Request &request)
+base::Result<base::TrafficClass> parseTrafficClass(const httplib::Request &request)
 {
     const std::string name = request.get_header_value("X-Traffic-Class");
     if (name.empty() || name == "interactive") {
@@ -44,7 +44,7 @@
     return base::fail(base::ErrorKind::InvalidArgument, "X-Traffic-Class is '" + name + "'; write interactive or batch");
 }
 
-base::Result<std::optional<base::Duration>> deadlineOf(const httplib::Request &request)
+base::Result<std::optional<base::Duration>> parseDeadline(const httplib::Request &request)
 {
     if (!request.has_header("X-Deadline-Ms")) {
         return std::optional<base::Duration>();
@@ -63,16 +63,16 @@
 
 base::Result<RequestMetadata> readRequestMetadata(const httplib::Request &request)
 {
-    RequestMetadata head;
+    RequestMetadata metadata;
     const std::string requestId = request.get_header_value("X-Request-Id");
-    head.requestId = isPlainId(requestId) ? requestId : std::string();
-    head.bearerKey = bearerKey(request);
-    head.path = request.path;
-    BOOST_OUTCOME_TRY(trafficClass, trafficClassOf(request));
-    BOOST_OUTCOME_TRY(deadline, deadlineOf(request));
-    head.trafficClass = trafficClass;
-    head.deadline = deadline;
-    return head;
+    metadata.requestId = isValidRequestId(requestId) ? requestId : std::string();
+    metadata.bearerKey = parseBearerKey(request);
+    metadata.path = request.path;
+    BOOST_OUTCOME_TRY(trafficClass, parseTrafficClass(request));
+    BOOST_OUTCOME_TRY(deadline, parseDeadline(request));
+    metadata.trafficClass = trafficClass;
+    metadata.deadline = deadline;
+    return metadata;
 }
 
 void respondWithError(httplib::Response &response, const base::Error &error)
--- a/carawaylatch/http/callersserver.cpp
+++ b/carawaylatch/http/callersserver.cpp
@@ -26,7 +26,7 @@
 
 constexpr const char *JsonType = "application/json";
 constexpr const char *StreamType = "text/event-stream";
-constexpr base::Duration LookInterval = base::milliseconds{50}; // between two looks at a quiet caller's socket
+constexpr base::Duration DisconnectPollInterval = base::milliseconds{50}; // between two looks at a quiet caller's socket
 
 } // namespace
 
@@ -69,7 +69,7 @@
         auto &server = m_server.server();
         server.set_payload_max_length(m_options.maxBodyBytes);
         server.set_error_handler([this](const httplib::Request &, httplib::Response &response) {
-            explainStatus(response);
+            addErrorBody(response);
         });
         server.set_exception_handler([](const httplib::Request &, httplib::Response &response, const std::exception_ptr &) {
             respondWithError(response, base::fail(base::ErrorKind::Internal, "the router failed on this request; report its request id"));
@@ -77,7 +77,7 @@
     }
 
     // Gives the statuses that httplib sets by itself a body in the usual form.
-    void explainStatus(httplib::Response &response) const
+    void addErrorBody(httplib::Response &response) const
     {
         if (!response.body.empty()) {
             return;
@@ -122,23 +122,23 @@
     }
 
     // Reads what every request carries; sets the answer's request id.
-    base::Result<RequestMetadata> headOf(const httplib::Request &request, httplib::Response &response)
+    base::Result<RequestMetadata> readMetadata(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = readRequestMetadata(request);
-        if (head && head.value().requestId.empty()) {
-            head.value().requestId = toHex(base::combineHashes(m_idSeed, ++m_requests));
+        auto metadata = readRequestMetadata(request);
+        if (metadata && metadata.value().requestId.empty()) {
+            metadata.value().requestId = toHex(base::combineHashes(m_idSeed, ++m_requestCounter));
         }
-        if (head) {
-            response.set_header("X-Request-Id", head.value().requestId);
+        if (metadata) {
+            response.set_header("X-Request-Id", metadata.value().requestId);
         }
-        return head;
+        return metadata;
     }
 
     void complete(const httplib::Request &request, httplib::Response &response, CompletionForm form)
     {
-        auto head = headOf(request, response);
-        if (!head) {
-            respondWithError(response, head.error());
+        auto metadata = readMetadata(request, response);
+        if (!metadata) {
+            respondWithError(response, metadata.error());
             return;
         }
         auto body = decodeCompletion(request.body, form);
@@ -146,20 +146,20 @@
             respondWithError(response, body.error());
             return;
         }
-        const CompletionIdentity identity{head.value().requestId, body.value().model, form};
+        const CompletionIdentity identity{metadata.value().requestId, body.value().model, form};
         auto call = std::make_shared<CompletionCall>();
-        call->metadata = std::move(head).value();
+        call->metadata = std::move(metadata).value();
         call->model = body.value().model;
         call->maxTokens = body.value().maxTokens;
         call->prompt = std::move(body.value().prompt);
         if (body.value().streaming == Streaming::On) {
-            stream(std::move(call), identity, response);
+            completeStream(std::move(call), identity, response);
         } else {
-            answerWhole(*call, identity, response);
+            completeUnary(*call, identity, response);
         }
     }
 
-    void answerWhole(const CompletionCall &call, const CompletionIdentity &identity, httplib::Response &response)
+    void completeUnary(const CompletionCall &call, const CompletionIdentity &identity, httplib::Response &response)
     {
         relay::CollectingSink sink;
         m_handler.complete(call, sink);
@@ -170,13 +170,13 @@
         }
     }
 
-    void stream(std::shared_ptr<CompletionCall> call, const CompletionIdentity &identity, httplib::Response &response)
+    void completeStream(std::shared_ptr<CompletionCall> call, const CompletionIdentity &identity, httplib::Response &response)
     {
         auto bridge = std::make_shared<StreamBridge>(identity);
         m_relayThreads.enqueue([this, call = std::move(call), bridge] {
             m_handler.complete(*call, *bridge);
         });
-        if (bridge->waitForOpening() == StreamBridge::Opening::Refused) {
+        if (bridge->waitForStart() == StreamBridge::StartResult::Refused) {
             respondWithError(response, bridge->error());
             return;
         }
@@ -184,61 +184,61 @@
         response.set_chunked_content_provider(
             StreamType,
             [bridge](std::size_t, httplib::DataSink &sink) {
-                return writeSome(*bridge, sink);
+                return writeBuffered(*bridge, sink);
             },
-            [bridge](bool isWhole) {
-                if (!isWhole) {
-                    bridge->callerLeft();
+            [bridge](bool isComplete) {
+                if (!isComplete) {
+                    bridge->onCallerDisconnected();
                 }
             });
     }
 
     // Writes what is buffered; false breaks the transfer off, so that a caller
     // never takes a part for the whole.
-    static bool writeSome(StreamBridge &bridge, httplib::DataSink &sink)
+    static bool writeBuffered(StreamBridge &bridge, httplib::DataSink &sink)
     {
         auto phase = StreamBridge::Phase::Open;
-        const std::string bytes = bridge.take(LookInterval, phase);
+        const std::string bytes = bridge.takeBuffered(DisconnectPollInterval, phase);
         const bool isWritten = bytes.empty() ? sink.is_writable() : sink.write(bytes.data(), bytes.size());
         if (!isWritten) {
-            bridge.callerLeft();
+            bridge.onCallerDisconnected();
             return false;
         }
-        if (phase == StreamBridge::Phase::Whole) {
+        if (phase == StreamBridge::Phase::Complete) {
             sink.done();
         }
-        return phase != StreamBridge::Phase::Broken;
+        return phase != StreamBridge::Phase::Failed;
     }
 
     void listModels(const httplib::Request &request, httplib::Response &response)
     {
-        const auto head = headOf(request, response);
-        if (!head) {
-            respondWithError(response, head.error());
+        const auto metadata = readMetadata(request, response);
+        if (!metadata) {
+            respondWithError(response, metadata.error());
             return;
         }
-        const auto models = m_handler.models(head.value());
+        const auto models = m_handler.models(metadata.value());
         models ? response.set_content(encodeModels(models.value()), JsonType) : respondWithError(response, models.error());
     }
 
     void callService(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = headOf(request, response);
-        if (!head) {
-            respondWithError(response, head.error());
+        auto metadata = readMetadata(request, response);
+        if (!metadata) {
+            respondWithError(response, metadata.error());
             return;
         }
         ServiceCall call;
-        call.metadata = std::move(head).value();
+        call.metadata = std::move(metadata).value();
         call.metadata.path = request.target;
         call.method = request.method;
         call.contentType = request.get_header_value("Content-Type");
         call.body = request.body;
         call.idempotencyKey = request.get_header_value("Idempotency-Key");
-        answerService(m_handler.callService(call), response);
+        writeServiceResult(m_handler.callService(call), response);
     }
 
-    static void answerService(const ServiceResult &reply, httplib::Response &response)
+    static void writeServiceResult(const ServiceResult &reply, httplib::Response &response)
     {
         static constexpr std::string_view OutcomeNames[] = {"", "done", "not_run", "unknown", "running"};
         if (reply.outcome != OrderOutcome::None) {
@@ -259,7 +259,7 @@
     CallerHandler &m_handler;
     httplib::ThreadPool m_relayThreads;
     const std::uint64_t m_idSeed;
-    std::atomic<std::uint64_t> m_requests = 0;
+    std::atomic<std::uint64_t> m_requestCounter = 0;
     bool m_isStopped = false;
     HttpServer m_server;
 };
--- a/carawaylatch/http/engineclient.cpp
+++ b/carawaylatch/http/engineclient.cpp
@@ -32,7 +32,7 @@
     return std::max<base::Duration>(duration, base::milliseconds{1});
 }
 
-relay::EngineHead headOf(const httplib::Response &response)
+relay::EngineHead parseEngineHead(const httplib::Response &response)
 {
     relay::EngineHead head;
     head.attempt = {fromHex(response.get_header_value("X-Attempt-Id"))};
@@ -43,10 +43,10 @@
 }
 
 // Reads one answer and tells the listener; knows how far the answer came.
-class AnswerReader
+class ResponseReader
 {
 public:
-    explicit AnswerReader(relay::EngineListener &listener)
+    explicit ResponseReader(relay::EngineListener &listener)
         : m_listener(listener)
     {
     }
@@ -55,7 +55,7 @@
     {
         m_status = response.status;
         if (m_status == StatusOk) {
-            m_listener.onHead(headOf(response));
+            m_listener.onHead(parseEngineHead(response));
         }
         return true;
     }
@@ -115,21 +115,21 @@
     bool m_isMalformed = false;
 };
 
-httplib::Request wireRequest(const relay::EngineRequest &request)
+httplib::Request toHttpRequest(const relay::EngineRequest &request)
 {
-    httplib::Request wire;
-    wire.set_header("X-Attempt-Id", toHex(request.attempt.value));
-    wire.set_header("X-Request-Id", request.requestId);
+    httplib::Request httpRequest;
+    httpRequest.set_header("X-Attempt-Id", toHex(request.attempt.value));
+    httpRequest.set_header("X-Request-Id", request.requestId);
     if (request.resumeFrom) {
-        wire.method = "GET";
-        wire.path = "/v1/streams/" + toHex(request.attempt.value) + "?from=" + std::to_string(*request.resumeFrom);
-        return wire;
+        httpRequest.method = "GET";
+        httpRequest.path = "/v1/streams/" + toHex(request.attempt.value) + "?from=" + std::to_string(*request.resumeFrom);
+        return httpRequest;
     }
-    wire.method = "POST";
-    wire.path = "/v1/completions";
-    wire.set_header("Content-Type", "application/json");
-    wire.body = encodeEngineRequest(request);
-    return wire;
+    httpRequest.method = "POST";
+    httpRequest.path = "/v1/completions";
+    httpRequest.set_header("Content-Type", "application/json");
+    httpRequest.body = encodeEngineRequest(request);
+    return httpRequest;
 }
 
 } // namespace
@@ -149,21 +149,21 @@
         client.set_connection_timeout(std::chrono::duration_cast<base::microseconds>(m_connectTimeout));
         client.set_read_timeout(std::chrono::duration_cast<base::microseconds>(atLeastOneMillisecond(request.timeout)));
         client.set_tcp_nodelay(true);
-        AnswerReader reader(listener);
-        httplib::Request wire = wireRequest(request);
-        wire.response_handler = [&reader](const httplib::Response &response) {
+        ResponseReader reader(listener);
+        httplib::Request httpRequest = toHttpRequest(request);
+        httpRequest.response_handler = [&reader](const httplib::Response &response) {
             return reader.onResponse(response);
         };
-        wire.content_receiver = [this, &reader, &request](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
+        httpRequest.content_receiver = [this, &reader, &request](const char *data, std::size_t n, std::uint64_t, std::uint64_t) {
             return !isCancelled(request.attempt) && reader.onBytes({data, n});
         };
         {
             const std::lock_guard lock(m_mutex);
             m_running[request.attempt] = {&client, false};
         }
-        const httplib::Result result = client.send(wire);
-        const bool wasCancelled = finish(request.attempt);
-        report(request, reader, result, wasCancelled, listener);
+        const httplib::Result result = client.send(httpRequest);
+        const bool wasCancelled = unregister(request.attempt);
+        reportOutcome(request, reader, result, wasCancelled, listener);
     }
 
     void cancel(base::AttemptId attempt)
@@ -177,7 +177,7 @@
     }
 
 private:
-    struct Running
+    struct RunningAttempt
     {
         httplib::Client *client = nullptr;
         bool isCancelled = false;
@@ -189,7 +189,7 @@
         return m_running[attempt].isCancelled;
     }
 
-    bool finish(base::AttemptId attempt)
+    bool unregister(base::AttemptId attempt)
     {
         const std::lock_guard lock(m_mutex);
         const bool wasCancelled = m_running[attempt].isCancelled;
@@ -197,22 +197,22 @@
         return wasCancelled;
     }
 
-    void report(const relay::EngineRequest &request, const AnswerReader &reader, const httplib::Result &result, bool wasCancelled,
-                relay::EngineListener &listener)
+    void reportOutcome(const relay::EngineRequest &request, const ResponseReader &reader, const httplib::Result &result, bool wasCancelled,
+                       relay::EngineListener &listener)
     {
         using base::ErrorKind;
         using relay::BreakKind;
         const std::string upstream = request.upstream.value();
         if (wasCancelled) {
-            tellToStop(request);
+            requestCancel(request);
             listener.onBroken(BreakKind::Cancelled, base::fail(ErrorKind::Cancelled, "the attempt at " + upstream + " was cancelled"));
         } else if (reader.isMalformed()) {
-            tellToStop(request);
+            requestCancel(request);
             listener.onBroken(BreakKind::Malformed, base::fail(ErrorKind::Truncated, upstream + " sent what is no event; check its version"));
         } else if (!result && result.error() == httplib::Error::Connection) {
             listener.onBroken(BreakKind::NotSent, base::fail(ErrorKind::Unavailable, upstream + " refused the connection; another one is tried"));
         } else if (reader.status() != 0 && reader.status() != StatusOk) {
-            refused(request, reader, listener);
+            reportRefusal(request, reader, listener);
         } else if (result && reader.isDone()) {
             listener.onDone(reader.done());
         } else {
@@ -221,7 +221,7 @@
         }
     }
 
-    void refused(const relay::EngineRequest &request, const AnswerReader &reader, relay::EngineListener &listener)
+    void reportRefusal(const relay::EngineRequest &request, const ResponseReader &reader, relay::EngineListener &listener)
     {
         const RefusalBody refusal = decodeRefusal(reader.refusal());
         if (refusal.type == "leaving" && m_onLeaving) {
@@ -232,7 +232,7 @@
                                                                       + refusal.type + "); another one is tried"));
     }
 
-    void tellToStop(const relay::EngineRequest &request) const
+    void requestCancel(const relay::EngineRequest &request) const
     {
         httplib::Client client(request.endpoint.address, request.endpoint.port);
         client.set_connection_timeout(std::chrono::duration_cast<base::microseconds>(CancelTimeout));
@@ -243,7 +243,7 @@
     const base::Duration m_connectTimeout;
     const LeavingCallback m_onLeaving;
     std::mutex m_mutex;
-    std::map<base::AttemptId, Running> m_running; // guarded by m_mutex; clients live in run()
+    std::map<base::AttemptId, RunningAttempt> m_running; // guarded by m_mutex; clients live in run()
 };
 
 EngineClient::EngineClient(base::Duration connectTimeout, LeavingCallback onLeaving)
--- a/carawaylatch/http/operatorsserver.cpp
+++ b/carawaylatch/http/operatorsserver.cpp
@@ -14,14 +14,14 @@
 namespace
 {
 
-constexpr std::size_t Threads = 8;
+constexpr std::size_t ThreadCount = 8;
 constexpr int StatusUnavailable = 503;
 constexpr const char *JsonType = "application/json";
 constexpr const char *TextType = "text/plain; charset=utf-8";
 constexpr const char *MetricsType = "text/plain; version=0.0.4; charset=utf-8";
 constexpr const char *PageType = "text/html; charset=utf-8";
 
-base::Result<base::UpstreamId> upstreamOf(const std::string &body)
+base::Result<base::UpstreamId> parseUpstreamId(const std::string &body)
 {
     const auto json = nlohmann::json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("upstream") || !json["upstream"].is_string()) {
@@ -37,7 +37,7 @@
 public:
     Impl(const base::Endpoint &endpoint, OperatorHandler &handler)
         : m_handler(handler)
-        , m_server(endpoint, Threads)
+        , m_server(endpoint, ThreadCount)
     {
         addHealthHandlers();
         addReportHandlers();
@@ -84,23 +84,23 @@
     {
         auto &server = m_server.server();
         server.Post("/v1/drain", [this](const httplib::Request &request, httplib::Response &response) {
-            change(request, response, &OperatorHandler::drain);
+            applyDrainAction(request, response, &OperatorHandler::drain);
         });
         server.Post("/v1/undrain", [this](const httplib::Request &request, httplib::Response &response) {
-            change(request, response, &OperatorHandler::undrain);
+            applyDrainAction(request, response, &OperatorHandler::undrain);
         });
     }
 
     void explain(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = readRequestMetadata(request);
+        auto metadata = readRequestMetadata(request);
         auto body = decodeCompletion(request.body, request.body.find("\"messages\"") == std::string::npos ? CompletionForm::Text : CompletionForm::Chat);
-        if (!head || !body) {
-            respondWithError(response, head ? body.error() : head.error());
+        if (!metadata || !body) {
+            respondWithError(response, metadata ? body.error() : metadata.error());
             return;
         }
         CompletionCall call;
-        call.metadata = std::move(head).value();
+        call.metadata = std::move(metadata).value();
         call.metadata.path = request.has_param("path") ? request.get_param_value("path") : "/v1/completions";
         call.model = body.value().model;
         call.prompt = std::move(body.value().prompt);
@@ -109,9 +109,9 @@
         report ? response.set_content(report.value(), JsonType) : respondWithError(response, report.error());
     }
 
-    void change(const httplib::Request &request, httplib::Response &response, base::Result<void> (OperatorHandler::*action)(const base::UpstreamId &))
+    void applyDrainAction(const httplib::Request &request, httplib::Response &response, base::Result<void> (OperatorHandler::*action)(const base::UpstreamId &))
     {
-        const auto upstream = upstreamOf(request.body);
+        const auto upstream = parseUpstreamId(request.body);
         if (!upstream) {
             respondWithError(response, upstream.error());
             return;
--- a/carawaylatch/http/serviceclient.cpp
+++ b/carawaylatch/http/serviceclient.cpp
@@ -14,7 +14,7 @@
 
 constexpr int StatusUnavailable = 503;
 
-std::string contentType(const httplib::Response &response)
+std::string contentTypeOf(const httplib::Response &response)
 {
     return response.has_header("Content-Type") ? response.get_header_value("Content-Type") : "application/octet-stream";
 }
@@ -32,19 +32,19 @@
     client.set_connection_timeout(std::chrono::duration_cast<base::microseconds>(m_connectTimeout));
     client.set_read_timeout(std::chrono::duration_cast<base::microseconds>(std::max<base::Duration>(request.timeout, base::milliseconds{1})));
     client.set_tcp_nodelay(true);
-    httplib::Request wire;
-    wire.method = request.method;
-    wire.path = request.path;
-    wire.body = std::string(request.body);
-    wire.set_header("X-Attempt-Id", toHex(request.attempt.value));
-    wire.set_header("X-Request-Id", request.requestId);
+    httplib::Request httpRequest;
+    httpRequest.method = request.method;
+    httpRequest.path = request.path;
+    httpRequest.body = std::string(request.body);
+    httpRequest.set_header("X-Attempt-Id", toHex(request.attempt.value));
+    httpRequest.set_header("X-Request-Id", request.requestId);
     if (!request.contentType.empty()) {
-        wire.set_header("Content-Type", request.contentType);
+        httpRequest.set_header("Content-Type", request.contentType);
     }
     if (!request.orderKey.empty()) {
-        wire.set_header("X-Order-Key", request.orderKey);
+        httpRequest.set_header("X-Order-Key", request.orderKey);
     }
-    const httplib::Result result = client.send(wire);
+    const httplib::Result result = client.send(httpRequest);
     const std::string upstream = request.upstream.value();
     if (!result && result.error() == httplib::Error::Connection) {
         return base::fail(base::ErrorKind::Unavailable, upstream + " refused the connection; nothing ran");
@@ -57,7 +57,7 @@
     }
     orders::ServiceAnswer answer;
     answer.status = result->status;
-    answer.contentType = contentType(*result);
+    answer.contentType = contentTypeOf(*result);
     answer.body = result->body;
     answer.attempt = {fromHex(result->get_header_value("X-Attempt-Id"))};
     answer.incarnation = {fromHex(result->get_header_value("X-Incarnation"))};
--- a/carawaylatch/http/sseparser.cpp
+++ b/carawaylatch/http/sseparser.cpp
@@ -22,12 +22,12 @@
             break;
         }
         bytes.remove_prefix(end + 1);
-        endLine(onEvent);
+        processLine(onEvent);
     }
     return m_state;
 }
 
-void SseParser::endLine(const std::function<void(std::string_view data)> &onEvent)
+void SseParser::processLine(const std::function<void(std::string_view data)> &onEvent)
 {
     constexpr std::string_view Field = "data:";
     std::string_view line = m_line;
--- a/carawaylatch/http/sseparser.h
+++ b/carawaylatch/http/sseparser.h
@@ -26,7 +26,7 @@
     State feed(std::string_view bytes, const std::function<void(std::string_view data)> &onEvent);
 
 private:
-    void endLine(const std::function<void(std::string_view data)> &onEvent);
+    void processLine(const std::function<void(std::string_view data)> &onEvent);
 
     const std::size_t m_maxEventBytes;
     std::string m_line; // the line begun, without its end
--- a/carawaylatch/http/streambridge.cpp
+++ b/carawaylatch/http/streambridge.cpp
@@ -14,10 +14,10 @@
 relay::CallerState StreamBridge::begin(const relay::AttemptPlan &)
 {
     const std::lock_guard lock(m_mutex);
-    m_hasBegun = true;
+    m_hasStarted = true;
     m_phase = Phase::Open;
     m_changed.notify_all();
-    return m_isCallerGone ? relay::CallerState::Gone : relay::CallerState::Present;
+    return m_isCallerDisconnected ? relay::CallerState::Gone : relay::CallerState::Present;
 }
 
 relay::CallerState StreamBridge::token(std::uint64_t index, std::string_view text)
@@ -25,9 +25,9 @@
     const std::string event = encodeTokenEvent(m_identity, index, text);
     std::unique_lock lock(m_mutex);
     m_changed.wait(lock, [this] {
-        return m_buffer.size() < MaxBufferedBytes || m_isCallerGone;
+        return m_buffer.size() < MaxBufferedBytes || m_isCallerDisconnected;
     });
-    if (m_isCallerGone) {
+    if (m_isCallerDisconnected) {
         return relay::CallerState::Gone;
     }
     m_buffer += event;
@@ -39,8 +39,8 @@
 {
     const std::lock_guard lock(m_mutex);
     m_buffer += encodeFinalEvent(m_identity, done);
-    m_hasBegun = true;
-    m_phase = Phase::Whole;
+    m_hasStarted = true;
+    m_phase = Phase::Complete;
     m_changed.notify_all();
 }
 
@@ -48,26 +48,26 @@
 {
     const std::lock_guard lock(m_mutex);
     m_error = error;
-    if (m_hasBegun) {
+    if (m_hasStarted) {
         m_buffer += encodeErrorEvent(error);
     }
-    m_phase = Phase::Broken;
+    m_phase = Phase::Failed;
     m_changed.notify_all();
 }
 
 relay::CallerState StreamBridge::state() const
 {
     const std::lock_guard lock(m_mutex);
-    return m_isCallerGone ? relay::CallerState::Gone : relay::CallerState::Present;
+    return m_isCallerDisconnected ? relay::CallerState::Gone : relay::CallerState::Present;
 }
 
-StreamBridge::Opening StreamBridge::waitForOpening()
+StreamBridge::StartResult StreamBridge::waitForStart()
 {
     std::unique_lock lock(m_mutex);
     m_changed.wait(lock, [this] {
         return m_phase != Phase::Waiting;
     });
-    return m_hasBegun ? Opening::Stream : Opening::Refused;
+    return m_hasStarted ? StartResult::Started : StartResult::Refused;
 }
 
 const base::Error &StreamBridge::error() const
@@ -76,21 +76,21 @@
     return *m_error;
 }
 
-std::string StreamBridge::take(base::Duration atMost, Phase &phase)
+std::string StreamBridge::takeBuffered(base::Duration timeout, Phase &phase)
 {
     std::unique_lock lock(m_mutex);
-    m_changed.wait_for(lock, atMost, [this] {
-        return !m_buffer.empty() || m_phase == Phase::Whole || m_phase == Phase::Broken;
+    m_changed.wait_for(lock, timeout, [this] {
+        return !m_buffer.empty() || m_phase == Phase::Complete || m_phase == Phase::Failed;
     });
     phase = m_phase;
     m_changed.notify_all();
     return std::exchange(m_buffer, {});
 }
 
-void StreamBridge::callerLeft()
+void StreamBridge::onCallerDisconnected()
 {
     const std::lock_guard lock(m_mutex);
-    m_isCallerGone = true;
+    m_isCallerDisconnected = true;
     m_changed.notify_all();
 }
 
--- a/carawaylatch/http/streambridge.h
+++ b/carawaylatch/http/streambridge.h
@@ -24,15 +24,15 @@
 public:
     static constexpr std::size_t MaxBufferedBytes = 65'536;
 
-    enum class Opening {
-        Stream, // tokens follow
+    enum class StartResult {
+        Started, // tokens follow
         Refused, // error() says why; nothing was written
     };
     enum class Phase {
         Waiting, // nothing decided yet
         Open,
-        Whole, // the last event is in the buffer or written
-        Broken, // the error event is in the buffer or written
+        Complete, // the last event is in the buffer or written
+        Failed, // the error event is in the buffer or written
     };
 
     explicit StreamBridge(CompletionIdentity identity);
@@ -45,11 +45,11 @@
     [[nodiscard]] relay::CallerState state() const override;
 
     // The socket's side. Waits until the stream opens or is refused.
-    [[nodiscard]] Opening waitForOpening();
+    [[nodiscard]] StartResult waitForStart();
     [[nodiscard]] const base::Error &error() const;
-    // Takes what is buffered, waiting for at most `atMost`. `phase` is the phase after it.
-    [[nodiscard]] std::string take(base::Duration atMost, Phase &phase);
-    void callerLeft();
+    // Takes what is buffered, waiting for at most `timeout`. `phase` is the phase after it.
+    [[nodiscard]] std::string takeBuffered(base::Duration timeout, Phase &phase);
+    void onCallerDisconnected();
 
 private:
     const CompletionIdentity m_identity;
@@ -57,8 +57,8 @@
     std::condition_variable m_changed;
     // All below are guarded by m_mutex.
     Phase m_phase = Phase::Waiting;
-    bool m_hasBegun = false;
-    bool m_isCallerGone = false;
+    bool m_hasStarted = false;
+    bool m_isCallerDisconnected = false;
     std::string m_buffer; // complete events only
     std::optional<base::Error> m_error;
 };
--- a/carawaylatch/http/testing/callersservertest.cpp
+++ b/carawaylatch/http/testing/callersservertest.cpp
@@ -59,13 +59,13 @@
 class CallersServerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CallersServerTest);
-    CPPUNIT_TEST(testWholeStream);
-    CPPUNIT_TEST(testWholeAnswer);
-    CPPUNIT_TEST(testRefusalHasItsStatus);
-    CPPUNIT_TEST(testBrokenStreamIsSeenAsBroken);
-    CPPUNIT_TEST(testCallerThatLeaves);
-    CPPUNIT_TEST(testSlowCallerBlocksTheRelay);
-    CPPUNIT_TEST(testBadInput);
+    CPPUNIT_TEST(testCompleteStream);
+    CPPUNIT_TEST(testNonStreamingCompletion);
+    CPPUNIT_TEST(testRefusalSetsHttpStatus);
+    CPPUNIT_TEST(testAbortedStreamEndsWithError);
+    CPPUNIT_TEST(testCallerDisconnect);
+    CPPUNIT_TEST(testSlowCallerAppliesBackPressure);
+    CPPUNIT_TEST(testInvalidRequests);
     CPPUNIT_TEST(testServices);
     CPPUNIT_TEST_SUITE_END();
 
@@ -79,13 +79,13 @@
         CPPUNIT_ASSERT(m_server.start());
     }
 
-    void testWholeStream()
+    void testCompleteStream()
     {
         m_handler.onComplete = [](relay::CallerSink &sink) {
             deliver(sink, 3);
             sink.finish(doneAfter(3));
         };
-        auto client = clientOf();
+        auto client = createClient();
         const auto result = client.Post("/v1/completions", {{"Authorization", "Bearer k"}, {"X-Deadline-Ms", "900"}}, Stream, "application/json");
         CPPUNIT_ASSERT_EQUAL(200, result->status);
         CPPUNIT_ASSERT(result->body.ends_with("data: [DONE]\n\n"));
@@ -96,25 +96,25 @@
         CPPUNIT_ASSERT(m_handler.lastCall.metadata.deadline == base::Duration(base::milliseconds{900}));
     }
 
-    void testWholeAnswer()
+    void testNonStreamingCompletion()
     {
         m_handler.onComplete = [](relay::CallerSink &sink) {
             deliver(sink, 2);
             sink.finish(doneAfter(2));
         };
-        auto client = clientOf();
+        auto client = createClient();
         const auto result = client.Post("/v1/chat/completions", R"({"model":"m","messages":[{"role":"user","content":"p"}]})", "application/json");
         CPPUNIT_ASSERT_EQUAL(200, result->status);
         CPPUNIT_ASSERT(result->body.find("\"content\":\"t0t1\"") != std::string::npos);
         CPPUNIT_ASSERT(m_handler.lastCall.prompt.find('p') != std::string::npos);
     }
 
-    void testRefusalHasItsStatus()
+    void testRefusalSetsHttpStatus()
     {
         m_handler.onComplete = [](relay::CallerSink &sink) {
             sink.abort(base::fail(base::ErrorKind::Overloaded, "come back later", base::milliseconds{1200}));
         };
-        auto client = clientOf();
+        auto client = createClient();
         for (const char *body : {Stream, R"({"model":"m","prompt":"p"})"}) {
             const auto result = client.Post("/v1/completions", body, "application/json");
             CPPUNIT_ASSERT_EQUAL(503, result->status);
@@ -123,13 +123,13 @@
         }
     }
 
-    void testBrokenStreamIsSeenAsBroken()
+    void testAbortedStreamEndsWithError()
     {
         m_handler.onComplete = [](relay::CallerSink &sink) {
             deliver(sink, 2);
             sink.abort(base::fail(base::ErrorKind::Truncated, "the engine is gone"));
         };
-        auto client = clientOf();
+        auto client = createClient();
         std::string body;
         httplib::Request request;
         request.method = "POST";
@@ -145,18 +145,18 @@
         CPPUNIT_ASSERT(body.find("[DONE]") == std::string::npos);
     }
 
-    void testCallerThatLeaves()
+    void testCallerDisconnect()
     {
-        std::atomic<bool> hasSeen = false;
-        m_handler.onComplete = [&hasSeen](relay::CallerSink &sink) {
+        std::atomic<bool> hasSeenDisconnect = false;
+        m_handler.onComplete = [&hasSeenDisconnect](relay::CallerSink &sink) {
             deliver(sink, 1);
             while (sink.state() == relay::CallerState::Present) {
                 std::this_thread::yield();
             }
-            hasSeen = true;
+            hasSeenDisconnect = true;
             sink.abort(base::fail(base::ErrorKind::Cancelled, "left"));
         };
-        auto client = clientOf();
+        auto client = createClient();
         httplib::Request request;
         request.method = "POST";
         request.path = "/v1/completions";
@@ -168,10 +168,10 @@
         while (m_handler.completed == 0) {
             std::this_thread::yield();
         }
-        CPPUNIT_ASSERT(hasSeen);
+        CPPUNIT_ASSERT(hasSeenDisconnect);
     }
 
-    void testSlowCallerBlocksTheRelay()
+    void testSlowCallerAppliesBackPressure()
     {
         StreamBridge bridge({"r", base::ModelId("m"), CompletionForm::Text});
         std::atomic<std::uint64_t> written = 0;
@@ -185,14 +185,14 @@
         auto phase = StreamBridge::Phase::Waiting;
         std::size_t longest = 0;
         for (int i = 0; i < 50; ++i) {
-            longest = std::max(longest, bridge.take(base::seconds{20}, phase).size());
+            longest = std::max(longest, bridge.takeBuffered(base::seconds{20}, phase).size());
         }
-        bridge.callerLeft();
+        bridge.onCallerDisconnected();
         constexpr std::size_t OneEvent = 2000;
         CPPUNIT_ASSERT(longest <= StreamBridge::MaxBufferedBytes + OneEvent);
     }
 
-    void testBadInput()
+    void testInvalidRequests()
     {
         struct Case
         {
@@ -211,7 +211,7 @@
             {"body over the limit", "/v1/completions", {}, std::string(BodyLimit + 1, 'x'), 413},
         };
         for (const auto &it : cases) {
-            auto client = clientOf();
+            auto client = createClient();
             const auto result = client.Post(it.path, it.headers, it.body, "application/json");
             CPPUNIT_ASSERT_MESSAGE(it.name, static_cast<bool>(result));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(it.name, it.status, result->status);
@@ -222,7 +222,7 @@
 
     void testServices()
     {
-        auto client = clientOf();
+        auto client = createClient();
         m_handler.reply.outcome = OrderOutcome::Done;
         m_handler.reply.isReplayed = true;
         m_handler.reply.response = {201, "text/plain", "booked", {}, {}};
@@ -243,7 +243,7 @@
 private:
     static constexpr const char *Stream = R"({"model":"clause-1","prompt":"p","stream":true})";
 
-    httplib::Client clientOf()
+    httplib::Client createClient()
     {
         httplib::Client client(m_server.endpoint().address, m_server.endpoint().port);
         client.set_read_timeout(std::chrono::seconds{20});
@@ -296,11 +296,11 @@
 class OperatorsServerTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(OperatorsServerTest);
-    CPPUNIT_TEST(testCalls);
+    CPPUNIT_TEST(testEndpoints);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testCalls()
+    void testEndpoints()
     {
         FakeOperator handler;
         OperatorsServer server({"127.0.0.1", 0}, handler);
--- a/carawaylatch/http/testing/decodertest.cpp
+++ b/carawaylatch/http/testing/decodertest.cpp
@@ -17,30 +17,30 @@
 class DecoderTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DecoderTest);
-    CPPUNIT_TEST(testEventsCutAnywhere);
-    CPPUNIT_TEST(testEventBound);
+    CPPUNIT_TEST(testEventsSplitAtEveryByte);
+    CPPUNIT_TEST(testEventSizeLimit);
     CPPUNIT_TEST(testCompletionBodies);
-    CPPUNIT_TEST(testGarbage);
+    CPPUNIT_TEST(testMutatedInput);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testEventsCutAnywhere()
+    void testEventsSplitAtEveryByte()
     {
         const std::string text = ": comment\ndata: one\n\ndata:two\r\n\r\nevent: x\nid: 3\n\ndata: a\ndata: b\n\ndata: left over\n";
         const std::vector<std::string> expected{"one", "two", "a\nb"};
-        for (std::size_t cut = 0; cut <= text.size(); ++cut) {
+        for (std::size_t splitAt = 0; splitAt <= text.size(); ++splitAt) {
             std::vector<std::string> events;
             const auto keep = [&events](std::string_view data) {
                 events.emplace_back(data);
             };
             SseParser parser;
-            static_cast<void>(parser.feed(std::string_view(text).substr(0, cut), keep));
-            CPPUNIT_ASSERT(parser.feed(std::string_view(text).substr(cut), keep) == SseParser::State::Open);
+            static_cast<void>(parser.feed(std::string_view(text).substr(0, splitAt), keep));
+            CPPUNIT_ASSERT(parser.feed(std::string_view(text).substr(splitAt), keep) == SseParser::State::Open);
             CPPUNIT_ASSERT(events == expected);
         }
     }
 
-    void testEventBound()
+    void testEventSizeLimit()
     {
         SseParser parser(100);
         CPPUNIT_ASSERT(parser.feed(std::string(90, 'x'), {}) == SseParser::State::Open);
@@ -54,7 +54,7 @@
         {
             const char *body;
             CompletionForm form;
-            const char *remedy; // part of the message; nullptr where the body is right
+            const char *messagePart; // part of the message; nullptr where the body is right
         };
         const Case cases[] = {
             {R"({"model":"m","prompt":"p"})", CompletionForm::Text, nullptr},
@@ -76,16 +76,16 @@
         };
         for (const auto &it : cases) {
             const auto result = decodeCompletion(it.body, it.form);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(it.body, it.remedy == nullptr, result.has_value());
-            if (it.remedy != nullptr) {
-                CPPUNIT_ASSERT_MESSAGE(it.body, result.error().message.find(it.remedy) != std::string::npos);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(it.body, it.messagePart == nullptr, result.has_value());
+            if (it.messagePart != nullptr) {
+                CPPUNIT_ASSERT_MESSAGE(it.body, result.error().message.find(it.messagePart) != std::string::npos);
                 CPPUNIT_ASSERT_EQUAL(400, httpStatus(result.error().kind));
             }
         }
     }
 
     // Mutates valid texts; no decoder may crash, and what it accepts must be in range.
-    void testGarbage()
+    void testMutatedInput()
     {
         const std::string corpus[] = {R"({"index":3,"text":"x"})", R"({"done":true,"count":1,"usage":{"prompt_tokens":1}})",
                                       R"({"incarnation":"0a","next":2,"events":[{"seq":1,"op":"stored","block":"ff"}]})",
--- a/carawaylatch/http/testing/engineclienttest.cpp
+++ b/carawaylatch/http/testing/engineclienttest.cpp
@@ -23,10 +23,10 @@
 using relay::BreakKind;
 
 constexpr base::Duration ConnectTimeout = base::seconds{5};
-constexpr base::Duration AnswerTimeout = base::seconds{20};
+constexpr base::Duration ResponseTimeout = base::seconds{20};
 
 // Keeps what a listener is told.
-class Recorder : public relay::EngineListener
+class RecordingListener : public relay::EngineListener
 {
 public:
     void onHead(const relay::EngineHead &echo) override
@@ -43,19 +43,19 @@
     void onDone(const relay::DoneEvent &event) override
     {
         done = event;
-        ++endings;
+        ++terminalEvents;
     }
     void onBroken(BreakKind kind, const base::Error &) override
     {
-        broken = kind;
-        ++endings;
+        failure = kind;
+        ++terminalEvents;
     }
 
     std::optional<relay::EngineHead> head;
     std::vector<relay::TokenEvent> tokens;
     std::optional<relay::DoneEvent> done;
-    std::optional<BreakKind> broken;
-    int endings = 0;
+    std::optional<BreakKind> failure;
+    int terminalEvents = 0;
     std::function<void()> afterToken;
 };
 
@@ -70,18 +70,18 @@
     request.salt = {7};
     request.prompt = "which penalty";
     request.maxTokens = maxTokens;
-    request.timeout = AnswerTimeout;
+    request.timeout = ResponseTimeout;
     return request;
 }
 
 class EngineClientTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(EngineClientTest);
-    CPPUNIT_TEST(testWholeStream);
+    CPPUNIT_TEST(testCompleteStream);
     CPPUNIT_TEST(testResumeAndContinuation);
     CPPUNIT_TEST(testCancelStopsTheEngine);
     CPPUNIT_TEST(testRefusals);
-    CPPUNIT_TEST(testBrokenAnswers);
+    CPPUNIT_TEST(testBrokenResponses);
     CPPUNIT_TEST(testReportsAndOrders);
     CPPUNIT_TEST_SUITE_END();
 
@@ -95,9 +95,9 @@
         CPPUNIT_ASSERT(m_engine.start());
     }
 
-    void testWholeStream()
+    void testCompleteStream()
     {
-        Recorder recorder;
+        RecordingListener recorder;
         m_client.run(requestTo(m_engine.endpoint(), 5), recorder);
         CPPUNIT_ASSERT(recorder.head && recorder.head->attempt.value == 0xA1 && recorder.head->salt.value == 7);
         CPPUNIT_ASSERT(recorder.head->incarnation == m_engine.model().incarnation());
@@ -107,16 +107,16 @@
             CPPUNIT_ASSERT_EQUAL(standin::tokenText("which penalty", i), recorder.tokens[i].text);
         }
         CPPUNIT_ASSERT(recorder.done && recorder.done->count == 5);
-        CPPUNIT_ASSERT_EQUAL(1, recorder.endings);
+        CPPUNIT_ASSERT_EQUAL(1, recorder.terminalEvents);
     }
 
     void testResumeAndContinuation()
     {
-        Recorder first;
+        RecordingListener first;
         m_client.run(requestTo(m_engine.endpoint(), 4), first);
         auto request = requestTo(m_engine.endpoint(), 4);
         request.resumeFrom = 2;
-        Recorder resumed;
+        RecordingListener resumed;
         m_client.run(request, resumed);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, resumed.tokens.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, resumed.tokens.front().index);
@@ -124,7 +124,7 @@
         request.resumeFrom.reset();
         request.attempt = {0xA2};
         request.continuation = relay::Continuation{3, "..."};
-        Recorder continued;
+        RecordingListener continued;
         m_client.run(request, continued);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, continued.tokens.size());
         CPPUNIT_ASSERT_EQUAL(first.tokens[3].text, continued.tokens.front().text);
@@ -133,12 +133,12 @@
 
     void testCancelStopsTheEngine()
     {
-        Recorder recorder;
+        RecordingListener recorder;
         recorder.afterToken = [this] {
             m_client.cancel({0xA1});
         };
         m_client.run(requestTo(m_engine.endpoint(), 1'000'000), recorder);
-        CPPUNIT_ASSERT(recorder.broken == BreakKind::Cancelled);
+        CPPUNIT_ASSERT(recorder.failure == BreakKind::Cancelled);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, m_engine.model().counters().cancelled);
     }
 
@@ -149,19 +149,19 @@
             ++leaving;
         });
         m_engine.model().leave();
-        Recorder refused;
+        RecordingListener refused;
         client.run(requestTo(m_engine.endpoint(), 5), refused);
-        CPPUNIT_ASSERT(refused.broken == BreakKind::Refused);
+        CPPUNIT_ASSERT(refused.failure == BreakKind::Refused);
         CPPUNIT_ASSERT_EQUAL(1, leaving.load());
         const auto endpoint = m_engine.endpoint();
         m_engine.stop();
-        Recorder unreached;
-        client.run(requestTo(endpoint, 5), unreached);
-        CPPUNIT_ASSERT(unreached.broken == BreakKind::NotSent);
-        CPPUNIT_ASSERT(!unreached.head);
+        RecordingListener unreachable;
+        client.run(requestTo(endpoint, 5), unreachable);
+        CPPUNIT_ASSERT(unreachable.failure == BreakKind::NotSent);
+        CPPUNIT_ASSERT(!unreachable.head);
     }
 
-    void testBrokenAnswers()
+    void testBrokenResponses()
     {
         struct Case
         {
@@ -184,17 +184,17 @@
                 response.set_content(it.body, "text/event-stream");
             });
             CPPUNIT_ASSERT(server.start());
-            Recorder recorder;
+            RecordingListener recorder;
             m_client.run(requestTo(server.endpoint(), 5), recorder);
-            CPPUNIT_ASSERT_MESSAGE(it.body, recorder.broken == it.kind);
+            CPPUNIT_ASSERT_MESSAGE(it.body, recorder.failure == it.kind);
             CPPUNIT_ASSERT_EQUAL_MESSAGE(it.body, it.tokens, recorder.tokens.size());
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(it.body, 1, recorder.endings);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(it.body, 1, recorder.terminalEvents);
         }
     }
 
     void testReportsAndOrders()
     {
-        UpstreamClient client(AnswerTimeout);
+        UpstreamClient client(ResponseTimeout);
         const base::UpstreamId id("engine-1");
         const auto load = client.loadReport(m_engine.endpoint()).value();
         CPPUNIT_ASSERT(load.incarnation == m_engine.model().incarnation());
@@ -227,11 +227,11 @@
 class ServiceClientTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ServiceClientTest);
-    CPPUNIT_TEST(testFaults);
+    CPPUNIT_TEST(testUpstreamFaults);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testFaults()
+    void testUpstreamFaults()
     {
         struct Case
         {
@@ -263,7 +263,7 @@
         request.path = "/book";
         request.body = "{}";
         request.orderKey = "acme/k1";
-        request.timeout = AnswerTimeout;
+        request.timeout = ResponseTimeout;
         return request;
     }
 };
--- a/carawaylatch/http/upstreamclient.cpp
+++ b/carawaylatch/http/upstreamclient.cpp
@@ -13,7 +13,7 @@
 
 constexpr int StatusOk = 200;
 constexpr int StatusConflict = 409;
-constexpr base::Duration RetryLater = base::seconds{1};
+constexpr base::Duration RetryDelay = base::seconds{1};
 
 fleet::EngineState engineState(upstreams::ReportedState state)
 {
@@ -39,25 +39,25 @@
 
 base::Result<upstreams::LoadReport> UpstreamClient::loadReport(const base::Endpoint &endpoint)
 {
-    BOOST_OUTCOME_TRY(body, read(endpoint, "/v1/load"));
+    BOOST_OUTCOME_TRY(body, get(endpoint, "/v1/load"));
     return decodeLoadReport(body);
 }
 
 base::Result<prefix::CacheEvents> UpstreamClient::cacheEvents(const base::Endpoint &endpoint, std::uint64_t since)
 {
-    BOOST_OUTCOME_TRY(body, read(endpoint, "/v1/cache/events?since=" + std::to_string(since)));
+    BOOST_OUTCOME_TRY(body, get(endpoint, "/v1/cache/events?since=" + std::to_string(since)));
     return decodeCacheEvents(body);
 }
 
 base::Result<void> UpstreamClient::order(const base::UpstreamId &upstream, const base::Endpoint &endpoint, const fleet::EngineOrder &order)
 {
-    Connection connection = take(endpoint);
+    Connection connection = acquireConnection(endpoint);
     const httplib::Result result = connection->Post("/v1/orders", encodeEngineOrder(order), "application/json");
     if (!result) {
-        const bool wasSent = result.error() != httplib::Error::Connection;
-        return base::fail(wasSent ? base::ErrorKind::Unclear : base::ErrorKind::Unavailable, upstream.value() + " did not answer the order; it is repeated");
+        const bool mayHaveRun = result.error() != httplib::Error::Connection;
+        return base::fail(mayHaveRun ? base::ErrorKind::Unclear : base::ErrorKind::Unavailable, upstream.value() + " did not answer the order; it is repeated");
     }
-    give(endpoint, std::move(connection));
+    releaseConnection(endpoint, std::move(connection));
     if (result->status == StatusConflict) {
         return base::fail(base::ErrorKind::StaleState, upstream.value() + " refused an old fencing number; a newer controller is at work");
     }
@@ -79,13 +79,13 @@
     return report;
 }
 
-UpstreamClient::Connection UpstreamClient::take(const base::Endpoint &endpoint)
+UpstreamClient::Connection UpstreamClient::acquireConnection(const base::Endpoint &endpoint)
 {
     {
         const std::lock_guard lock(m_mutex);
-        if (const auto it = m_idle.find(endpoint); it != m_idle.end()) {
+        if (const auto it = m_idleConnections.find(endpoint); it != m_idleConnections.end()) {
             Connection connection = std::move(it->second);
-            m_idle.erase(it);
+            m_idleConnections.erase(it);
             return connection;
         }
     }
@@ -97,22 +97,22 @@
     return connection;
 }
 
-void UpstreamClient::give(const base::Endpoint &endpoint, Connection connection)
+void UpstreamClient::releaseConnection(const base::Endpoint &endpoint, Connection connection)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_idle.size() < MaxIdleConnections) {
-        m_idle.emplace(endpoint, std::move(connection));
+    if (m_idleConnections.size() < MaxIdleConnections) {
+        m_idleConnections.emplace(endpoint, std::move(connection));
     }
 }
 
-base::Result<std::string> UpstreamClient::read(const base::Endpoint &endpoint, const std::string &path)
+base::Result<std::string> UpstreamClient::get(const base::Endpoint &endpoint, const std::string &path)
 {
-    Connection connection = take(endpoint);
+    Connection connection = acquireConnection(endpoint);
     const httplib::Result result = connection->Get(path);
     if (!result || result->status != StatusOk) {
-        return base::fail(base::ErrorKind::Unavailable, endpoint.address + " did not answer " + path + "; it is asked again", RetryLater);
+        return base::fail(base::ErrorKind::Unavailable, endpoint.address + " did not answer " + path + "; it is asked again", RetryDelay);
     }
-    give(endpoint, std::move(connection));
+    releaseConnection(endpoint, std::move(connection));
     return result->body;
 }
 
--- a/carawaylatch/http/upstreamclient.h
+++ b/carawaylatch/http/upstreamclient.h
@@ -38,15 +38,15 @@
 private:
     using Connection = std::unique_ptr<httplib::Client>;
 
-    [[nodiscard]] Connection take(const base::Endpoint &endpoint);
-    void give(const base::Endpoint &endpoint, Connection connection);
-    [[nodiscard]] base::Result<std::string> read(const base::Endpoint &endpoint, const std::string &path);
+    [[nodiscard]] Connection acquireConnection(const base::Endpoint &endpoint);
+    void releaseConnection(const base::Endpoint &endpoint, Connection connection);
+    [[nodiscard]] base::Result<std::string> get(const base::Endpoint &endpoint, const std::string &path);
 
     static constexpr std::size_t MaxIdleConnections = 256; // over all upstreams; more are closed
 
     const base::Duration m_timeout;
     std::mutex m_mutex;
-    std::multimap<base::Endpoint, Connection> m_idle; // guarded by m_mutex
+    std::multimap<base::Endpoint, Connection> m_idleConnections; // guarded by m_mutex
 };
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/wirejson.cpp
+++ b/carawaylatch/http/wirejson.cpp
@@ -27,12 +27,12 @@
     }
 }
 
-base::Incarnation incarnationFrom(const Json &json)
+base::Incarnation parseIncarnation(const Json &json)
 {
     return {fromHex(json.at("incarnation").get<std::string>())};
 }
 
-upstreams::ReportedState reportedState(const std::string &name)
+upstreams::ReportedState parseReportedState(const std::string &name)
 {
     if (name == "leaving") {
         return upstreams::ReportedState::Leaving;
@@ -40,7 +40,7 @@
     return name == "loading" ? upstreams::ReportedState::Loading : upstreams::ReportedState::Live;
 }
 
-relay::DoneEvent doneFrom(const Json &json)
+relay::DoneEvent parseDoneEvent(const Json &json)
 {
     relay::DoneEvent done;
     done.count = json.at("count").get<std::uint64_t>();
@@ -52,7 +52,7 @@
     return done;
 }
 
-std::string_view orderName(fleet::EngineOrderKind kind)
+std::string_view engineOrderName(fleet::EngineOrderKind kind)
 {
     static constexpr std::array<std::string_view, 3> OrderNames{"load_weights", "load_adapter", "set_role"};
     return OrderNames.at(static_cast<std::size_t>(kind));
@@ -92,7 +92,7 @@
 std::string encodeEngineOrder(const fleet::EngineOrder &order)
 {
     return Json{{"fence", order.fence.value},
-                {"op", orderName(order.kind)},
+                {"op", engineOrderName(order.kind)},
                 {"weights_version", order.weightsVersion.value},
                 {"adapter", order.adapter},
                 {"role", order.role}}
@@ -103,7 +103,7 @@
 {
     return decode<EngineEvent>(data, "the engine's event", [](const Json &json) -> EngineEvent {
         if (json.value("done", false)) {
-            return doneFrom(json);
+            return parseDoneEvent(json);
         }
         return relay::TokenEvent{json.at("index").get<std::uint64_t>(), json.at("text").get<std::string>()};
     });
@@ -113,11 +113,11 @@
 {
     return decode<upstreams::LoadReport>(body, "the load report", [](const Json &json) {
         upstreams::LoadReport report;
-        report.incarnation = incarnationFrom(json);
+        report.incarnation = parseIncarnation(json);
         report.model = base::ModelId(json.value("model", ""));
         report.weightsVersion = {json.value("weights_version", std::uint64_t{0})};
         report.adapter = json.value("adapter", "");
-        report.state = reportedState(json.value("state", "live"));
+        report.state = parseReportedState(json.value("state", "live"));
         report.running = json.value("running", 0U);
         report.waiting = json.value("waiting", 0U);
         report.queuedTokens = json.value("queued_tokens", std::uint64_t{0});
@@ -134,7 +134,7 @@
 {
     return decode<prefix::CacheEvents>(body, "the cache events", [](const Json &json) {
         prefix::CacheEvents events;
-        events.incarnation = incarnationFrom(json);
+        events.incarnation = parseIncarnation(json);
         events.next = json.at("next").get<std::uint64_t>();
         for (const auto &it : json.at("events")) {
             const bool isStored = it.at("op") == "stored";
--- a/carawaylatch/peer/authenticatedcodec.h
+++ b/carawaylatch/peer/authenticatedcodec.h
@@ -21,14 +21,14 @@
 public:
     AuthenticatedCodec(PeerIdentity self, std::string key);
     // Returns a message's sealed bytes; numbers it.
-    [[nodiscard]] std::string wrap(const PeerMessage &message);
+    [[nodiscard]] std::string encode(const PeerMessage &message);
     // Returns the message, or why it is refused.
-    [[nodiscard]] std::variant<PeerEnvelope, PeerRefusal> unwrap(std::string_view sealed);
+    [[nodiscard]] std::variant<PeerEnvelope, PeerRefusal> decode(std::string_view signedBytes);
 
 private:
     PeerIdentity m_self;
-    MessageAuthenticator m_seal;
-    ReplayFilter m_replays;
+    MessageAuthenticator m_authenticator;
+    ReplayFilter m_replayFilter;
     std::uint64_t m_sequence = 0;
 };
 
--- a/carawaylatch/peer/codec.cpp
+++ b/carawaylatch/peer/codec.cpp
@@ -29,35 +29,35 @@
 {
 public:
     explicit BodyWriter(wire::Envelope &out)
-        : m_out(out)
+        : m_envelope(out)
     {
     }
 
     void operator()(const membership::Probe &value)
     {
-        m_out.mutable_probe()->set_number(value.number);
-        toWire(value.gossip, *m_out.mutable_probe()->mutable_gossip());
+        m_envelope.mutable_probe()->set_number(value.number);
+        toWire(value.gossip, *m_envelope.mutable_probe()->mutable_gossip());
     }
     void operator()(const membership::ProbeAck &value)
     {
-        m_out.mutable_probe_ack()->set_number(value.number);
-        m_out.mutable_probe_ack()->set_subject(value.subject.value());
-        toWire(value.gossip, *m_out.mutable_probe_ack()->mutable_gossip());
+        m_envelope.mutable_probe_ack()->set_number(value.number);
+        m_envelope.mutable_probe_ack()->set_subject(value.subject.value());
+        toWire(value.gossip, *m_envelope.mutable_probe_ack()->mutable_gossip());
     }
     void operator()(const membership::IndirectProbe &value)
     {
-        m_out.mutable_indirect_probe()->set_number(value.number);
-        toWire(value.target, *m_out.mutable_indirect_probe()->mutable_target());
-        toWire(value.gossip, *m_out.mutable_indirect_probe()->mutable_gossip());
+        m_envelope.mutable_indirect_probe()->set_number(value.number);
+        toWire(value.target, *m_envelope.mutable_indirect_probe()->mutable_target());
+        toWire(value.gossip, *m_envelope.mutable_indirect_probe()->mutable_gossip());
     }
     void operator()(const membership::TableRequest &value)
     {
-        m_out.mutable_table_request()->set_cursor(value.cursor.value());
-        toWire(value.gossip, *m_out.mutable_table_request()->mutable_gossip());
+        m_envelope.mutable_table_request()->set_cursor(value.cursor.value());
+        toWire(value.gossip, *m_envelope.mutable_table_request()->mutable_gossip());
     }
     void operator()(const membership::TablePage &value)
     {
-        auto *page = m_out.mutable_table_page();
+        auto *page = m_envelope.mutable_table_page();
         page->set_cursor(value.cursor.value());
         for (const auto &it : value.records) {
             toWire(it, *page->add_records());
@@ -66,7 +66,7 @@
     }
     void operator()(const config::ConfigUpdate &value)
     {
-        auto *update = m_out.mutable_config_update();
+        auto *update = m_envelope.mutable_config_update();
         if (value.whole != nullptr) {
             update->set_whole(config::formatSnapshot(*value.whole));
         } else {
@@ -75,39 +75,39 @@
     }
     void operator()(const config::ConfigRequest &value)
     {
-        m_out.mutable_config_request()->set_after(value.after.value);
+        m_envelope.mutable_config_request()->set_after(value.after.value);
     }
     void operator()(const MarksMessage &value)
     {
-        m_out.mutable_marks();
+        m_envelope.mutable_marks();
         for (const auto &it : value.marks) {
-            toWire(it, *m_out.mutable_marks()->add_marks());
+            toWire(it, *m_envelope.mutable_marks()->add_marks());
         }
     }
     void operator()(const MarksRequest &)
     {
-        m_out.mutable_marks_request();
+        m_envelope.mutable_marks_request();
     }
     void operator()(const admission::DemandReport &value)
     {
-        toWire(value, *m_out.mutable_demand_report());
+        toWire(value, *m_envelope.mutable_demand_report());
     }
     void operator()(const admission::ShareTable &value)
     {
-        toWire(value, *m_out.mutable_share_table());
+        toWire(value, *m_envelope.mutable_share_table());
     }
     void operator()(const prefix::HotPlacements &value)
     {
-        toWire(value, *m_out.mutable_hot_placements());
+        toWire(value, *m_envelope.mutable_hot_placements());
     }
     void operator()(const handover::SnapshotRequest &value)
     {
-        m_out.mutable_snapshot_request()->set_request(value.request);
-        m_out.mutable_snapshot_request()->set_part(value.part);
+        m_envelope.mutable_snapshot_request()->set_request(value.request);
+        m_envelope.mutable_snapshot_request()->set_part(value.part);
     }
     void operator()(const handover::SnapshotPart &value)
     {
-        auto *part = m_out.mutable_snapshot_part();
+        auto *part = m_envelope.mutable_snapshot_part();
         part->set_request(value.request);
         part->set_part(value.part);
         part->set_parts(value.parts);
@@ -116,10 +116,10 @@
     }
 
 private:
-    wire::Envelope &m_out;
+    wire::Envelope &m_envelope;
 };
 
-Result<config::ConfigUpdate> updateFromWire(const wire::ConfigUpdate &in)
+Result<config::ConfigUpdate> configUpdateFromWire(const wire::ConfigUpdate &in)
 {
     config::ConfigUpdate update;
     if (!in.whole().empty()) {
@@ -132,7 +132,7 @@
     return update;
 }
 
-Result<PeerMessage> memberMessageFrom(const wire::Envelope &in)
+Result<PeerMessage> membershipMessageFromWire(const wire::Envelope &in)
 {
     switch (in.body_case()) {
     case wire::Envelope::kProbe: {
@@ -163,7 +163,7 @@
     }
 }
 
-Result<PeerMessage> messageFrom(const wire::Envelope &in)
+Result<PeerMessage> messageFromWire(const wire::Envelope &in)
 {
     switch (in.body_case()) {
     case wire::Envelope::kProbe:
@@ -171,9 +171,9 @@
     case wire::Envelope::kIndirectProbe:
     case wire::Envelope::kTableRequest:
     case wire::Envelope::kTablePage:
-        return memberMessageFrom(in);
+        return membershipMessageFromWire(in);
     case wire::Envelope::kConfigUpdate: {
-        BOOST_OUTCOME_TRY(update, updateFromWire(in.config_update()));
+        BOOST_OUTCOME_TRY(update, configUpdateFromWire(in.config_update()));
         return PeerMessage(std::move(update));
     }
     case wire::Envelope::kConfigRequest:
@@ -237,7 +237,7 @@
                                                      + std::to_string(ProtocolVersion) + "; bring all routers to one release");
     }
     BOOST_OUTCOME_TRY(sender, nameFromWire<base::RouterId>(in.sender()));
-    BOOST_OUTCOME_TRY(message, messageFrom(in));
+    BOOST_OUTCOME_TRY(message, messageFromWire(in));
     return PeerEnvelope{{sender, {in.incarnation()}}, in.sequence(), std::move(message)};
 }
 
--- a/carawaylatch/peer/http2session.cpp
+++ b/carawaylatch/peer/http2session.cpp
@@ -17,10 +17,10 @@
 {
 
 constexpr std::uint32_t MaxStreams = 128;
-constexpr std::size_t BufferedFactor = 4; // bodies of all streams together, in greatest bodies
+constexpr std::size_t MaxBufferedBodies = 4; // bodies of all streams together, in greatest bodies
 constexpr std::string_view StatusName = ":status";
 
-nghttp2_nv makeHeader(std::string_view name, std::string_view value)
+nghttp2_nv headerField(std::string_view name, std::string_view value)
 {
     return {reinterpret_cast<std::uint8_t *>(const_cast<char *>(name.data())), reinterpret_cast<std::uint8_t *>(const_cast<char *>(value.data())), name.size(),
             value.size(), NGHTTP2_NV_FLAG_NONE};
@@ -38,9 +38,9 @@
     static int onHeader(nghttp2_session *, const nghttp2_frame *frame, const std::uint8_t *name, std::size_t nameSize, const std::uint8_t *value,
                         std::size_t valueSize, std::uint8_t, void *user)
     {
-        const std::string_view key(reinterpret_cast<const char *>(name), nameSize);
+        const std::string_view headerName(reinterpret_cast<const char *>(name), nameSize);
         const auto it = self(user).m_streams.find(frame->hd.stream_id);
-        if (it != self(user).m_streams.end() && key == StatusName) {
+        if (it != self(user).m_streams.end() && headerName == StatusName) {
             const auto *text = reinterpret_cast<const char *>(value);
             std::from_chars(text, text + valueSize, it->second.status);
         }
@@ -63,25 +63,25 @@
             return 0;
         }
         auto &stream = it->second;
-        if (stream.body.size() + size > session.m_maxBodyBytes || session.m_buffered + size > session.m_maxBodyBytes * BufferedFactor) {
-            session.m_buffered -= stream.body.size();
+        if (stream.body.size() + size > session.m_maxBodyBytes || session.m_bufferedBytes + size > session.m_maxBodyBytes * MaxBufferedBodies) {
+            session.m_bufferedBytes -= stream.body.size();
             stream.body = {};
             stream.isTooLarge = true;
             session.m_requests.push_back({id, {}, true});
             return 0;
         }
         stream.body.append(reinterpret_cast<const char *>(data), size);
-        session.m_buffered += size;
+        session.m_bufferedBytes += size;
         return 0;
     }
 
     static int onFrame(nghttp2_session *, const nghttp2_frame *frame, void *user)
     {
         auto &session = self(user);
-        const bool isEnd = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0 && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS);
+        const bool isEndOfStream = (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0 && (frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS);
         const auto it = session.m_streams.find(frame->hd.stream_id);
-        if (isEnd && session.m_role == Role::Server && it != session.m_streams.end() && !it->second.isTooLarge) {
-            session.m_buffered -= it->second.body.size();
+        if (isEndOfStream && session.m_role == Role::Server && it != session.m_streams.end() && !it->second.isTooLarge) {
+            session.m_bufferedBytes -= it->second.body.size();
             session.m_requests.push_back({it->first, std::move(it->second.body), false});
             it->second.body = {};
         }
@@ -94,9 +94,9 @@
         const auto it = session.m_streams.find(id);
         if (it != session.m_streams.end()) {
             if (session.m_role == Role::Client) {
-                session.m_answers.push_back({id, it->second.status});
+                session.m_responses.push_back({id, it->second.status});
             } else {
-                session.m_buffered -= it->second.body.size();
+                session.m_bufferedBytes -= it->second.body.size();
             }
             session.m_streams.erase(it);
         }
@@ -121,7 +121,7 @@
         return static_cast<ssize_t>(n);
     }
 
-    static nghttp2_session_callbacks *make()
+    static nghttp2_session_callbacks *createCallbacks()
     {
         nghttp2_session_callbacks *callbacks = nullptr;
         nghttp2_session_callbacks_new(&callbacks);
@@ -138,7 +138,7 @@
     : m_role(role)
     , m_maxBodyBytes(maxBodyBytes)
 {
-    auto *callbacks = Callbacks::make();
+    auto *callbacks = Callbacks::createCallbacks();
     if (role == Role::Client) {
         nghttp2_session_client_new(&m_session, callbacks, this);
     } else {
@@ -153,7 +153,7 @@
     }};
     const std::size_t count = role == Role::Client ? settings.size() : settings.size() - 1;
     nghttp2_submit_settings(m_session, NGHTTP2_FLAG_NONE, settings.data(), count);
-    nghttp2_session_set_local_window_size(m_session, NGHTTP2_FLAG_NONE, 0, static_cast<std::int32_t>(window * BufferedFactor));
+    nghttp2_session_set_local_window_size(m_session, NGHTTP2_FLAG_NONE, 0, static_cast<std::int32_t>(window * MaxBufferedBodies));
 }
 
 Http2Session::~Http2Session()
@@ -163,8 +163,8 @@
 
 bool Http2Session::receive(std::string_view bytes)
 {
-    const auto taken = nghttp2_session_mem_recv(m_session, reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
-    if (taken != static_cast<ssize_t>(bytes.size())) {
+    const auto consumed = nghttp2_session_mem_recv(m_session, reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
+    if (consumed != static_cast<ssize_t>(bytes.size())) {
         return false;
     }
     return nghttp2_session_want_read(m_session) != 0 || nghttp2_session_want_write(m_session) != 0;
@@ -187,7 +187,8 @@
 
 std::int32_t Http2Session::submit(std::string body)
 {
-    const std::array headers{makeHeader(":method", "POST"), makeHeader(":scheme", "http"), makeHeader(":authority", "peer"), makeHeader(":path", "/peer/v1")};
+    const std::array headers{headerField(":method", "POST"), headerField(":scheme", "http"), headerField(":authority", "peer"),
+                             headerField(":path", "/peer/v1")};
     nghttp2_data_provider provider{};
     provider.read_callback = Callbacks::readBody;
     const auto id = nghttp2_submit_request(m_session, nullptr, headers.data(), headers.size(), &provider, nullptr);
@@ -200,7 +201,7 @@
 void Http2Session::respond(std::int32_t stream, int status)
 {
     const auto text = std::to_string(status);
-    const auto header = makeHeader(StatusName, text);
+    const auto header = headerField(StatusName, text);
     nghttp2_submit_response(m_session, stream, &header, 1, nullptr);
     if (const auto it = m_streams.find(stream); it != m_streams.end() && it->second.isTooLarge) {
         nghttp2_submit_rst_stream(m_session, NGHTTP2_FLAG_NONE, stream, NGHTTP2_NO_ERROR);
@@ -214,7 +215,7 @@
 
 std::vector<Http2Session::Response> Http2Session::takeResponses()
 {
-    return std::exchange(m_answers, {});
+    return std::exchange(m_responses, {});
 }
 
 } // namespace carawaylatch::peer
--- a/carawaylatch/peer/http2session.h
+++ b/carawaylatch/peer/http2session.h
@@ -68,9 +68,9 @@
     std::size_t m_maxBodyBytes;
     nghttp2_session *m_session = nullptr; // owned
     std::map<std::int32_t, Stream> m_streams;
-    std::size_t m_buffered = 0; // bytes of received bodies in m_streams
+    std::size_t m_bufferedBytes = 0; // bytes of received bodies in m_streams
     std::vector<Request> m_requests;
-    std::vector<Response> m_answers;
+    std::vector<Response> m_responses;
 };
 
 } // namespace carawaylatch::peer
--- a/carawaylatch/peer/http2transport.cpp
+++ b/carawaylatch/peer/http2transport.cpp
@@ -5,7 +5,7 @@
 // that were idle longest are closed first when there are too many, which keeps
 // them few, since a router sends mostly to the same others.
 //
-// A connection whose oldest message has no answer for AnswerTimeout is closed, so
+// A connection whose oldest message has no answer for ResponseTimeout is closed, so
 // that one to a VM that vanished without a word doesn't swallow messages until TCP
 // gives up. What waited on it is counted as dropped; senders repeat what matters.
 #include "carawaylatch/peer/http2transport.h"
@@ -35,19 +35,19 @@
 namespace
 {
 
-constexpr base::Duration AnswerTimeout = base::seconds{3};
+constexpr base::Duration ResponseTimeout = base::seconds{3};
 constexpr base::Duration ServerIdleTimeout = base::minutes{2};
-constexpr base::Duration HousekeepingInterval = base::seconds{1};
+constexpr base::Duration StaleCheckInterval = base::seconds{1};
 constexpr std::size_t ServerConnectionFactor = 4; // connections of others, in own ones
-constexpr std::size_t ReadBytes = 65'536;
+constexpr std::size_t ReadBufferBytes = 65'536;
 
-int statusOf(PeerRefusal refusal)
+int httpStatusOf(PeerRefusal refusal)
 {
     static constexpr std::array<int, PeerRefusalCount> Statuses{401, 426, 413, 400, 409};
     return Statuses.at(static_cast<std::size_t>(refusal));
 }
 
-constexpr int StatusTaken = 204;
+constexpr int StatusNoContent = 204;
 
 } // namespace
 
@@ -57,8 +57,8 @@
     explicit Impl(Http2TransportOptions options)
         : m_options(std::move(options))
         , m_acceptor(m_context)
-        , m_housekeeping(m_context)
-        , m_gate(m_options.self, m_options.key)
+        , m_staleCheckTimer(m_context)
+        , m_codec(m_options.self, m_options.key)
         , m_endpoint(m_options.listen)
     {
     }
@@ -99,36 +99,36 @@
         bool isConnected = false;
         bool isWriting = false;
         bool isClosed = false;
-        base::TimePoint usedAt;
+        base::TimePoint lastUsedAt;
         std::string output; // under way
-        std::array<char, ReadBytes> input{};
-        std::deque<std::string> waiting; // messages before the connection stands
-        std::size_t waitingBytes = 0; // of waiting and unanswered messages
-        struct Unanswered
+        std::array<char, ReadBufferBytes> input{};
+        std::deque<std::string> pendingMessages; // messages before the connection stands
+        std::size_t queuedBytes = 0; // of waiting and unanswered messages
+        struct InFlightMessage
         {
             base::TimePoint sentAt;
             std::size_t bytes = 0;
         };
-        std::map<std::int32_t, Unanswered> unanswered; // by stream
+        std::map<std::int32_t, InFlightMessage> inFlight; // by stream
     };
     using ConnectionPointer = std::shared_ptr<Connection>;
 
     base::Result<void> listen();
     void accept();
-    void post(const base::Endpoint &to, const PeerMessage &message);
+    void enqueue(const base::Endpoint &to, const PeerMessage &message);
     ConnectionPointer connectionTo(const base::Endpoint &to);
     void connect(const ConnectionPointer &connection);
     void submit(Connection &connection, std::string bytes);
     void read(const ConnectionPointer &connection);
     void write(const ConnectionPointer &connection);
-    void process(const ConnectionPointer &connection);
-    void receive(const ConnectionPointer &connection, const Http2Session::Request &request);
+    void handleMessages(const ConnectionPointer &connection);
+    void handleRequest(const ConnectionPointer &connection, const Http2Session::Request &request);
     void close(const ConnectionPointer &connection);
-    void keepHouse();
-    void closeIdleLongest();
-    void countConnections();
+    void closeStaleConnections();
+    void closeLeastRecentlyUsed();
+    void updateConnectionCount();
     template <typename Change>
-    void count(Change change)
+    void updateCounters(Change change)
     {
         const std::lock_guard lock(m_mutex);
         change(m_counters);
@@ -137,12 +137,12 @@
     Http2TransportOptions m_options;
     asio::io_context m_context;
     tcp::acceptor m_acceptor;
-    asio::steady_timer m_housekeeping;
+    asio::steady_timer m_staleCheckTimer;
     std::thread m_thread; // runs m_context; all below but the counters belong to it
     Handler m_handler;
-    AuthenticatedCodec m_gate;
-    std::map<base::Endpoint, ConnectionPointer> m_clients; // at most maxConnections
-    std::list<ConnectionPointer> m_servers; // at most ServerConnectionFactor times maxConnections
+    AuthenticatedCodec m_codec;
+    std::map<base::Endpoint, ConnectionPointer> m_clientConnections; // at most maxConnections
+    std::list<ConnectionPointer> m_serverConnections; // at most ServerConnectionFactor times maxConnections
     base::Endpoint m_endpoint; // set before the thread starts
     mutable std::mutex m_mutex;
     PeerCounters m_counters; // guarded by m_mutex
@@ -177,7 +177,7 @@
     m_handler = std::move(handler);
     BOOST_OUTCOME_TRY(listen());
     accept();
-    keepHouse();
+    closeStaleConnections();
     m_thread = std::thread([this] {
         m_context.run();
     });
@@ -192,12 +192,12 @@
     asio::post(m_context, [this] {
         boost::system::error_code ec;
         m_acceptor.close(ec);
-        m_housekeeping.cancel();
-        while (!m_clients.empty()) {
-            close(m_clients.begin()->second);
+        m_staleCheckTimer.cancel();
+        while (!m_clientConnections.empty()) {
+            close(m_clientConnections.begin()->second);
         }
-        while (!m_servers.empty()) {
-            close(m_servers.front());
+        while (!m_serverConnections.empty()) {
+            close(m_serverConnections.front());
         }
         m_context.stop();
     });
@@ -210,14 +210,14 @@
         if (!m_acceptor.is_open()) {
             return;
         }
-        if (!ec && m_servers.size() < m_options.maxConnections * ServerConnectionFactor) {
+        if (!ec && m_serverConnections.size() < m_options.maxConnections * ServerConnectionFactor) {
             auto connection = std::make_shared<Connection>(*this, Http2Session::Role::Server);
             connection->socket = std::move(socket);
             connection->socket.set_option(tcp::no_delay(true), ec);
             connection->isConnected = true;
-            connection->usedAt = m_clock.now();
-            m_servers.push_back(connection);
-            countConnections();
+            connection->lastUsedAt = m_clock.now();
+            m_serverConnections.push_back(connection);
+            updateConnectionCount();
             write(connection);
             read(connection);
         }
@@ -228,25 +228,25 @@
 void Http2Transport::Impl::send(const base::Endpoint &to, const PeerMessage &message)
 {
     asio::post(m_context, [this, to, message] {
-        post(to, message);
+        enqueue(to, message);
     });
 }
 
-void Http2Transport::Impl::post(const base::Endpoint &to, const PeerMessage &message)
+void Http2Transport::Impl::enqueue(const base::Endpoint &to, const PeerMessage &message)
 {
-    auto bytes = m_gate.wrap(message);
+    auto bytes = m_codec.encode(message);
     const auto connection = connectionTo(to);
-    const bool isTooMuch = bytes.size() > MaxMessageBytes || connection->waitingBytes + bytes.size() > m_options.maxQueuedBytes;
-    if (isTooMuch) {
-        count([](PeerCounters &it) {
+    const bool exceedsLimit = bytes.size() > MaxMessageBytes || connection->queuedBytes + bytes.size() > m_options.maxQueuedBytes;
+    if (exceedsLimit) {
+        updateCounters([](PeerCounters &it) {
             ++it.dropped;
         });
         return;
     }
-    connection->usedAt = m_clock.now();
-    connection->waitingBytes += bytes.size();
+    connection->lastUsedAt = m_clock.now();
+    connection->queuedBytes += bytes.size();
     if (!connection->isConnected) {
-        connection->waiting.push_back(std::move(bytes));
+        connection->pendingMessages.push_back(std::move(bytes));
         return;
     }
     submit(*connection, std::move(bytes));
@@ -255,17 +255,17 @@
 
 Http2Transport::Impl::ConnectionPointer Http2Transport::Impl::connectionTo(const base::Endpoint &to)
 {
-    if (const auto it = m_clients.find(to); it != m_clients.end()) {
+    if (const auto it = m_clientConnections.find(to); it != m_clientConnections.end()) {
         return it->second;
     }
-    if (m_clients.size() >= m_options.maxConnections) {
-        closeIdleLongest();
+    if (m_clientConnections.size() >= m_options.maxConnections) {
+        closeLeastRecentlyUsed();
     }
     auto connection = std::make_shared<Connection>(*this, Http2Session::Role::Client);
     connection->peer = to;
-    connection->usedAt = m_clock.now();
-    m_clients[to] = connection;
-    countConnections();
+    connection->lastUsedAt = m_clock.now();
+    m_clientConnections[to] = connection;
+    updateConnectionCount();
     connect(connection);
     return connection;
 }
@@ -291,7 +291,7 @@
         boost::system::error_code ignored;
         connection->socket.set_option(tcp::no_delay(true), ignored);
         connection->isConnected = true;
-        for (auto &it : std::exchange(connection->waiting, {})) {
+        for (auto &it : std::exchange(connection->pendingMessages, {})) {
             submit(*connection, std::move(it));
         }
         write(connection);
@@ -304,11 +304,11 @@
     const auto size = bytes.size();
     const auto stream = connection.session.submit(std::move(bytes));
     if (stream < 0) {
-        connection.waitingBytes -= size;
+        connection.queuedBytes -= size;
     } else {
-        connection.unanswered[stream] = {m_clock.now(), size};
+        connection.inFlight[stream] = {m_clock.now(), size};
     }
-    count([&](PeerCounters &it) {
+    updateCounters([&](PeerCounters &it) {
         it.dropped += stream < 0 ? 1 : 0;
         it.sentMessages += stream < 0 ? 0 : 1;
         it.sentBytes += stream < 0 ? 0 : size;
@@ -325,7 +325,7 @@
             close(connection);
             return;
         }
-        process(connection);
+        handleMessages(connection);
         write(connection);
         read(connection);
     });
@@ -351,99 +351,99 @@
     });
 }
 
-void Http2Transport::Impl::process(const ConnectionPointer &connection)
+void Http2Transport::Impl::handleMessages(const ConnectionPointer &connection)
 {
     for (const auto &it : connection->session.takeRequests()) {
-        connection->usedAt = m_clock.now();
-        receive(connection, it);
+        connection->lastUsedAt = m_clock.now();
+        handleRequest(connection, it);
     }
     for (const auto &it : connection->session.takeResponses()) {
-        if (const auto sent = connection->unanswered.find(it.stream); sent != connection->unanswered.end()) {
-            connection->waitingBytes -= sent->second.bytes;
-            connection->unanswered.erase(sent);
+        if (const auto sent = connection->inFlight.find(it.stream); sent != connection->inFlight.end()) {
+            connection->queuedBytes -= sent->second.bytes;
+            connection->inFlight.erase(sent);
         }
     }
 }
 
-void Http2Transport::Impl::receive(const ConnectionPointer &connection, const Http2Session::Request &request)
+void Http2Transport::Impl::handleRequest(const ConnectionPointer &connection, const Http2Session::Request &request)
 {
-    auto unwrapped = request.isTooLarge ? std::variant<PeerEnvelope, PeerRefusal>(PeerRefusal::TooLarge) : m_gate.unwrap(request.body);
-    if (const auto *refusal = std::get_if<PeerRefusal>(&unwrapped)) {
-        count([&](PeerCounters &it) {
+    auto decoded = request.isTooLarge ? std::variant<PeerEnvelope, PeerRefusal>(PeerRefusal::TooLarge) : m_codec.decode(request.body);
+    if (const auto *refusal = std::get_if<PeerRefusal>(&decoded)) {
+        updateCounters([&](PeerCounters &it) {
             ++it.refused.at(static_cast<std::size_t>(*refusal));
         });
-        connection->session.respond(request.stream, statusOf(*refusal));
+        connection->session.respond(request.stream, httpStatusOf(*refusal));
         return;
     }
-    count([&](PeerCounters &it) {
+    updateCounters([&](PeerCounters &it) {
         ++it.receivedMessages;
         it.receivedBytes += request.body.size();
     });
-    connection->session.respond(request.stream, StatusTaken);
-    m_handler(std::get<PeerEnvelope>(unwrapped));
+    connection->session.respond(request.stream, StatusNoContent);
+    m_handler(std::get<PeerEnvelope>(decoded));
 }
 
 void Http2Transport::Impl::close(const ConnectionPointer &connection)
 {
-    const auto kept = connection; // the argument may be the element that is erased
-    if (kept->isClosed) {
+    const auto closing = connection; // the argument may be the element that is erased
+    if (closing->isClosed) {
         return;
     }
-    kept->isClosed = true;
+    closing->isClosed = true;
     boost::system::error_code ec;
-    kept->socket.close(ec);
-    if (kept->role == Http2Session::Role::Client) {
-        m_clients.erase(kept->peer);
+    closing->socket.close(ec);
+    if (closing->role == Http2Session::Role::Client) {
+        m_clientConnections.erase(closing->peer);
     } else {
-        m_servers.remove(kept);
+        m_serverConnections.remove(closing);
     }
-    count([&](PeerCounters &it) {
-        it.dropped += kept->waiting.size() + kept->unanswered.size();
+    updateCounters([&](PeerCounters &it) {
+        it.dropped += closing->pendingMessages.size() + closing->inFlight.size();
     });
-    countConnections();
+    updateConnectionCount();
 }
 
-void Http2Transport::Impl::closeIdleLongest()
+void Http2Transport::Impl::closeLeastRecentlyUsed()
 {
-    const auto oldest = std::min_element(m_clients.begin(), m_clients.end(), [](const auto &first, const auto &second) {
-        return first.second->usedAt < second.second->usedAt;
+    const auto oldest = std::min_element(m_clientConnections.begin(), m_clientConnections.end(), [](const auto &first, const auto &second) {
+        return first.second->lastUsedAt < second.second->lastUsedAt;
     });
     close(oldest->second);
 }
 
-void Http2Transport::Impl::keepHouse()
+void Http2Transport::Impl::closeStaleConnections()
 {
     const auto now = m_clock.now();
     std::vector<ConnectionPointer> stale;
-    for (const auto &[peer, it] : m_clients) {
-        const bool isUnanswered = std::any_of(it->unanswered.begin(), it->unanswered.end(), [now](const auto &sent) {
-            return now > sent.second.sentAt + AnswerTimeout;
+    for (const auto &[peer, it] : m_clientConnections) {
+        const bool isResponseOverdue = std::any_of(it->inFlight.begin(), it->inFlight.end(), [now](const auto &sent) {
+            return now > sent.second.sentAt + ResponseTimeout;
         });
-        const bool isConnecting = !it->isConnected && now > it->usedAt + m_options.connectTimeout;
-        if (isUnanswered || isConnecting) {
+        const bool isConnectOverdue = !it->isConnected && now > it->lastUsedAt + m_options.connectTimeout;
+        if (isResponseOverdue || isConnectOverdue) {
             stale.push_back(it);
         }
     }
-    for (const auto &it : m_servers) {
-        if (now > it->usedAt + ServerIdleTimeout) {
+    for (const auto &it : m_serverConnections) {
+        if (now > it->lastUsedAt + ServerIdleTimeout) {
             stale.push_back(it);
         }
     }
     for (const auto &it : stale) {
         close(it);
     }
-    m_housekeeping.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(HousekeepingInterval));
-    m_housekeeping.async_wait([this](boost::system::error_code ec) {
+    m_staleCheckTimer.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(StaleCheckInterval));
+    m_staleCheckTimer.async_wait([this](boost::system::error_code ec) {
         if (!ec) {
-            keepHouse();
+            closeStaleConnections();
         }
     });
 }
 
-void Http2Transport::Impl::countConnections()
+void Http2Transport::Impl::updateConnectionCount()
 {
-    count([this](PeerCounters &it) {
-        it.connections = static_cast<std::uint32_t>(m_clients.size() + m_servers.size());
+    updateCounters([this](PeerCounters &it) {
+        it.connections = static_cast<std::uint32_t>(m_clientConnections.size() + m_serverConnections.size());
     });
 }
 
--- a/carawaylatch/peer/messageauthenticator.cpp
+++ b/carawaylatch/peer/messageauthenticator.cpp
@@ -19,14 +19,14 @@
 namespace
 {
 
-constexpr std::size_t SealBytes = 32; // of SHA-256
+constexpr std::size_t DigestBytes = 32; // of SHA-256
 
-using Digest = std::array<unsigned char, SealBytes>;
+using Digest = std::array<unsigned char, DigestBytes>;
 
-Digest digestOf(const std::string &key, std::string_view bytes)
+Digest computeHmac(const std::string &key, std::string_view bytes)
 {
     Digest digest{};
-    unsigned int size = SealBytes;
+    unsigned int size = DigestBytes;
     HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), reinterpret_cast<const unsigned char *>(bytes.data()), bytes.size(), digest.data(), &size);
     return digest;
 }
@@ -38,19 +38,19 @@
 {
 }
 
-std::string MessageAuthenticator::close(std::string bytes) const
+std::string MessageAuthenticator::sign(std::string bytes) const
 {
-    const auto digest = digestOf(m_key, bytes);
+    const auto digest = computeHmac(m_key, bytes);
     bytes.append(reinterpret_cast<const char *>(digest.data()), digest.size());
     return bytes;
 }
 
-base::Result<std::string_view> MessageAuthenticator::open(std::string_view sealed) const
+base::Result<std::string_view> MessageAuthenticator::verify(std::string_view signedBytes) const
 {
-    if (sealed.size() >= SealBytes) {
-        const auto bytes = sealed.substr(0, sealed.size() - SealBytes);
-        const auto digest = digestOf(m_key, bytes);
-        if (CRYPTO_memcmp(digest.data(), sealed.data() + bytes.size(), SealBytes) == 0) {
+    if (signedBytes.size() >= DigestBytes) {
+        const auto bytes = signedBytes.substr(0, signedBytes.size() - DigestBytes);
+        const auto digest = computeHmac(m_key, bytes);
+        if (CRYPTO_memcmp(digest.data(), signedBytes.data() + bytes.size(), DigestBytes) == 0) {
             return bytes;
         }
     }
@@ -62,11 +62,11 @@
     const std::pair key(sender.id, sender.incarnation);
     if (!m_windows.contains(key) && m_windows.size() >= MaxSenders) {
         m_windows.erase(std::min_element(m_windows.begin(), m_windows.end(), [](const auto &first, const auto &second) {
-            return first.second.use < second.second.use;
+            return first.second.lastUse < second.second.lastUse;
         }));
     }
     auto &window = m_windows[key];
-    window.use = ++m_uses;
+    window.lastUse = ++m_useCounter;
     if (sequence > window.greatest) {
         const auto shift = sequence - window.greatest;
         window.seen <<= std::min<std::uint64_t>(shift, WindowBits);
--- a/carawaylatch/peer/messageauthenticator.h
+++ b/carawaylatch/peer/messageauthenticator.h
@@ -23,9 +23,9 @@
 public:
     explicit MessageAuthenticator(std::string key);
     // Returns the bytes with the keyed hash behind them.
-    [[nodiscard]] std::string close(std::string bytes) const;
+    [[nodiscard]] std::string sign(std::string bytes) const;
     // Returns the bytes without the hash, or Unauthenticated.
-    [[nodiscard]] base::Result<std::string_view> open(std::string_view sealed) const;
+    [[nodiscard]] base::Result<std::string_view> verify(std::string_view signedBytes) const;
 
 private:
     std::string m_key;
@@ -48,10 +48,10 @@
     {
         std::uint64_t greatest = 0;
         std::bitset<WindowBits> seen; // bit i: greatest - i was admitted
-        std::uint64_t use = 0; // order of last use
+        std::uint64_t lastUse = 0; // order of last use
     };
     std::map<std::pair<base::RouterId, base::Incarnation>, Window> m_windows;
-    std::uint64_t m_uses = 0;
+    std::uint64_t m_useCounter = 0;
 };
 
 } // namespace carawaylatch::peer
--- a/carawaylatch/peer/testing/codectest.cpp
+++ b/carawaylatch/peer/testing/codectest.cpp
@@ -22,16 +22,16 @@
 class CodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CodecTest);
-    CPPUNIT_TEST(testEveryKindSurvives);
-    CPPUNIT_TEST(testWholeConfigurationSurvives);
-    CPPUNIT_TEST(testDamagedBytesAreRefusedOrDecode);
-    CPPUNIT_TEST(testSeal);
-    CPPUNIT_TEST(testReplayGuardAgainstSet);
-    CPPUNIT_TEST(testReplayGuardIsBounded);
+    CPPUNIT_TEST(testEveryKindRoundTrips);
+    CPPUNIT_TEST(testFullConfigurationRoundTrips);
+    CPPUNIT_TEST(testCorruptedBytesAreRejectedOrDecode);
+    CPPUNIT_TEST(testMessageAuthenticator);
+    CPPUNIT_TEST(testReplayFilterMatchesReferenceSet);
+    CPPUNIT_TEST(testReplayFilterIsBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testEveryKindSurvives()
+    void testEveryKindRoundTrips()
     {
         SampleMessages samples(::carawaylatch::testing::seed());
         std::set<std::string_view> names;
@@ -52,7 +52,7 @@
         CPPUNIT_ASSERT_EQUAL(std::variant_size_v<PeerMessage>, names.size());
     }
 
-    void testWholeConfigurationSurvives()
+    void testFullConfigurationRoundTrips()
     {
         config::RowSet rows;
         rows.revision = {5};
@@ -62,7 +62,7 @@
         CPPUNIT_ASSERT(*std::get<config::ConfigUpdate>(decoded.value().message).whole == rows);
     }
 
-    void testDamagedBytesAreRefusedOrDecode()
+    void testCorruptedBytesAreRejectedOrDecode()
     {
         base::Random random(::carawaylatch::testing::seed());
         SampleMessages samples(::carawaylatch::testing::seed());
@@ -90,22 +90,22 @@
         CPPUNIT_ASSERT(refused > 1'000);
     }
 
-    void testSeal()
+    void testMessageAuthenticator()
     {
-        const MessageAuthenticator seal{std::string(Key)};
+        const MessageAuthenticator authenticator{std::string(Key)};
         const MessageAuthenticator other("another key of 24 bytes!");
-        const auto sealed = seal.close("message");
-        CPPUNIT_ASSERT_EQUAL(std::string("message"), std::string(seal.open(sealed).value()));
-        CPPUNIT_ASSERT(!other.open(sealed) && !seal.open("") && !seal.open("message"));
-        for (std::size_t i = 0; i < sealed.size(); ++i) {
-            auto damaged = sealed;
+        const auto signedBytes = authenticator.sign("message");
+        CPPUNIT_ASSERT_EQUAL(std::string("message"), std::string(authenticator.verify(signedBytes).value()));
+        CPPUNIT_ASSERT(!other.verify(signedBytes) && !authenticator.verify("") && !authenticator.verify("message"));
+        for (std::size_t i = 0; i < signedBytes.size(); ++i) {
+            auto damaged = signedBytes;
             damaged[i] ^= 1;
-            CPPUNIT_ASSERT(!seal.open(damaged));
+            CPPUNIT_ASSERT(!authenticator.verify(damaged));
         }
     }
 
     // The window against a set of all numbers admitted before.
-    void testReplayGuardAgainstSet()
+    void testReplayFilterMatchesReferenceSet()
     {
         base::Random random(::carawaylatch::testing::seed());
         ReplayFilter guard;
@@ -126,7 +126,7 @@
         CPPUNIT_ASSERT(!guard.admit(Sender, 0));
     }
 
-    void testReplayGuardIsBounded()
+    void testReplayFilterIsBounded()
     {
         ReplayFilter guard;
         for (std::uint64_t i = 0; i < ReplayFilter::MaxSenders + 10; ++i) {
--- a/carawaylatch/peer/testing/fakenetwork.h
+++ b/carawaylatch/peer/testing/fakenetwork.h
@@ -29,7 +29,7 @@
     // `group` is what the network's cuts are between.
     FakeTransport(FakeNetwork &network, const PeerIdentity &self, const std::string &key, std::uint32_t group = 0, std::uint16_t port = 0)
         : m_network(network)
-        , m_gate(self, key)
+        , m_codec(self, key)
         , m_endpoint{"127.0.0.1", port != 0 ? port : ++network.lastPort}
         , m_group(group)
     {
@@ -56,7 +56,7 @@
     }
     void send(const base::Endpoint &to, const PeerMessage &message) override
     {
-        sendBytes(to, m_gate.wrap(message));
+        sendBytes(to, m_codec.encode(message));
     }
     // Sends bytes as they are, as a stranger would.
     void sendBytes(const base::Endpoint &to, const std::string &bytes)
@@ -91,18 +91,18 @@
 private:
     void receive(const std::string &bytes)
     {
-        auto unwrapped = m_gate.unwrap(bytes);
-        if (const auto *refusal = std::get_if<PeerRefusal>(&unwrapped)) {
+        auto decoded = m_codec.decode(bytes);
+        if (const auto *refusal = std::get_if<PeerRefusal>(&decoded)) {
             ++m_counters.refused.at(static_cast<std::size_t>(*refusal));
             return;
         }
         ++m_counters.receivedMessages;
         m_counters.receivedBytes += bytes.size();
-        m_handler(std::get<PeerEnvelope>(unwrapped));
+        m_handler(std::get<PeerEnvelope>(decoded));
     }
 
     FakeNetwork &m_network;
-    AuthenticatedCodec m_gate;
+    AuthenticatedCodec m_codec;
     base::Endpoint m_endpoint;
     std::uint32_t m_group;
     Handler m_handler;
--- a/carawaylatch/peer/testing/transporttest.cpp
+++ b/carawaylatch/peer/testing/transporttest.cpp
@@ -95,32 +95,32 @@
 };
 
 // Makes transports of one kind that reach each other.
-class Bed
+class TransportFixture
 {
 public:
-    virtual ~Bed() = default;
-    virtual std::unique_ptr<PeerTransport> make(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) = 0;
+    virtual ~TransportFixture() = default;
+    virtual std::unique_ptr<PeerTransport> createTransport(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) = 0;
     // Sends sealed or other bytes to an endpoint, not through a transport's own sending.
     virtual void sendBytes(const base::Endpoint &to, const std::string &bytes) = 0;
     // Lets messages arrive until the condition holds; false if it never does.
     virtual bool waitFor(const std::function<bool()> &condition) = 0;
 };
 
-class FakeBed : public Bed
+class FakeTransportFixture : public TransportFixture
 {
 public:
-    std::unique_ptr<PeerTransport> make(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) override
+    std::unique_ptr<PeerTransport> createTransport(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) override
     {
         return std::make_unique<FakeTransport>(m_network, self, key, 0, port);
     }
     void sendBytes(const base::Endpoint &to, const std::string &bytes) override
     {
-        FakeTransport stranger(m_network, First, Key);
+        FakeTransport unknownSender(m_network, First, Key);
         if (bytes.size() > MaxMessageBytes) {
             // The fake refuses what a real connection refuses while reading.
             m_network.transports.at(to)->refuseTooLarge();
         } else {
-            stranger.sendBytes(to, bytes);
+            unknownSender.sendBytes(to, bytes);
         }
     }
     bool waitFor(const std::function<bool()> &condition) override
@@ -135,10 +135,10 @@
     FakeNetwork m_network;
 };
 
-class Http2Bed : public Bed
+class Http2TransportFixture : public TransportFixture
 {
 public:
-    std::unique_ptr<PeerTransport> make(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) override
+    std::unique_ptr<PeerTransport> createTransport(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) override
     {
         Http2TransportOptions options;
         options.self = self;
@@ -151,7 +151,7 @@
         const RawConnection connection(to);
         Http2Session session(Http2Session::Role::Client, 2 * MaxMessageBytes);
         (void)session.submit(bytes);
-        for (auto answers = session.takeResponses(); answers.empty(); answers = session.takeResponses()) {
+        for (auto responses = session.takeResponses(); responses.empty(); responses = session.takeResponses()) {
             for (auto output = session.takeOutput(); !output.empty(); output = session.takeOutput()) {
                 connection.write(output);
             }
@@ -178,31 +178,31 @@
 } // namespace
 
 // The cases that hold for every transport.
-template <typename BedType>
+template <typename Fixture>
 class TransportContractTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TransportContractTest);
     CPPUNIT_TEST(testEveryKindArrives);
     CPPUNIT_TEST(testManyAndLargeMessagesArriveOnce);
-    CPPUNIT_TEST(testBadMessagesAreRefusedAndCounted);
-    CPPUNIT_TEST(testMessageToNobodyIsDropped);
-    CPPUNIT_TEST(testPeerComesBackOnItsPort);
+    CPPUNIT_TEST(testInvalidMessagesAreRejectedAndCounted);
+    CPPUNIT_TEST(testMessageToUnreachablePeerIsDropped);
+    CPPUNIT_TEST(testDeliveryAfterPeerRestart);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void setUp() override
     {
-        m_bed = std::make_unique<BedType>();
+        m_fixture = std::make_unique<Fixture>();
         m_inbox = std::make_unique<Inbox>();
-        m_sender = m_bed->make(First, Key);
-        m_receiver = m_bed->make(Second, Key);
+        m_sender = m_fixture->createTransport(First, Key);
+        m_receiver = m_fixture->createTransport(Second, Key);
         CPPUNIT_ASSERT(m_sender->start([](const PeerEnvelope &) {}) && m_receiver->start(m_inbox->handler()));
     }
     void tearDown() override
     {
         m_sender.reset();
         m_receiver.reset();
-        m_bed.reset();
+        m_fixture.reset();
     }
 
     void testEveryKindArrives()
@@ -211,7 +211,7 @@
         for (const auto &it : messages) {
             m_sender->send(m_receiver->endpoint(), it);
         }
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             return m_inbox->size() == messages.size();
         }));
         std::set<std::size_t> kinds;
@@ -232,7 +232,7 @@
         }
         m_sender->send(m_receiver->endpoint(), large);
         m_sender->send(m_receiver->endpoint(), large);
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             return m_inbox->size() == Count + 2;
         }));
         std::set<std::uint64_t> sequences;
@@ -243,65 +243,65 @@
         CPPUNIT_ASSERT(m_receiver->counters().receivedBytes > 2'000'000);
     }
 
-    void testBadMessagesAreRefusedAndCounted()
+    void testInvalidMessagesAreRejectedAndCounted()
     {
-        AuthenticatedCodec gate({base::RouterId("c"), {3}}, Key);
-        const auto good = gate.wrap(MarksRequest{});
-        const MessageAuthenticator seal(Key);
+        AuthenticatedCodec codec({base::RouterId("c"), {3}}, Key);
+        const auto validMessage = codec.encode(MarksRequest{});
+        const MessageAuthenticator authenticator(Key);
         const struct
         {
             PeerRefusal refusal;
             std::string bytes;
         } cases[] = {
-            {PeerRefusal::WrongKey, AuthenticatedCodec(First, "another key of 24 bytes!").wrap(MarksRequest{})},
+            {PeerRefusal::WrongKey, AuthenticatedCodec(First, "another key of 24 bytes!").encode(MarksRequest{})},
             {PeerRefusal::WrongKey, "short"},
-            {PeerRefusal::WrongVersion, seal.close("\x08\x07\x12\x01"
-                                                   "c")},
+            {PeerRefusal::WrongVersion, authenticator.sign("\x08\x07\x12\x01"
+                                                           "c")},
             {PeerRefusal::TooLarge, std::string(MaxMessageBytes + 1, 'x')},
-            {PeerRefusal::Malformed, seal.close("\x08\x01\xff\xff\xff\xff")},
-            {PeerRefusal::Malformed, seal.close("\x08\x01")},
-            {PeerRefusal::Replayed, good},
+            {PeerRefusal::Malformed, authenticator.sign("\x08\x01\xff\xff\xff\xff")},
+            {PeerRefusal::Malformed, authenticator.sign("\x08\x01")},
+            {PeerRefusal::Replayed, validMessage},
         };
-        m_bed->sendBytes(m_receiver->endpoint(), good);
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        m_fixture->sendBytes(m_receiver->endpoint(), validMessage);
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             return m_inbox->size() == 1;
         }));
         for (const auto &it : cases) {
             const auto before = refusals(*m_receiver, it.refusal);
-            m_bed->sendBytes(m_receiver->endpoint(), it.bytes);
-            CPPUNIT_ASSERT_MESSAGE(std::string(peerRefusalName(it.refusal)), m_bed->waitFor([&] {
+            m_fixture->sendBytes(m_receiver->endpoint(), it.bytes);
+            CPPUNIT_ASSERT_MESSAGE(std::string(peerRefusalName(it.refusal)), m_fixture->waitFor([&] {
                 return refusals(*m_receiver, it.refusal) == before + 1;
             }));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, m_inbox->size());
     }
 
-    void testMessageToNobodyIsDropped()
+    void testMessageToUnreachablePeerIsDropped()
     {
-        const auto gone = m_receiver->endpoint();
+        const auto unreachable = m_receiver->endpoint();
         m_receiver.reset();
-        m_sender->send(gone, MarksRequest{});
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        m_sender->send(unreachable, MarksRequest{});
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             return m_sender->counters().dropped == 1;
         }));
         m_sender->send({"not an address", 1}, MarksRequest{});
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             return m_sender->counters().dropped == 2;
         }));
     }
 
-    void testPeerComesBackOnItsPort()
+    void testDeliveryAfterPeerRestart()
     {
         m_sender->send(m_receiver->endpoint(), MarksRequest{});
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             return m_inbox->size() == 1;
         }));
         const auto port = m_receiver->endpoint().port;
         m_receiver->stop();
         Inbox inbox;
-        const auto next = m_bed->make({Second.id, {77}}, Key, port);
+        const auto next = m_fixture->createTransport({Second.id, {77}}, Key, port);
         CPPUNIT_ASSERT(next->start(inbox.handler()));
-        CPPUNIT_ASSERT(m_bed->waitFor([&] {
+        CPPUNIT_ASSERT(m_fixture->waitFor([&] {
             m_sender->send(next->endpoint(), MarksRequest{});
             return inbox.size() > 0;
         }));
@@ -310,14 +310,14 @@
     }
 
 private:
-    std::unique_ptr<Bed> m_bed;
+    std::unique_ptr<TransportFixture> m_fixture;
     std::unique_ptr<Inbox> m_inbox;
     std::unique_ptr<PeerTransport> m_sender;
     std::unique_ptr<PeerTransport> m_receiver;
 };
 
-using FakeTransportContractTest = TransportContractTest<FakeBed>;
-using Http2TransportContractTest = TransportContractTest<Http2Bed>;
+using FakeTransportContractTest = TransportContractTest<FakeTransportFixture>;
+using Http2TransportContractTest = TransportContractTest<Http2TransportFixture>;
 CPPUNIT_TEST_SUITE_REGISTRATION(FakeTransportContractTest);
 CPPUNIT_TEST_SUITE_REGISTRATION(Http2TransportContractTest);
 
@@ -326,25 +326,25 @@
 {
     CPPUNIT_TEST_SUITE(Http2TransportTest);
     CPPUNIT_TEST(testConnectionsAreBounded);
-    CPPUNIT_TEST(testGarbageClosesOnlyItsConnection);
+    CPPUNIT_TEST(testInvalidBytesCloseOnlyTheirConnection);
     CPPUNIT_TEST(testPortInUse);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testConnectionsAreBounded()
     {
-        Http2Bed bed;
+        Http2TransportFixture fixture;
         Http2TransportOptions options{First, {"127.0.0.1", 0}, Key, 2, 4'000'000, base::seconds{1}};
         Http2Transport sender(options);
         CPPUNIT_ASSERT(sender.start([](const PeerEnvelope &) {}));
         Inbox inbox;
         std::vector<std::unique_ptr<PeerTransport>> receivers;
         for (std::uint64_t i = 0; i < 5; ++i) {
-            receivers.push_back(bed.make({base::RouterId("r"), {i + 10}}, Key));
+            receivers.push_back(fixture.createTransport({base::RouterId("r"), {i + 10}}, Key));
             CPPUNIT_ASSERT(receivers.back()->start(inbox.handler()));
             const auto before = inbox.size();
             sender.send(receivers.back()->endpoint(), MarksRequest{});
-            CPPUNIT_ASSERT(bed.waitFor([&] {
+            CPPUNIT_ASSERT(fixture.waitFor([&] {
                 return inbox.size() == before + 1;
             }));
             CPPUNIT_ASSERT(sender.counters().connections <= 2);
@@ -352,12 +352,12 @@
         receivers.clear();
     }
 
-    void testGarbageClosesOnlyItsConnection()
+    void testInvalidBytesCloseOnlyTheirConnection()
     {
-        Http2Bed bed;
+        Http2TransportFixture fixture;
         Inbox inbox;
-        const auto receiver = bed.make(Second, Key);
-        const auto sender = bed.make(First, Key);
+        const auto receiver = fixture.createTransport(Second, Key);
+        const auto sender = fixture.createTransport(First, Key);
         CPPUNIT_ASSERT(receiver->start(inbox.handler()) && sender->start([](const PeerEnvelope &) {}));
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 20; ++i) {
@@ -371,15 +371,15 @@
             while (!connection.read().empty()) {}
         }
         sender->send(receiver->endpoint(), MarksRequest{});
-        CPPUNIT_ASSERT(bed.waitFor([&] {
+        CPPUNIT_ASSERT(fixture.waitFor([&] {
             return inbox.size() == 1;
         }));
     }
 
     void testPortInUse()
     {
-        Http2Bed bed;
-        const auto first = bed.make(First, Key);
+        Http2TransportFixture fixture;
+        const auto first = fixture.createTransport(First, Key);
         CPPUNIT_ASSERT(first->start([](const PeerEnvelope &) {}));
         Http2Transport second({Second, first->endpoint(), Key, 2, 4'000'000, base::seconds{1}});
         const auto started = second.start([](const PeerEnvelope &) {});
--- a/carawaylatch/peer/transport.cpp
+++ b/carawaylatch/peer/transport.cpp
@@ -14,21 +14,21 @@
 
 AuthenticatedCodec::AuthenticatedCodec(PeerIdentity self, std::string key)
     : m_self(std::move(self))
-    , m_seal(std::move(key))
+    , m_authenticator(std::move(key))
 {
 }
 
-std::string AuthenticatedCodec::wrap(const PeerMessage &message)
+std::string AuthenticatedCodec::encode(const PeerMessage &message)
 {
-    return m_seal.close(encodeEnvelope({m_self, ++m_sequence, message}));
+    return m_authenticator.sign(encodeEnvelope({m_self, ++m_sequence, message}));
 }
 
-std::variant<PeerEnvelope, PeerRefusal> AuthenticatedCodec::unwrap(std::string_view sealed)
+std::variant<PeerEnvelope, PeerRefusal> AuthenticatedCodec::decode(std::string_view signedBytes)
 {
-    if (sealed.size() > MaxMessageBytes) {
+    if (signedBytes.size() > MaxMessageBytes) {
         return PeerRefusal::TooLarge;
     }
-    const auto bytes = m_seal.open(sealed);
+    const auto bytes = m_authenticator.verify(signedBytes);
     if (!bytes) {
         return PeerRefusal::WrongKey;
     }
@@ -36,7 +36,7 @@
     if (!envelope) {
         return envelope.error().kind == base::ErrorKind::StaleState ? PeerRefusal::WrongVersion : PeerRefusal::Malformed;
     }
-    if (!m_replays.admit(envelope.value().sender, envelope.value().sequence)) {
+    if (!m_replayFilter.admit(envelope.value().sender, envelope.value().sequence)) {
         return PeerRefusal::Replayed;
     }
     return std::move(envelope.value());
--- a/carawaylatch/peer/wirevalues.cpp
+++ b/carawaylatch/peer/wirevalues.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-base::Error malformed(const char *what)
+base::Error malformedMessage(const char *what)
 {
     return base::fail(ErrorKind::InvalidArgument, std::string("a peer's message has ") + what + "; look for a router of another version");
 }
@@ -22,7 +22,7 @@
 Result<admission::Resource> resourceFromWire(std::uint32_t number)
 {
     if (number > static_cast<std::uint32_t>(admission::Resource::Rate)) {
-        return malformed("an unknown resource");
+        return malformedMessage("an unknown resource");
     }
     return static_cast<admission::Resource>(number);
 }
@@ -46,7 +46,7 @@
 Result<prefix::HotUpstream> fromWire(const wire::HotUpstream &in)
 {
     if (in.keys_size() != in.ages_ms_size()) {
-        return malformed("block keys without ages");
+        return malformedMessage("block keys without ages");
     }
     prefix::HotUpstream value;
     BOOST_OUTCOME_TRY(upstream, nameFromWire<base::UpstreamId>(in.upstream()));
@@ -69,7 +69,7 @@
 {
     constexpr std::size_t MaxScopeBytes = 200;
     if (in.scope().size() > MaxScopeBytes) {
-        return malformed("a long name of a lease");
+        return malformedMessage("a long name of a lease");
     }
     return handover::FencingFloor{in.scope(), {in.token()}};
 }
@@ -91,7 +91,7 @@
     constexpr std::size_t MaxAddressBytes = 45;
     if (in.state() > static_cast<std::uint32_t>(membership::MemberState::Dead) || in.port() > std::numeric_limits<std::uint16_t>::max()
         || in.address().size() > MaxAddressBytes || in.id().empty()) {
-        return malformed("a member without sense");
+        return malformedMessage("a member without sense");
     }
     BOOST_OUTCOME_TRY(id, nameFromWire<base::RouterId>(in.id()));
     BOOST_OUTCOME_TRY(domain, nameFromWire<base::FailureDomain>(in.domain()));
@@ -209,12 +209,12 @@
 Result<prefix::HotLevels> fromWire(const wire::HotLevels &in)
 {
     if (in.keys_size() != in.heats_size() || in.keys_size() != in.spreads_size()) {
-        return malformed("levels without heat");
+        return malformedMessage("levels without heat");
     }
     prefix::HotLevels value;
     for (int i = 0; i < in.keys_size(); ++i) {
         if (!(in.heats(i) >= 0) || in.spreads(i) > std::numeric_limits<std::uint8_t>::max()) {
-            return malformed("a level without sense");
+            return malformedMessage("a level without sense");
         }
         value.levels.push_back({in.keys(i), in.heats(i), static_cast<std::uint8_t>(in.spreads(i))});
     }
