--- a/carawaylatch/http/callerjson.cpp
+++ b/carawaylatch/http/callerjson.cpp
@@ -1,4 +1,5 @@
-// Bodies are checked field by field, so that an error can name the field.
+// Validates request bodies field by field, so that an error message can name the
+// invalid field and the valid form.
 #include "carawaylatch/http/callerjson.h"
 
 #include <nlohmann/json.hpp>
@@ -26,7 +27,8 @@
     return "data: " + dump(json) + "\n\n";
 }
 
-// Joins chat messages in the form in which engines read them.
+// Joins chat messages in the engine's prompt format: a role tag before each message
+// and the assistant's tag at the end.
 base::Result<std::string> formatChatPrompt(const Json &messages)
 {
     if (!messages.is_array() || messages.empty()) {
@@ -99,7 +101,7 @@
     json["token_count"] = done.count;
 }
 
-// The family of an error, in the words that clients of completion interfaces know.
+// Returns the error type as the common clients of completion APIs expect it.
 std::string_view errorType(int status)
 {
     switch (status) {
--- a/carawaylatch/http/callerjson.h
+++ b/carawaylatch/http/callerjson.h
@@ -1,4 +1,4 @@
-// JSON of the callers' interface (docs/API.md).
+// Encodes and decodes the JSON bodies of the callers' API (docs/API.md).
 #pragma once
 
 #include <optional>
@@ -13,7 +13,7 @@
 namespace carawaylatch::http
 {
 
-// The two forms of a completion.
+// The two variants of the completion API.
 enum class CompletionForm {
     Text, // /v1/completions
     Chat, // /v1/chat/completions
@@ -35,10 +35,11 @@
 constexpr std::uint32_t DefaultMaxTokens = 256;
 constexpr std::uint32_t MaxMaxTokens = 1'000'000;
 
-// Returns the body's values, or InvalidArgument with what to write instead.
+// Returns the decoded body, or InvalidArgument with a message that states the valid
+// form.
 [[nodiscard]] base::Result<CompletionBody> decodeCompletion(std::string_view body, CompletionForm form);
 
-// Parts of an answer's identity that each chunk repeats.
+// Fields that identify a completion; every chunk of a stream repeats them.
 struct CompletionIdentity
 {
     std::string requestId;
@@ -46,7 +47,8 @@
     CompletionForm form = CompletionForm::Text;
 };
 
-// Each returns one complete server-sent event.
+// Each returns complete server-sent events; encodeFinalEvent() includes the [DONE]
+// event that ends a stream.
 [[nodiscard]] std::string encodeTokenEvent(const CompletionIdentity &identity, std::uint64_t index, std::string_view text);
 [[nodiscard]] std::string encodeFinalEvent(const CompletionIdentity &identity, const relay::DoneEvent &done);
 [[nodiscard]] std::string encodeErrorEvent(const base::Error &error);
@@ -55,7 +57,7 @@
 [[nodiscard]] std::string encodeError(const base::Error &error);
 [[nodiscard]] std::string encodeModels(std::span<const base::ModelId> models);
 
-// Returns the HTTP status that stands for an error kind.
+// Maps an error kind to an HTTP status.
 [[nodiscard]] int httpStatus(base::ErrorKind kind);
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/callerrequest.cpp
+++ b/carawaylatch/http/callerrequest.cpp
@@ -1,4 +1,4 @@
-// Headers of callers: key, class, deadline, request id.
+// Parses the request headers for the API key, traffic class, deadline and request id.
 #include "carawaylatch/http/callerrequest.h"
 
 #include <httplib.h>
--- a/carawaylatch/http/callerrequest.h
+++ b/carawaylatch/http/callerrequest.h
@@ -1,5 +1,5 @@
-// What the callers' and the operators' port read from a request's headers, and
-// how both answer errors.
+// Request header parsing and error responses, shared by the callers' and the
+// operators' server.
 #pragma once
 
 #include "carawaylatch/base/error.h"
@@ -14,11 +14,13 @@
 namespace carawaylatch::http
 {
 
-// Returns what every request carries, or InvalidArgument that names the header.
-// The request id is empty if the caller sent none, or one that is no plain word.
+// Returns the request's metadata, or InvalidArgument with the name of the invalid
+// header. The request id is empty if the caller sent none or one with characters
+// other than letters, digits, '-', '_' and '.'.
 [[nodiscard]] base::Result<RequestMetadata> readRequestMetadata(const httplib::Request &request);
 
-// Answers with the error's status, body and Retry-After.
+// Fills the response with the error's status and JSON body; adds Retry-After, rounded
+// up to seconds, if the error has a retry delay.
 void respondWithError(httplib::Response &response, const base::Error &error);
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/callersserver.cpp
+++ b/carawaylatch/http/callersserver.cpp
@@ -1,9 +1,9 @@
-// Requests of callers on httplib, a thread for each.
+// Implements the callers' server on cpp-httplib with one thread per request.
 //
-// A streamed request has a second thread from a pool that relays it, since the
-// status has to be known before httplib pulls the body (see streambridge.h). A
-// caller that leaves is noticed by the writing thread: by a failed write, or by
-// looking at the socket while there is nothing to write.
+// A streamed request takes a second thread from a pool that relays the stream, since
+// httplib needs the status before it pulls the body (see streambridge.h). The
+// writing thread detects that the caller disconnected: by a failed write, or by
+// polling the socket while there is nothing to write.
 #include "carawaylatch/http/callersserver.h"
 
 #include <httplib.h>
@@ -26,7 +26,7 @@
 
 constexpr const char *JsonType = "application/json";
 constexpr const char *StreamType = "text/event-stream";
-constexpr base::Duration DisconnectPollInterval = base::milliseconds{50}; // between two looks at a quiet caller's socket
+constexpr base::Duration DisconnectPollInterval = base::milliseconds{50}; // between two checks of the socket while there is nothing to write
 
 } // namespace
 
@@ -76,7 +76,7 @@
         });
     }
 
-    // Gives the statuses that httplib sets by itself a body in the usual form.
+    // Adds a JSON error body to responses whose status httplib set by itself.
     void addErrorBody(httplib::Response &response) const
     {
         if (!response.body.empty()) {
@@ -90,7 +90,7 @@
             message = "the body is over " + std::to_string(m_options.maxBodyBytes) + " bytes; send a shorter prompt";
         } else if (status == 400) {
             kind = base::ErrorKind::InvalidArgument;
-            message = "the request is not valid HTTP, or its head or body was cut off; send it whole, with header lines under 8 KB";
+            message = "the request is not valid HTTP, or its headers or body are incomplete; send all of it, with header lines under 8 KB";
         } else if (status != 404) {
             return;
         }
@@ -121,7 +121,8 @@
         server.Delete(ServicePath, service);
     }
 
-    // Reads what every request carries; sets the answer's request id.
+    // Reads the request's metadata, generates a request id if there is none and sets it
+    // in the response.
     base::Result<RequestMetadata> readMetadata(const httplib::Request &request, httplib::Response &response)
     {
         auto metadata = readRequestMetadata(request);
@@ -166,7 +167,7 @@
         if (sink.done()) {
             response.set_content(encodeCompletion(identity, sink.text(), *sink.done()), JsonType);
         } else {
-            respondWithError(response, sink.error().value_or(base::fail(base::ErrorKind::Internal, "the router gave no answer; report the request id")));
+            respondWithError(response, sink.error().value_or(base::fail(base::ErrorKind::Internal, "the router produced no response; report the request id")));
         }
     }
 
@@ -193,8 +194,8 @@
             });
     }
 
-    // Writes what is buffered; false breaks the transfer off, so that a caller
-    // never takes a part for the whole.
+    // Writes the buffered events. Returns false to abort the chunked transfer, so that
+    // the caller can't mistake a truncated response for a complete one.
     static bool writeBuffered(StreamBridge &bridge, httplib::DataSink &sink)
     {
         auto phase = StreamBridge::Phase::Open;
--- a/carawaylatch/http/callersserver.h
+++ b/carawaylatch/http/callersserver.h
@@ -1,4 +1,4 @@
-// The callers' port: completions, chat, models, plain services (docs/API.md).
+// HTTP server for callers: completions, chat, models, plain services (docs/API.md).
 #pragma once
 
 #include <cstdint>
@@ -13,8 +13,8 @@
 
 struct CallersServerOptions
 {
-    base::Endpoint endpoint; // port 0 takes a free one
-    std::uint32_t maxStreams = 512; // requests at the same time; each holds a thread
+    base::Endpoint endpoint; // port 0 lets the system choose a free port
+    std::uint32_t maxStreams = 512; // concurrent requests; each occupies a thread
     std::uint64_t maxBodyBytes = 8'000'000;
 };
 
@@ -25,11 +25,11 @@
     CallersServer(const CallersServerOptions &options, CallerHandler &handler);
     ~CallersServer();
 
-    // Binds and serves; false if the address can't be bound.
+    // Binds the address and starts to serve. Returns false if it can't be bound.
     [[nodiscard]] bool start();
-    // Takes no new connections, waits for open requests to end.
+    // Stops accepting connections and waits until the open requests end.
     void stop();
-    // The bound address; the port is known after start().
+    // Returns the bound address. A port chosen by the system is known after start().
     [[nodiscard]] const base::Endpoint &endpoint() const;
 
 private:
--- a/carawaylatch/http/engineclient.cpp
+++ b/carawaylatch/http/engineclient.cpp
@@ -1,10 +1,11 @@
-// One connection for each attempt.
+// Opens one connection per attempt.
 //
-// A connection of its own lets cancel() end an attempt by closing the socket,
-// and a byte that arrives can belong to no other request. What a failure means
-// depends on how far the attempt came: no connection, nothing was sent; a 503,
-// the engine ran nothing; anything later, the engine may be at work, and it is
-// told to stop by DELETE where it can be reached.
+// With a separate connection, cancel() can end an attempt by closing the socket, and
+// received bytes can't belong to another request. The meaning of a failure depends
+// on the progress of the attempt: if the connection failed, nothing was sent; after
+// a 503, the engine ran nothing; after any later failure, the engine may still be
+// generating. Cancelled and malformed attempts are stopped by a DELETE request to
+// the engine, on a best-effort basis.
 #include "carawaylatch/http/engineclient.h"
 
 #include <httplib.h>
@@ -42,7 +43,8 @@
     return head;
 }
 
-// Reads one answer and tells the listener; knows how far the answer came.
+// Parses one response, forwards its events to the listener and records how much of it
+// arrived.
 class ResponseReader
 {
 public:
@@ -109,7 +111,7 @@
 
     relay::EngineListener &m_listener;
     SseParser m_parser;
-    int m_status = 0; // zero before the response's head
+    int m_status = 0; // zero until the response headers arrive
     std::string m_refusal;
     std::optional<relay::DoneEvent> m_done;
     bool m_isMalformed = false;
@@ -208,16 +210,15 @@
             listener.onBroken(BreakKind::Cancelled, base::fail(ErrorKind::Cancelled, "the attempt at " + upstream + " was cancelled"));
         } else if (reader.isMalformed()) {
             requestCancel(request);
-            listener.onBroken(BreakKind::Malformed, base::fail(ErrorKind::Truncated, upstream + " sent what is no event; check its version"));
+            listener.onBroken(BreakKind::Malformed, base::fail(ErrorKind::Truncated, upstream + " sent a malformed event; check its version"));
         } else if (!result && result.error() == httplib::Error::Connection) {
-            listener.onBroken(BreakKind::NotSent, base::fail(ErrorKind::Unavailable, upstream + " refused the connection; another one is tried"));
+            listener.onBroken(BreakKind::NotSent, base::fail(ErrorKind::Unavailable, "cannot connect to " + upstream + "; trying another upstream"));
         } else if (reader.status() != 0 && reader.status() != StatusOk) {
             reportRefusal(request, reader, listener);
         } else if (result && reader.isDone()) {
             listener.onDone(reader.done());
         } else {
-            listener.onBroken(BreakKind::Lost,
-                              base::fail(ErrorKind::Truncated, "the connection to " + upstream + " broke (" + to_string(result.error()) + ")"));
+            listener.onBroken(BreakKind::Lost, base::fail(ErrorKind::Truncated, "lost the connection to " + upstream + " (" + to_string(result.error()) + ")"));
         }
     }
 
@@ -229,7 +230,7 @@
         }
         listener.onBroken(relay::BreakKind::Refused,
                           base::fail(base::ErrorKind::Overloaded, request.upstream.value() + " refused with status " + std::to_string(reader.status()) + " ("
-                                                                      + refusal.type + "); another one is tried"));
+                                                                      + refusal.type + "); trying another upstream"));
     }
 
     void requestCancel(const relay::EngineRequest &request) const
@@ -243,7 +244,7 @@
     const base::Duration m_connectTimeout;
     const LeavingCallback m_onLeaving;
     std::mutex m_mutex;
-    std::map<base::AttemptId, RunningAttempt> m_running; // guarded by m_mutex; clients live in run()
+    std::map<base::AttemptId, RunningAttempt> m_running; // guarded by m_mutex; the clients are locals of run()
 };
 
 EngineClient::EngineClient(base::Duration connectTimeout, LeavingCallback onLeaving)
--- a/carawaylatch/http/engineclient.h
+++ b/carawaylatch/http/engineclient.h
@@ -1,4 +1,5 @@
-// Streams from engines over HTTP: relay::EngineConnection on cpp-httplib.
+// Streams completions from engines over HTTP: implements relay::EngineConnection with
+// cpp-httplib.
 #pragma once
 
 #include <functional>
@@ -13,9 +14,11 @@
 class EngineClient : public relay::EngineConnection
 {
 public:
-    // Told when an engine refused because it leaves. Called from traffic threads.
+    // Called when an engine rejects an attempt because it is draining. Called on the
+    // thread of run().
     using LeavingCallback = std::function<void(const base::UpstreamId &upstream)>;
 
+    // `connectTimeout` bounds the connection setup; the request's timeout bounds each read.
     explicit EngineClient(base::Duration connectTimeout, LeavingCallback onLeaving = {});
     ~EngineClient() override;
 
--- a/carawaylatch/http/httpserver.cpp
+++ b/carawaylatch/http/httpserver.cpp
@@ -1,4 +1,4 @@
-// A server, the thread that accepts, and a pool for requests.
+// Wraps httplib::Server with an accept thread and a thread pool for requests.
 #include "carawaylatch/http/httpserver.h"
 
 #include <httplib.h>
--- a/carawaylatch/http/httpserver.h
+++ b/carawaylatch/http/httpserver.h
@@ -1,5 +1,5 @@
-// An HTTP server bound to one address, with its threads: what the callers' port,
-// the operators' port and the stand-ins have in common.
+// HTTP server on one address with its own threads. Shared by the callers' server, the
+// operators' server and the stand-ins.
 #pragma once
 
 #include <cstdint>
@@ -22,17 +22,18 @@
 public:
     static constexpr std::size_t DefaultThreads = 96;
 
-    // Handlers are added to server() before start(). Port 0 takes a free one.
-    // `threads` requests run at the same time; a stream or a waiting watch holds one.
+    // Handlers must be added to server() before start(). Port 0 lets the system choose a
+    // free port. At most `threads` requests run concurrently; an open stream or a
+    // long-polling watch occupies a thread.
     explicit HttpServer(base::Endpoint endpoint, std::size_t threads = DefaultThreads);
     ~HttpServer();
 
     [[nodiscard]] httplib::Server &server();
-    // Binds and serves until stop(); false if the address can't be bound.
+    // Binds the address and serves until stop(). Returns false if it can't be bound.
     [[nodiscard]] bool start();
-    // Takes no new connections and waits for open requests to end.
+    // Stops accepting connections and waits until the open requests end.
     void stop();
-    // The bound address; the port is known after start().
+    // Returns the bound address. A port chosen by the system is known after start().
     [[nodiscard]] const base::Endpoint &endpoint() const;
 
 private:
--- a/carawaylatch/http/operatorsserver.cpp
+++ b/carawaylatch/http/operatorsserver.cpp
@@ -1,4 +1,4 @@
-// A few handlers over OperatorHandler; every answer is made anew.
+// Maps the operators' HTTP API to OperatorHandler. Responses are not cached.
 #include "carawaylatch/http/operatorsserver.h"
 
 #include <httplib.h>
--- a/carawaylatch/http/operatorsserver.h
+++ b/carawaylatch/http/operatorsserver.h
@@ -1,4 +1,4 @@
-// The operators' port: health, metrics, status, explanation, drain (docs/API.md).
+// HTTP server for operators: health, metrics, status, explain, drain (docs/API.md).
 #pragma once
 
 #include <memory>
@@ -11,12 +11,12 @@
 namespace carawaylatch::http
 {
 
-// Implemented by the router; called from a few threads.
+// Implemented by the router. Called concurrently by the server's threads.
 class OperatorHandler
 {
 public:
     virtual ~OperatorHandler() = default;
-    // Returns why the router is not ready; empty when it is.
+    // Returns the reason why the router is not ready, empty if it is ready.
     [[nodiscard]] virtual std::string notReadyBecause() = 0;
     [[nodiscard]] virtual std::string metricsText() = 0;
     [[nodiscard]] virtual std::string statusJson() = 0;
@@ -29,12 +29,15 @@
 class OperatorsServer
 {
 public:
-    // `handler` must outlive the server. Port 0 takes a free one.
+    // `handler` must outlive the server. Port 0 lets the system choose a free port.
     OperatorsServer(const base::Endpoint &endpoint, OperatorHandler &handler);
     ~OperatorsServer();
 
+    // Binds the address and starts to serve. Returns false if it can't be bound.
     [[nodiscard]] bool start();
+    // Stops accepting connections and waits until the open requests end.
     void stop();
+    // Returns the bound address. A port chosen by the system is known after start().
     [[nodiscard]] const base::Endpoint &endpoint() const;
 
 private:
--- a/carawaylatch/http/serviceclient.cpp
+++ b/carawaylatch/http/serviceclient.cpp
@@ -1,5 +1,5 @@
-// A call is sent on a fresh connection, exactly once: a kept one that turns out
-// closed would leave open whether the request was read.
+// Sends each call once, on a new connection. If a kept-alive connection turned out to
+// be closed, it would be unknown whether the service had read the request.
 #include "carawaylatch/http/serviceclient.h"
 
 #include <httplib.h>
@@ -47,10 +47,10 @@
     const httplib::Result result = client.send(httpRequest);
     const std::string upstream = request.upstream.value();
     if (!result && result.error() == httplib::Error::Connection) {
-        return base::fail(base::ErrorKind::Unavailable, upstream + " refused the connection; nothing ran");
+        return base::fail(base::ErrorKind::Unavailable, "cannot connect to " + upstream + "; nothing ran");
     }
     if (!result) {
-        return base::fail(base::ErrorKind::Unclear, "the answer of " + upstream + " was lost (" + to_string(result.error()) + "); the call may have run");
+        return base::fail(base::ErrorKind::Unclear, "lost the response of " + upstream + " (" + to_string(result.error()) + "); the call may have run");
     }
     if (result->status == StatusUnavailable) {
         return base::fail(base::ErrorKind::Overloaded, upstream + " refused (" + decodeRefusal(result->body).type + "); nothing ran");
--- a/carawaylatch/http/serviceclient.h
+++ b/carawaylatch/http/serviceclient.h
@@ -1,4 +1,5 @@
-// Calls to plain services over HTTP: orders::ServiceConnection on cpp-httplib.
+// Calls plain services over HTTP: implements orders::ServiceConnection with
+// cpp-httplib.
 #pragma once
 
 #include "carawaylatch/base/time.h"
@@ -12,6 +13,8 @@
 public:
     explicit ServiceClient(base::Duration connectTimeout);
 
+    // Unavailable: nothing was sent. Overloaded: the service responded 503, nothing ran.
+    // Unclear: the response was lost and the call may have run.
     [[nodiscard]] base::Result<orders::ServiceAnswer> call(const orders::ServiceRequest &request) override;
 
 private:
--- a/carawaylatch/http/sseparser.cpp
+++ b/carawaylatch/http/sseparser.cpp
@@ -1,4 +1,4 @@
-// Lines end with LF or CRLF; several data lines of one event are joined by LF.
+// Lines end with LF or CRLF. The data lines of one event are joined by LF.
 #include "carawaylatch/http/sseparser.h"
 
 namespace carawaylatch::http
--- a/carawaylatch/http/sseparser.h
+++ b/carawaylatch/http/sseparser.h
@@ -1,4 +1,5 @@
-// Server-sent events, as far as engines use them: "data:" lines and blank lines.
+// Incremental parser for the part of the server-sent events format that engines use:
+// "data:" lines and the blank lines that end an event.
 #pragma once
 
 #include <functional>
@@ -8,9 +9,9 @@
 namespace carawaylatch::http
 {
 
-// Cuts a byte stream into the payloads of its events. Other fields and comments
-// are passed over. An event of more than `maxEventBytes` makes the parser fail
-// for good.
+// Splits a byte stream into the payloads of its events. Other fields and comments are
+// ignored. An event of more than `maxEventBytes` puts the parser into the Failed
+// state, which is final; this bounds the memory that an upstream can use.
 class SseParser
 {
 public:
@@ -22,15 +23,15 @@
 
     explicit SseParser(std::size_t maxEventBytes = MaxEventBytes);
 
-    // Feeds bytes as they arrive; calls back for each complete event.
+    // Parses the next bytes of the stream and calls `onEvent` for each complete event.
     State feed(std::string_view bytes, const std::function<void(std::string_view data)> &onEvent);
 
 private:
     void processLine(const std::function<void(std::string_view data)> &onEvent);
 
     const std::size_t m_maxEventBytes;
-    std::string m_line; // the line begun, without its end
-    std::string m_data; // payload of the event begun
+    std::string m_line; // received part of the current line
+    std::string m_data; // payload of the current event
     bool m_hasData = false;
     State m_state = State::Open;
 };
--- a/carawaylatch/http/streambridge.cpp
+++ b/carawaylatch/http/streambridge.cpp
@@ -1,4 +1,4 @@
-// One mutex, one condition variable, both sides wake each other.
+// A bounded buffer: one mutex and one condition variable, on which both threads wait.
 #include "carawaylatch/http/streambridge.h"
 
 #include <utility>
--- a/carawaylatch/http/streambridge.h
+++ b/carawaylatch/http/streambridge.h
@@ -1,11 +1,11 @@
-// Carries a stream from the thread that relays it to the thread that writes it
-// to the caller's socket.
+// Passes a stream from the thread that relays it to the thread that writes it to the
+// caller's socket.
 //
-// httplib wants the status before the body and pulls the body; the relay pushes.
-// The bridge holds what lies between: until begin() or abort() nothing is
-// written, so that a refusal still has its own status. At most MaxBufferedBytes
-// wait for a slow caller; then token() blocks, which stops reading from the
-// engine.
+// httplib needs the status before the body and pulls the body, while the relay pushes
+// events. The bridge buffers the events between the two. Nothing is written before
+// begin(), finish() or abort(), so that a refused request still gets its own status.
+// For a slow caller, token() blocks as soon as MaxBufferedBytes are buffered; the
+// relay then stops reading from the engine (back pressure).
 #pragma once
 
 #include <condition_variable>
@@ -26,10 +26,10 @@
 
     enum class StartResult {
         Started, // tokens follow
-        Refused, // error() says why; nothing was written
+        Refused, // see error(); nothing was written
     };
     enum class Phase {
-        Waiting, // nothing decided yet
+        Waiting, // neither started nor refused
         Open,
         Complete, // the last event is in the buffer or written
         Failed, // the error event is in the buffer or written
@@ -37,25 +37,29 @@
 
     explicit StreamBridge(CompletionIdentity identity);
 
-    // The relay's side.
+    // Called by the relaying threads.
     [[nodiscard]] relay::CallerState begin(const relay::AttemptPlan &plan) override;
     [[nodiscard]] relay::CallerState token(std::uint64_t index, std::string_view text) override;
     void finish(const relay::DoneEvent &done) override;
     void abort(const base::Error &error) override;
     [[nodiscard]] relay::CallerState state() const override;
 
-    // The socket's side. Waits until the stream opens or is refused.
+    // All below are called by the thread that writes to the socket.
+    // Waits until the stream starts or is refused.
     [[nodiscard]] StartResult waitForStart();
+    // Returns the error of abort(). Valid after waitForStart() returned Refused.
     [[nodiscard]] const base::Error &error() const;
-    // Takes what is buffered, waiting for at most `timeout`. `phase` is the phase after it.
+    // Returns and removes the buffered events, empty if none arrive within `timeout`. Sets
+    // `phase` to the current phase.
     [[nodiscard]] std::string takeBuffered(base::Duration timeout, Phase &phase);
+    // Makes token() return and state() report that the caller is gone.
     void onCallerDisconnected();
 
 private:
     const CompletionIdentity m_identity;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
-    // All below are guarded by m_mutex.
+    // All members below are guarded by m_mutex.
     Phase m_phase = Phase::Waiting;
     bool m_hasStarted = false;
     bool m_isCallerDisconnected = false;
--- a/carawaylatch/http/testing/callersservertest.cpp
+++ b/carawaylatch/http/testing/callersservertest.cpp
@@ -1,5 +1,5 @@
-// The callers' and the operators' port over real sockets, with a handler that
-// does what each case asks.
+// Tests the callers' and the operators' server over real sockets, with fake handlers
+// that each case configures.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <httplib.h>
--- a/carawaylatch/http/testing/decodertest.cpp
+++ b/carawaylatch/http/testing/decodertest.cpp
@@ -1,5 +1,5 @@
-// Decoders of outside bytes: server-sent events cut anywhere, callers' bodies,
-// and generated garbage.
+// Tests the decoders of untrusted bytes: server-sent events split at every byte,
+// callers' request bodies, and randomly mutated input.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -54,7 +54,7 @@
         {
             const char *body;
             CompletionForm form;
-            const char *messagePart; // part of the message; nullptr where the body is right
+            const char *messagePart; // expected part of the error message; nullptr if the body is valid
         };
         const Case cases[] = {
             {R"({"model":"m","prompt":"p"})", CompletionForm::Text, nullptr},
@@ -84,7 +84,7 @@
         }
     }
 
-    // Mutates valid texts; no decoder may crash, and what it accepts must be in range.
+    // Mutates valid texts. No decoder may crash, and accepted values must be in range.
     void testMutatedInput()
     {
         const std::string corpus[] = {R"({"index":3,"text":"x"})", R"({"done":true,"count":1,"usage":{"prompt_tokens":1}})",
--- a/carawaylatch/http/testing/engineclienttest.cpp
+++ b/carawaylatch/http/testing/engineclienttest.cpp
@@ -1,5 +1,5 @@
-// EngineClient and the other clients against the stand-ins: what each fault of an
-// upstream becomes.
+// Tests EngineClient and the other clients against the stand-ins: which error each
+// fault of an upstream is reported as.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <httplib.h>
@@ -25,7 +25,7 @@
 constexpr base::Duration ConnectTimeout = base::seconds{5};
 constexpr base::Duration ResponseTimeout = base::seconds{20};
 
-// Keeps what a listener is told.
+// Records the calls of a listener.
 class RecordingListener : public relay::EngineListener
 {
 public:
--- a/carawaylatch/http/upstreamclient.cpp
+++ b/carawaylatch/http/upstreamclient.cpp
@@ -1,4 +1,4 @@
-// Small calls on kept connections.
+// Implements the polling of upstreams on a pool of keep-alive connections.
 #include "carawaylatch/http/upstreamclient.h"
 
 #include <httplib.h>
@@ -55,14 +55,15 @@
     const httplib::Result result = connection->Post("/v1/orders", encodeEngineOrder(order), "application/json");
     if (!result) {
         const bool mayHaveRun = result.error() != httplib::Error::Connection;
-        return base::fail(mayHaveRun ? base::ErrorKind::Unclear : base::ErrorKind::Unavailable, upstream.value() + " did not answer the order; it is repeated");
+        return base::fail(mayHaveRun ? base::ErrorKind::Unclear : base::ErrorKind::Unavailable,
+                          upstream.value() + " did not respond to the order; it will be sent again");
     }
     releaseConnection(endpoint, std::move(connection));
     if (result->status == StatusConflict) {
-        return base::fail(base::ErrorKind::StaleState, upstream.value() + " refused an old fencing number; a newer controller is at work");
+        return base::fail(base::ErrorKind::StaleState, upstream.value() + " rejected an old fencing number; a newer controller is active");
     }
     if (result->status != StatusOk) {
-        return base::fail(base::ErrorKind::Unclear, upstream.value() + " answered an order with status " + std::to_string(result->status));
+        return base::fail(base::ErrorKind::Unclear, upstream.value() + " responded to an order with status " + std::to_string(result->status));
     }
     return base::ok();
 }
@@ -110,7 +111,7 @@
     Connection connection = acquireConnection(endpoint);
     const httplib::Result result = connection->Get(path);
     if (!result || result->status != StatusOk) {
-        return base::fail(base::ErrorKind::Unavailable, endpoint.address + " did not answer " + path + "; it is asked again", RetryDelay);
+        return base::fail(base::ErrorKind::Unavailable, endpoint.address + " did not respond to " + path + "; it will be polled again", RetryDelay);
     }
     releaseConnection(endpoint, std::move(connection));
     return result->body;
--- a/carawaylatch/http/wirejson.cpp
+++ b/carawaylatch/http/wirejson.cpp
@@ -1,4 +1,4 @@
-// nlohmann's exceptions end here, in decode().
+// Exceptions of nlohmann::json are caught in decode() and returned as errors.
 #include "carawaylatch/http/wirejson.h"
 
 #include <nlohmann/json.hpp>
@@ -23,7 +23,7 @@
     try {
         return reader(Json::parse(text));
     } catch (const Json::exception &ec) {
-        return base::fail(base::ErrorKind::InvalidArgument, std::string(what) + " can't be understood: " + ec.what());
+        return base::fail(base::ErrorKind::InvalidArgument, "cannot decode " + std::string(what) + ": " + ec.what());
     }
 }
 
@@ -151,7 +151,7 @@
         const Json &error = json.at("error");
         return RefusalBody{error.value("type", "overloaded"), error.value("message", "")};
     });
-    return refusal ? refusal.value() : RefusalBody{"overloaded", "the upstream refused without a reason"};
+    return refusal ? refusal.value() : RefusalBody{"overloaded", "the upstream refused without stating a reason"};
 }
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/wirejson.h
+++ b/carawaylatch/http/wirejson.h
@@ -1,6 +1,6 @@
-// JSON of the published protocols towards upstreams (docs/design/wire.md), as
-// typed values. Decoders take bytes of other processes: any text is allowed and
-// what isn't of the shape is InvalidArgument.
+// Encodes and decodes the JSON of the protocols between router and upstreams
+// (docs/design/wire.md). Decoders accept any bytes, since the input comes from other
+// processes; they return InvalidArgument for text of another form.
 #pragma once
 
 #include <cstdint>
@@ -17,15 +17,15 @@
 namespace carawaylatch::http
 {
 
-// Identities travel as 16 lower-case hex digits.
+// Returns 16 lower-case hex digits, the wire form of identifiers.
 [[nodiscard]] std::string toHex(std::uint64_t value);
-// Returns zero, which no identity is, for other text.
+// Returns zero, which is not a valid identifier, if the text is not a hex number.
 [[nodiscard]] std::uint64_t fromHex(std::string_view text);
 
-// One event of an engine's stream.
+// An event of an engine's stream.
 using EngineEvent = std::variant<relay::TokenEvent, relay::DoneEvent>;
 
-// An upstream's refusal, the body of a 503.
+// Body of a 503 response of an upstream.
 struct RefusalBody
 {
     std::string type; // "overloaded", "leaving" or "loading"
@@ -38,6 +38,7 @@
 [[nodiscard]] base::Result<EngineEvent> decodeEngineEvent(std::string_view data);
 [[nodiscard]] base::Result<upstreams::LoadReport> decodeLoadReport(std::string_view body);
 [[nodiscard]] base::Result<prefix::CacheEvents> decodeCacheEvents(std::string_view body);
+// Returns the type "overloaded" for a malformed body.
 [[nodiscard]] RefusalBody decodeRefusal(std::string_view body);
 
 } // namespace carawaylatch::http
--- a/carawaylatch/peer/authenticatedcodec.h
+++ b/carawaylatch/peer/authenticatedcodec.h
@@ -1,5 +1,6 @@
-// The way of a message into bytes and back, the same for every transport: encode
-// and seal; check size, seal, version and sequence, decode.
+// Encoding and decoding of peer messages, shared by all transports. Sending encodes a
+// message and appends its HMAC. Receiving checks size, HMAC, version and sequence
+// number, and drops replayed messages.
 #pragma once
 
 #include <cstdint>
@@ -20,9 +21,9 @@
 {
 public:
     AuthenticatedCodec(PeerIdentity self, std::string key);
-    // Returns a message's sealed bytes; numbers it.
+    // Returns the encoded message with its HMAC. Assigns the next sequence number.
     [[nodiscard]] std::string encode(const PeerMessage &message);
-    // Returns the message, or why it is refused.
+    // Returns the message, or the reason why it is rejected.
     [[nodiscard]] std::variant<PeerEnvelope, PeerRefusal> decode(std::string_view signedBytes);
 
 private:
--- a/carawaylatch/peer/codec.cpp
+++ b/carawaylatch/peer/codec.cpp
@@ -1,8 +1,8 @@
-// Envelopes: one protobuf message for each alternative of PeerMessage.
+// Converts envelopes: one protobuf message for each alternative of PeerMessage.
 //
-// A message of an unknown kind comes from a newer version of the same protocol
-// and decodes to InvalidArgument; its sender loses nothing, since whoever needs
-// an answer asks again and finds another way.
+// A message of an unknown kind comes from a newer release with the same protocol
+// version and decodes to InvalidArgument. Dropping it is safe, since senders that need
+// a response repeat the request or use another way.
 #include "carawaylatch/peer/codec.h"
 
 #include <array>
@@ -24,7 +24,7 @@
     "marks", "marks_request", "demand_report",  "share_table",   "hot_placements", "snapshot_request", "snapshot_part",
 };
 
-// Fills the body for one alternative of PeerMessage.
+// Fills the envelope's body for one alternative of PeerMessage.
 class BodyWriter
 {
 public:
@@ -205,7 +205,7 @@
     case wire::Envelope::BODY_NOT_SET:
         break;
     }
-    return base::fail(ErrorKind::InvalidArgument, "a peer's message is of an unknown kind; it comes from a newer version");
+    return base::fail(ErrorKind::InvalidArgument, "unknown kind of peer message; the sender runs a newer version");
 }
 
 } // namespace
@@ -230,10 +230,10 @@
 {
     wire::Envelope in;
     if (bytes.size() > MaxMessageBytes || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return base::fail(ErrorKind::InvalidArgument, "a peer's message can't be read; look for a router of another version");
+        return base::fail(ErrorKind::InvalidArgument, "cannot parse a peer message; check for a router of another version");
     }
     if (in.version() != ProtocolVersion) {
-        return base::fail(ErrorKind::StaleState, "a peer speaks protocol version " + std::to_string(in.version()) + ", this router "
+        return base::fail(ErrorKind::StaleState, "a peer uses protocol version " + std::to_string(in.version()) + ", this router uses "
                                                      + std::to_string(ProtocolVersion) + "; bring all routers to one release");
     }
     BOOST_OUTCOME_TRY(sender, nameFromWire<base::RouterId>(in.sender()));
@@ -252,7 +252,7 @@
 {
     wire::Snapshot in;
     if (bytes.size() > handover::MaxSnapshotBytes || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        return base::fail(ErrorKind::InvalidArgument, "a snapshot for a warm start can't be read; the router starts without it");
+        return base::fail(ErrorKind::InvalidArgument, "cannot parse the warm start snapshot; the router starts without it");
     }
     return fromWire(in);
 }
--- a/carawaylatch/peer/codec.h
+++ b/carawaylatch/peer/codec.h
@@ -1,7 +1,7 @@
-// Messages between routers as bytes: protobuf, so that mixed versions work
-// together, sealed with a keyed hash.
+// Encodes messages between routers as protobuf, so that routers of different versions
+// work together during a rolling upgrade. authenticatedcodec.h adds the HMAC.
 //
-// Decoding takes any bytes and never trusts a length or a number in them.
+// Decoding accepts any bytes; all lengths and numbers in them are checked.
 #pragma once
 
 #include <span>
@@ -15,15 +15,17 @@
 namespace carawaylatch::peer
 {
 
-// Version of the messages' meaning; a receiver refuses others than its own major version.
+// Protocol version. A receiver rejects messages of any other version.
 constexpr std::uint32_t ProtocolVersion = 1;
 
 [[nodiscard]] std::string encodeEnvelope(const PeerEnvelope &envelope);
-// InvalidArgument for bytes that are no message, StaleState for another protocol version.
+// InvalidArgument for malformed bytes, StaleState for another protocol version.
 [[nodiscard]] base::Result<PeerEnvelope> decodeEnvelope(std::string_view bytes);
 
-// A snapshot as it is stored at the platform and sent in parts to peers.
+// Encodes a warm start snapshot as it is stored at the platform and sent in parts to
+// peers.
 [[nodiscard]] std::string encodeSnapshot(const handover::Snapshot &snapshot);
+// InvalidArgument for malformed bytes.
 [[nodiscard]] base::Result<handover::Snapshot> decodeSnapshot(std::string_view bytes);
 
 } // namespace carawaylatch::peer
--- a/carawaylatch/peer/http2session.cpp
+++ b/carawaylatch/peer/http2session.cpp
@@ -1,6 +1,6 @@
-// nghttp2 callbacks. A request is a POST whose body is one sealed message; the
-// answer is a status without a body. Windows are as large as the largest message,
-// so that one message never waits for the receiver's window updates.
+// nghttp2 callbacks. A request is a POST whose body is one message with its HMAC; the
+// response is a status without a body. The flow control window is as large as the
+// largest message, so that a message never waits for a window update.
 #include "carawaylatch/peer/http2session.h"
 
 #include <nghttp2/nghttp2.h>
@@ -17,7 +17,7 @@
 {
 
 constexpr std::uint32_t MaxStreams = 128;
-constexpr std::size_t MaxBufferedBodies = 4; // bodies of all streams together, in greatest bodies
+constexpr std::size_t MaxBufferedBodies = 4; // limit for the bodies of all streams, in multiples of the largest body
 constexpr std::string_view StatusName = ":status";
 
 nghttp2_nv headerField(std::string_view name, std::string_view value)
--- a/carawaylatch/peer/http2session.h
+++ b/carawaylatch/peer/http2session.h
@@ -1,6 +1,6 @@
-// One HTTP/2 connection of the peer protocol as a machine of bytes: bytes in,
-// bytes, requests and answers out. nghttp2 does the protocol; sockets are in
-// http2transport.cpp.
+// Protocol state of one HTTP/2 connection between peers, without I/O: received bytes
+// go in; bytes to send, requests and responses come out. nghttp2 implements the
+// protocol, http2transport.cpp the sockets.
 #pragma once
 
 #include <cstdint>
@@ -22,44 +22,48 @@
         Client,
         Server,
     };
-    // A whole request as the server side sees it.
+    // A complete request on the server side.
     struct Request
     {
         std::int32_t stream = 0;
-        std::string body; // empty if it grew too large
+        std::string body; // empty if it exceeded the limit
         bool isTooLarge = false;
     };
-    // The end of a request as the client side sees it.
+    // The end of a request on the client side.
     struct Response
     {
         std::int32_t stream = 0;
-        int status = 0; // zero if the stream broke
+        int status = 0; // HTTP status; zero if the stream was closed without a response
     };
 
-    // Bodies beyond `maxBodyBytes`, or together beyond four times that, are refused.
+    // Request bodies over `maxBodyBytes`, or over four times that for all open streams
+    // together, are rejected. This bounds the memory that a peer can use.
     Http2Session(Role role, std::size_t maxBodyBytes);
     ~Http2Session();
     Http2Session(const Http2Session &) = delete;
     Http2Session &operator=(const Http2Session &) = delete;
 
-    // Takes bytes of the other side. Returns false if the connection is to be closed.
+    // Processes received bytes. Returns false if the connection must be closed.
     [[nodiscard]] bool receive(std::string_view bytes);
-    // Returns bytes to send, empty if there are none now.
+    // Returns the next bytes to send, empty if there are none at the moment.
     [[nodiscard]] std::string takeOutput();
-    // Client: begins a request. Returns its stream, or a number below zero if none can be opened.
+    // Client: starts a request. Returns its stream id, or a negative number if no stream
+    // can be opened.
     [[nodiscard]] std::int32_t submit(std::string body);
-    // Server: answers a request.
+    // Server: sends the response to a request.
     void respond(std::int32_t stream, int status);
+    // Server: returns and removes the requests received since the last call.
     [[nodiscard]] std::vector<Request> takeRequests();
+    // Client: returns and removes the responses received since the last call.
     [[nodiscard]] std::vector<Response> takeResponses();
 
 private:
-    struct Callbacks; // nghttp2's, in the .cpp
+    struct Callbacks; // for nghttp2
 
     struct Stream
     {
         std::string body; // sent by a client, received by a server; at most maxBodyBytes
-        std::size_t sent = 0; // bytes of the body
+        std::size_t sent = 0; // bytes of the body passed to nghttp2
         int status = 0;
         bool isTooLarge = false;
     };
--- a/carawaylatch/peer/http2transport.cpp
+++ b/carawaylatch/peer/http2transport.cpp
@@ -1,13 +1,14 @@
-// Sockets of the peer protocol, by Boost.Asio on one thread.
+// Implements the sockets of the peer protocol with Boost.Asio on one thread.
 //
-// Every router listens, and keeps connections of its own to those it sends to;
-// messages go one way on a connection, from the one who opened it. Connections
-// that were idle longest are closed first when there are too many, which keeps
-// them few, since a router sends mostly to the same others.
+// Every router listens and opens client connections to the routers that it sends to.
+// Messages go one way on a connection, from client to server. If there are too many
+// client connections, the least recently used one is closed. This keeps their number
+// small, since a router sends mostly to the same peers.
 //
-// A connection whose oldest message has no answer for ResponseTimeout is closed, so
-// that one to a VM that vanished without a word doesn't swallow messages until TCP
-// gives up. What waited on it is counted as dropped; senders repeat what matters.
+// A connection whose oldest message has had no response for ResponseTimeout is closed.
+// Otherwise a connection to a VM that disappeared without closing it would lose
+// messages until TCP gives up. Messages queued or in flight on a closed connection are
+// counted as dropped; senders repeat those that matter.
 #include "carawaylatch/peer/http2transport.h"
 
 // Boost.Asio's templates use 0 for a pointer where they are instantiated.
@@ -38,7 +39,7 @@
 constexpr base::Duration ResponseTimeout = base::seconds{3};
 constexpr base::Duration ServerIdleTimeout = base::minutes{2};
 constexpr base::Duration StaleCheckInterval = base::seconds{1};
-constexpr std::size_t ServerConnectionFactor = 4; // connections of others, in own ones
+constexpr std::size_t ServerConnectionFactor = 4; // limit of server connections, in multiples of maxConnections
 constexpr std::size_t ReadBufferBytes = 65'536;
 
 int httpStatusOf(PeerRefusal refusal)
@@ -81,7 +82,7 @@
     }
 
 private:
-    // One socket with its protocol state. Lives as long as an operation on it is pending.
+    // A socket with its protocol state. Pending operations hold a reference to it.
     struct Connection : std::enable_shared_from_this<Connection>
     {
         Connection(Impl &impl, Http2Session::Role connectionRole)
@@ -100,16 +101,16 @@
         bool isWriting = false;
         bool isClosed = false;
         base::TimePoint lastUsedAt;
-        std::string output; // under way
+        std::string output; // bytes of the pending write
         std::array<char, ReadBufferBytes> input{};
-        std::deque<std::string> pendingMessages; // messages before the connection stands
-        std::size_t queuedBytes = 0; // of waiting and unanswered messages
+        std::deque<std::string> pendingMessages; // queued until the connection is established
+        std::size_t queuedBytes = 0; // of pending and in-flight messages
         struct InFlightMessage
         {
             base::TimePoint sentAt;
             std::size_t bytes = 0;
         };
-        std::map<std::int32_t, InFlightMessage> inFlight; // by stream
+        std::map<std::int32_t, InFlightMessage> inFlight; // sent without a response yet, by stream id
     };
     using ConnectionPointer = std::shared_ptr<Connection>;
 
@@ -138,7 +139,7 @@
     asio::io_context m_context;
     tcp::acceptor m_acceptor;
     asio::steady_timer m_staleCheckTimer;
-    std::thread m_thread; // runs m_context; all below but the counters belong to it
+    std::thread m_thread; // runs m_context; only this thread uses the members below, except the counters
     Handler m_handler;
     AuthenticatedCodec m_codec;
     std::map<base::Endpoint, ConnectionPointer> m_clientConnections; // at most maxConnections
--- a/carawaylatch/peer/http2transport.h
+++ b/carawaylatch/peer/http2transport.h
@@ -1,5 +1,6 @@
-// PeerTransport over HTTP/2 (nghttp2, prior knowledge, plain TCP): a message is a
-// POST on a stream of its own, its answer says whether it was taken.
+// PeerTransport over HTTP/2 (nghttp2, prior knowledge, plain TCP). Each message is a
+// POST request on its own stream; the response status tells whether the receiver
+// accepted it.
 #pragma once
 
 #include <memory>
@@ -14,10 +15,10 @@
 struct Http2TransportOptions
 {
     PeerIdentity self;
-    base::Endpoint listen; // port zero lets the system choose
-    std::string key;
-    std::uint32_t maxConnections = 64; // own ones; beyond it the one idle longest is closed
-    std::size_t maxQueuedBytes = 4'000'000; // for one peer; beyond it messages are dropped
+    base::Endpoint listen; // port 0 lets the system choose a free port
+    std::string key; // HMAC key shared by all routers of the fleet
+    std::uint32_t maxConnections = 64; // client connections; above it the least recently used one is closed
+    std::size_t maxQueuedBytes = 4'000'000; // per peer; above it messages are dropped
     base::Duration connectTimeout = base::seconds{1};
 };
 
--- a/carawaylatch/peer/message.h
+++ b/carawaylatch/peer/message.h
@@ -1,4 +1,4 @@
-// Messages between routers: typed structs of the modules that speak, in one variant.
+// Messages between routers: one variant over the message structs of all modules.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,13 @@
 namespace carawaylatch::peer
 {
 
-// Marks that upstreams leave; receivers pass on what is new to them.
+// Marks of upstreams that are leaving. Receivers forward marks that are new to them.
 struct MarksMessage
 {
     std::vector<upstreams::LeavingMark> marks;
 };
 
-// Asks for all marks that the receiver holds.
+// Requests all marks that the receiver holds.
 struct MarksRequest
 {
 };
@@ -31,13 +31,14 @@
                                  config::ConfigUpdate, config::ConfigRequest, MarksMessage, MarksRequest, admission::DemandReport, admission::ShareTable,
                                  prefix::HotPlacements, handover::SnapshotRequest, handover::SnapshotPart>;
 
-// Returns the kind's name as it stands in metrics, such as "probe_ack".
+// Returns the name of the message kind in metrics, such as "probe_ack".
 [[nodiscard]] std::string_view messageKindName(const PeerMessage &message);
 
-// Largest encoded message in bytes, its seal included; larger ones are refused unread.
+// Maximum size of an encoded message in bytes, including its HMAC. Larger messages are
+// rejected without decoding them.
 constexpr std::size_t MaxMessageBytes = 1'200'000;
 
-// Who sent a message and when in the order of its life.
+// Identifies a sender: the router and its incarnation, which changes with every start.
 struct PeerIdentity
 {
     base::RouterId id;
@@ -49,7 +50,7 @@
 struct PeerEnvelope
 {
     PeerIdentity sender;
-    std::uint64_t sequence = 0; // grows with every message of one life
+    std::uint64_t sequence = 0; // increases with every message of one incarnation
     PeerMessage message;
 };
 
--- a/carawaylatch/peer/messageauthenticator.cpp
+++ b/carawaylatch/peer/messageauthenticator.cpp
@@ -1,10 +1,10 @@
-// HMAC-SHA256 by libcrypto and a sliding window of sequence numbers.
+// HMAC-SHA256 with libcrypto, and a sliding window of sequence numbers.
 //
-// The window is the one of IPsec (RFC 4303, section 3.4.3): the greatest number
-// admitted and a bit for each of the numbers just below it. One window stands for
-// one life of a sender, since a new life counts from the start. It is wide because
-// a large message on a stream of its own is overtaken by all small ones that are
-// sent while it is under way.
+// The window works as the anti-replay window of IPsec (RFC 4303, section 3.4.3): it
+// holds the greatest admitted number and one bit for each number just below it. There
+// is one window per incarnation of a sender, since a new incarnation numbers its
+// messages from the start. The window is wide because a large message on its own
+// stream is overtaken by all small ones that are sent during its transfer.
 #include "carawaylatch/peer/messageauthenticator.h"
 
 #include <openssl/crypto.h>
@@ -54,7 +54,7 @@
             return bytes;
         }
     }
-    return base::fail(base::ErrorKind::Unauthenticated, "a message is not sealed with this fleet's key; give all routers the same key in [peers]");
+    return base::fail(base::ErrorKind::Unauthenticated, "the HMAC of a peer message does not match; configure the same key in [peers] on all routers");
 }
 
 bool ReplayFilter::admit(const PeerIdentity &sender, std::uint64_t sequence)
--- a/carawaylatch/peer/messageauthenticator.h
+++ b/carawaylatch/peer/messageauthenticator.h
@@ -1,8 +1,9 @@
-// Proof that a message comes from a router of this fleet and is new.
+// Authentication and replay protection of messages between routers.
 //
-// A sealed message is its bytes followed by their HMAC-SHA256 under the key that
-// all routers share. The sequence in the envelope grows within one life of the
-// sender; a window of the last ones refuses what came before.
+// A signed message consists of its bytes followed by their HMAC-SHA256 under the key
+// that all routers of the fleet share. The sequence number in the envelope increases
+// within one incarnation of the sender; a sliding window of the last numbers rejects
+// replayed messages.
 #pragma once
 
 #include <bitset>
@@ -22,33 +23,33 @@
 {
 public:
     explicit MessageAuthenticator(std::string key);
-    // Returns the bytes with the keyed hash behind them.
+    // Returns the bytes with their HMAC appended.
     [[nodiscard]] std::string sign(std::string bytes) const;
-    // Returns the bytes without the hash, or Unauthenticated.
+    // Returns the bytes without the HMAC, or Unauthenticated if it does not match.
     [[nodiscard]] base::Result<std::string_view> verify(std::string_view signedBytes) const;
 
 private:
     std::string m_key;
 };
 
-// Refuses messages that came before. One entry for each sender, at most MaxSenders,
-// beyond which the one heard longest ago is dropped. Not thread-safe.
+// Rejects replayed messages. Holds one window per incarnation of a sender; above
+// MaxSenders, the least recently used window is dropped. Not thread-safe.
 class ReplayFilter
 {
 public:
     static constexpr std::size_t MaxSenders = 8'192;
-    static constexpr std::size_t WindowBits = 1'024; // how far messages may overtake each other
+    static constexpr std::size_t WindowBits = 1'024; // how many later messages may overtake a message
 
-    // Returns true once for each (sender, incarnation, sequence), false for one that
-    // came before or is too far behind.
+    // Returns true once for each (sender, incarnation, sequence); false for a number that
+    // was admitted before, is zero or lies below the window.
     [[nodiscard]] bool admit(const PeerIdentity &sender, std::uint64_t sequence);
 
 private:
     struct Window
     {
         std::uint64_t greatest = 0;
-        std::bitset<WindowBits> seen; // bit i: greatest - i was admitted
-        std::uint64_t lastUse = 0; // order of last use
+        std::bitset<WindowBits> seen; // bit i is set if greatest - i was admitted
+        std::uint64_t lastUse = 0; // value of m_useCounter at the last use
     };
     std::map<std::pair<base::RouterId, base::Incarnation>, Window> m_windows;
     std::uint64_t m_useCounter = 0;
--- a/carawaylatch/peer/testing/codectest.cpp
+++ b/carawaylatch/peer/testing/codectest.cpp
@@ -1,4 +1,5 @@
-// Encoding of all kinds of message, damaged bytes, seals and replays.
+// Tests the encoding of all message kinds, the decoding of corrupted bytes, message
+// authentication and replay protection.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <set>
@@ -104,7 +105,7 @@
         }
     }
 
-    // The window against a set of all numbers admitted before.
+    // Compares the window with a set of all numbers admitted before.
     void testReplayFilterMatchesReferenceSet()
     {
         base::Random random(::carawaylatch::testing::seed());
@@ -122,7 +123,7 @@
                 greatest = std::max(greatest, sequence);
             }
         }
-        CPPUNIT_ASSERT_MESSAGE("another life counts anew", guard.admit({Sender.id, {10}}, 1));
+        CPPUNIT_ASSERT_MESSAGE("another incarnation has its own window", guard.admit({Sender.id, {10}}, 1));
         CPPUNIT_ASSERT(!guard.admit(Sender, 0));
     }
 
@@ -132,7 +133,7 @@
         for (std::uint64_t i = 0; i < ReplayFilter::MaxSenders + 10; ++i) {
             CPPUNIT_ASSERT(guard.admit({base::RouterId("r"), {i + 1}}, 5));
         }
-        CPPUNIT_ASSERT_MESSAGE("the newest is held", !guard.admit({base::RouterId("r"), {ReplayFilter::MaxSenders}}, 5));
+        CPPUNIT_ASSERT_MESSAGE("the most recently used window is kept", !guard.admit({base::RouterId("r"), {ReplayFilter::MaxSenders}}, 5));
     }
 };
 
--- a/carawaylatch/peer/testing/fakenetwork.h
+++ b/carawaylatch/peer/testing/fakenetwork.h
@@ -1,5 +1,5 @@
-// A PeerTransport in memory: the contract of the real one over a virtual network
-// that delays, loses, doubles and cuts.
+// In-memory PeerTransport with the contract of the real one, on a virtual network that
+// can delay, lose, duplicate and partition messages.
 #pragma once
 
 #include <map>
@@ -15,7 +15,8 @@
 
 class FakeTransport;
 
-// Routers by endpoint. Messages pass through the same gate as in the real transport.
+// Transports by endpoint. Messages pass through the same codec as in the real
+// transport.
 struct FakeNetwork
 {
     ::carawaylatch::testing::VirtualNetwork wire{1};
@@ -26,7 +27,7 @@
 class FakeTransport : public PeerTransport
 {
 public:
-    // `group` is what the network's cuts are between.
+    // Network partitions are between groups.
     FakeTransport(FakeNetwork &network, const PeerIdentity &self, const std::string &key, std::uint32_t group = 0, std::uint16_t port = 0)
         : m_network(network)
         , m_codec(self, key)
@@ -58,7 +59,7 @@
     {
         sendBytes(to, m_codec.encode(message));
     }
-    // Sends bytes as they are, as a stranger would.
+    // Sends raw bytes without encoding them, as an unauthenticated sender could.
     void sendBytes(const base::Endpoint &to, const std::string &bytes)
     {
         const auto target = m_network.transports.find(to);
@@ -74,7 +75,7 @@
             }
         });
     }
-    // Counts a message that is refused by its size alone.
+    // Counts a message that is rejected for its size.
     void refuseTooLarge()
     {
         ++m_counters.refused.at(static_cast<std::size_t>(PeerRefusal::TooLarge));
--- a/carawaylatch/peer/testing/samplemessages.h
+++ b/carawaylatch/peer/testing/samplemessages.h
@@ -1,4 +1,4 @@
-// One message of each kind, filled from a seeded source.
+// Sample messages of each kind with values from a seeded random generator.
 #pragma once
 
 #include <memory>
--- a/carawaylatch/peer/testing/transporttest.cpp
+++ b/carawaylatch/peer/testing/transporttest.cpp
@@ -1,4 +1,4 @@
-// The contract of PeerTransport, run against the fake and against HTTP/2.
+// Tests the contract of PeerTransport with the fake and with the HTTP/2 transport.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <arpa/inet.h>
@@ -26,7 +26,7 @@
 const PeerIdentity First{base::RouterId("a"), {1}};
 const PeerIdentity Second{base::RouterId("b"), {2}};
 
-// Messages that a transport delivered.
+// Collects delivered messages.
 struct Inbox
 {
     mutable std::mutex mutex;
@@ -46,7 +46,7 @@
     }
 };
 
-// A TCP connection that sends bytes as they are; closed at the end of its life.
+// TCP connection that sends raw bytes; closed by the destructor.
 class RawConnection
 {
 public:
@@ -76,12 +76,12 @@
             bytes.remove_prefix(static_cast<std::size_t>(n));
         }
     }
-    // Ends the sending side.
+    // Shuts down the sending side.
     void finish() const
     {
         ::shutdown(m_fd, SHUT_WR);
     }
-    // Returns bytes, empty once the other side closed.
+    // Returns the received bytes, empty after the other side closed the connection.
     std::string read() const
     {
         std::string buf(65'536, '\0');
@@ -94,15 +94,15 @@
     int m_fd;
 };
 
-// Makes transports of one kind that reach each other.
+// Creates transports of one kind that can reach each other.
 class TransportFixture
 {
 public:
     virtual ~TransportFixture() = default;
     virtual std::unique_ptr<PeerTransport> createTransport(const PeerIdentity &self, const std::string &key, std::uint16_t port = 0) = 0;
-    // Sends sealed or other bytes to an endpoint, not through a transport's own sending.
+    // Sends arbitrary bytes to an endpoint, bypassing PeerTransport::send().
     virtual void sendBytes(const base::Endpoint &to, const std::string &bytes) = 0;
-    // Lets messages arrive until the condition holds; false if it never does.
+    // Delivers messages until the condition holds. Returns false after a time limit.
     virtual bool waitFor(const std::function<bool()> &condition) = 0;
 };
 
@@ -117,7 +117,7 @@
     {
         FakeTransport unknownSender(m_network, First, Key);
         if (bytes.size() > MaxMessageBytes) {
-            // The fake refuses what a real connection refuses while reading.
+            // A real connection rejects too large messages while reading them.
             m_network.transports.at(to)->refuseTooLarge();
         } else {
             unknownSender.sendBytes(to, bytes);
@@ -177,7 +177,7 @@
 
 } // namespace
 
-// The cases that hold for every transport.
+// Cases for every transport.
 template <typename Fixture>
 class TransportContractTest : public CppUnit::TestFixture
 {
@@ -321,7 +321,7 @@
 CPPUNIT_TEST_SUITE_REGISTRATION(FakeTransportContractTest);
 CPPUNIT_TEST_SUITE_REGISTRATION(Http2TransportContractTest);
 
-// What only connections have.
+// Cases for the HTTP/2 transport only.
 class Http2TransportTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(Http2TransportTest);
--- a/carawaylatch/peer/transport.cpp
+++ b/carawaylatch/peer/transport.cpp
@@ -1,4 +1,4 @@
-// Names of refusals, and the gate that every transport passes bytes through.
+// Names of rejection reasons, and the codec that all transports share.
 #include "carawaylatch/peer/transport.h"
 
 #include "carawaylatch/peer/authenticatedcodec.h"
--- a/carawaylatch/peer/transport.h
+++ b/carawaylatch/peer/transport.h
@@ -1,8 +1,8 @@
-// Delivery of messages between routers.
+// Interface for sending messages between routers.
 //
-// Messages may be lost, late, doubled or out of order; whoever sends repeats what
-// matters. What is delivered was sent by a router that holds the fleet's key, to
-// this router, and is delivered once for each sending.
+// Messages may be lost, delayed or reordered; senders repeat those that matter. Every
+// delivered message was encoded by a router with the fleet's key, and is delivered at
+// most once for each call of send().
 #pragma once
 
 #include <array>
@@ -26,34 +26,34 @@
 };
 constexpr std::size_t PeerRefusalCount = 5;
 
-// Returns the name as it stands in metrics, such as "wrong_key".
+// Returns the name of the reason in metrics, such as "wrong_key".
 [[nodiscard]] std::string_view peerRefusalName(PeerRefusal refusal);
 
 struct PeerCounters
 {
     std::uint64_t sentMessages = 0;
-    std::uint64_t sentBytes = 0; // sealed messages, without the protocols below
+    std::uint64_t sentBytes = 0; // messages with their HMAC, without HTTP/2 and TCP overhead
     std::uint64_t receivedMessages = 0;
     std::uint64_t receivedBytes = 0;
-    std::uint64_t dropped = 0; // not sent: no connection, or too many wait
-    std::array<std::uint64_t, PeerRefusalCount> refused{}; // received, by PeerRefusal
-    std::uint32_t connections = 0; // open now, own and others'
+    std::uint64_t dropped = 0; // not sent or without a response: no connection, or a full queue
+    std::array<std::uint64_t, PeerRefusalCount> refused{}; // received and rejected, by PeerRefusal
+    std::uint32_t connections = 0; // currently open, of both directions
 };
 
 class PeerTransport
 {
 public:
-    // Called from a thread of the transport's own, one message at a time.
+    // Called on the transport's thread, one message at a time.
     using Handler = std::function<void(const PeerEnvelope &envelope)>;
 
     virtual ~PeerTransport() = default;
-    // Sets the receiver of messages and starts to listen. Called once.
+    // Sets the handler for received messages and starts to listen. Called once.
     [[nodiscard]] virtual base::Result<void> start(Handler handler) = 0;
-    // Ends all connections; no call of the handler begins after it returns.
+    // Closes all connections. The handler is not called after it returns.
     virtual void stop() = 0;
-    // Sends without waiting. Safe from any thread.
+    // Queues a message without blocking. Thread-safe.
     virtual void send(const base::Endpoint &to, const PeerMessage &message) = 0;
-    // Where others reach this router; the port is known once started.
+    // Returns the address to listen on. A port chosen by the system is known after start().
     [[nodiscard]] virtual base::Endpoint endpoint() const = 0;
     [[nodiscard]] virtual PeerCounters counters() const = 0;
 };
--- a/carawaylatch/peer/wirevalues.cpp
+++ b/carawaylatch/peer/wirevalues.cpp
@@ -1,4 +1,4 @@
-// Conversions of values, one pair for each type.
+// Conversions between typed values and protobuf messages, one pair for each type.
 #include "carawaylatch/peer/wirevalues.h"
 
 #include <limits>
@@ -16,7 +16,7 @@
 
 base::Error malformedMessage(const char *what)
 {
-    return base::fail(ErrorKind::InvalidArgument, std::string("a peer's message has ") + what + "; look for a router of another version");
+    return base::fail(ErrorKind::InvalidArgument, std::string("a peer message has ") + what + "; check for a router of another version");
 }
 
 Result<admission::Resource> resourceFromWire(std::uint32_t number)
@@ -46,7 +46,7 @@
 Result<prefix::HotUpstream> fromWire(const wire::HotUpstream &in)
 {
     if (in.keys_size() != in.ages_ms_size()) {
-        return malformedMessage("block keys without ages");
+        return malformedMessage("different numbers of block keys and ages");
     }
     prefix::HotUpstream value;
     BOOST_OUTCOME_TRY(upstream, nameFromWire<base::UpstreamId>(in.upstream()));
@@ -69,7 +69,7 @@
 {
     constexpr std::size_t MaxScopeBytes = 200;
     if (in.scope().size() > MaxScopeBytes) {
-        return malformedMessage("a long name of a lease");
+        return malformedMessage("a lease name over the length limit");
     }
     return handover::FencingFloor{in.scope(), {in.token()}};
 }
@@ -91,7 +91,7 @@
     constexpr std::size_t MaxAddressBytes = 45;
     if (in.state() > static_cast<std::uint32_t>(membership::MemberState::Dead) || in.port() > std::numeric_limits<std::uint16_t>::max()
         || in.address().size() > MaxAddressBytes || in.id().empty()) {
-        return malformedMessage("a member without sense");
+        return malformedMessage("an invalid member record");
     }
     BOOST_OUTCOME_TRY(id, nameFromWire<base::RouterId>(in.id()));
     BOOST_OUTCOME_TRY(domain, nameFromWire<base::FailureDomain>(in.domain()));
@@ -209,12 +209,12 @@
 Result<prefix::HotLevels> fromWire(const wire::HotLevels &in)
 {
     if (in.keys_size() != in.heats_size() || in.keys_size() != in.spreads_size()) {
-        return malformedMessage("levels without heat");
+        return malformedMessage("different numbers of block keys, heats and spreads");
     }
     prefix::HotLevels value;
     for (int i = 0; i < in.keys_size(); ++i) {
         if (!(in.heats(i) >= 0) || in.spreads(i) > std::numeric_limits<std::uint8_t>::max()) {
-            return malformedMessage("a level without sense");
+            return malformedMessage("a heat or spread out of range");
         }
         value.levels.push_back({in.keys(i), in.heats(i), static_cast<std::uint8_t>(in.spreads(i))});
     }
--- a/carawaylatch/peer/wirevalues.h
+++ b/carawaylatch/peer/wirevalues.h
@@ -1,8 +1,9 @@
-// Conversions between typed values and protobuf messages. Only the .cpp files of
-// this folder include this header.
+// Conversions between typed values and protobuf messages. Internal to this folder: only
+// its .cpp files include this header.
 //
-// fromWire() checks every number and name, since the bytes may come from another
-// version or be damaged in ways that their sender could not see.
+// fromWire() checks every number and name and returns InvalidArgument for invalid
+// ones, since the bytes may come from another version or from a sender that encoded
+// corrupted values.
 #pragma once
 
 #include "carawaylatch/base/error.h"
@@ -36,18 +37,18 @@
 [[nodiscard]] base::Result<prefix::HotLevels> fromWire(const wire::HotLevels &in);
 [[nodiscard]] base::Result<handover::Snapshot> fromWire(const wire::Snapshot &in);
 
-// Returns a name of at most MaxNameBytes.
+// Returns the name, or InvalidArgument if it is longer than MaxNameBytes.
 template <typename T>
 [[nodiscard]] base::Result<T> nameFromWire(const std::string &text)
 {
     constexpr std::size_t MaxNameBytes = 64;
     if (text.size() > MaxNameBytes) {
-        return base::fail(base::ErrorKind::InvalidArgument, "a name in a peer's message is too long; look for a router of another version");
+        return base::fail(base::ErrorKind::InvalidArgument, "a name in a peer message is too long; check for a router of another version");
     }
     return T(text);
 }
 
-// Converts all elements of a repeated field.
+// Converts all elements of a repeated field; returns the first error.
 template <typename T, typename Repeated>
 [[nodiscard]] base::Result<std::vector<T>> listFromWire(const Repeated &in)
 {
