--- a/carawaylatch/http/engineclient.cpp
+++ b/carawaylatch/http/engineclient.cpp
@@ -212,7 +212,7 @@
             requestCancel(request);
             listener.onBroken(BreakKind::Malformed, base::fail(ErrorKind::Truncated, upstream + " sent a malformed event; check its version"));
         } else if (!result && result.error() == httplib::Error::Connection) {
-            listener.onBroken(BreakKind::NotSent, base::fail(ErrorKind::Unavailable, "cannot connect to " + upstream + "; trying another upstream"));
+            listener.onBroken(BreakKind::NotSent, base::fail(ErrorKind::Unavailable, upstream + " could not be reached; trying another upstream"));
         } else if (reader.status() != 0 && reader.status() != StatusOk) {
             reportRefusal(request, reader, listener);
         } else if (result && reader.isDone()) {
--- a/carawaylatch/http/serviceclient.cpp
+++ b/carawaylatch/http/serviceclient.cpp
@@ -47,7 +47,7 @@
     const httplib::Result result = client.send(httpRequest);
     const std::string upstream = request.upstream.value();
     if (!result && result.error() == httplib::Error::Connection) {
-        return base::fail(base::ErrorKind::Unavailable, "cannot connect to " + upstream + "; nothing ran");
+        return base::fail(base::ErrorKind::Unavailable, upstream + " could not be reached; nothing ran");
     }
     if (!result) {
         return base::fail(base::ErrorKind::Unclear, "lost the response of " + upstream + " (" + to_string(result.error()) + "); the call may have run");
--- a/carawaylatch/http/testing/callersservertest.cpp
+++ b/carawaylatch/http/testing/callersservertest.cpp
@@ -112,7 +112,7 @@
     void testRefusalSetsHttpStatus()
     {
         m_handler.onComplete = [](relay::CallerSink &sink) {
-            sink.abort(base::fail(base::ErrorKind::Overloaded, "come back later", base::milliseconds{1200}));
+            sink.abort(base::fail(base::ErrorKind::Overloaded, "overloaded; retry later", base::milliseconds{1200}));
         };
         auto client = createClient();
         for (const char *body : {Stream, R"({"model":"m","prompt":"p"})"}) {
@@ -127,7 +127,7 @@
     {
         m_handler.onComplete = [](relay::CallerSink &sink) {
             deliver(sink, 2);
-            sink.abort(base::fail(base::ErrorKind::Truncated, "the engine is gone"));
+            sink.abort(base::fail(base::ErrorKind::Truncated, "the engine failed"));
         };
         auto client = createClient();
         std::string body;
--- a/carawaylatch/http/wirejson.cpp
+++ b/carawaylatch/http/wirejson.cpp
@@ -23,7 +23,7 @@
     try {
         return reader(Json::parse(text));
     } catch (const Json::exception &ec) {
-        return base::fail(base::ErrorKind::InvalidArgument, "cannot decode " + std::string(what) + ": " + ec.what());
+        return base::fail(base::ErrorKind::InvalidArgument, std::string(what) + " cannot be decoded: " + ec.what());
     }
 }
 
--- a/carawaylatch/peer/http2transport.h
+++ b/carawaylatch/peer/http2transport.h
@@ -1,5 +1,5 @@
 // PeerTransport over HTTP/2 (nghttp2, prior knowledge, plain TCP). Each message is a
-// POST request on its own stream; the response status tells whether the receiver
+// POST request on its own stream; the response status indicates whether the receiver
 // accepted it.
 #pragma once
 
