--- a/carawaylatch/http/callersserver.cpp
+++ b/carawaylatch/http/callersserver.cpp
@@ -239,21 +239,21 @@
         writeServiceResult(m_handler.callService(call), response);
     }
 
-    static void writeServiceResult(const ServiceResult &reply, httplib::Response &response)
+    static void writeServiceResult(const ServiceResult &serviceResult, httplib::Response &response)
     {
         static constexpr std::string_view OutcomeNames[] = {"", "done", "not_run", "unknown", "running"};
-        if (reply.outcome != OrderOutcome::None) {
-            response.set_header("X-Order-Outcome", std::string(OutcomeNames[static_cast<std::size_t>(reply.outcome)]));
+        if (serviceResult.outcome != OrderOutcome::None) {
+            response.set_header("X-Order-Outcome", std::string(OutcomeNames[static_cast<std::size_t>(serviceResult.outcome)]));
         }
-        if (reply.isReplayed) {
+        if (serviceResult.isReplayed) {
             response.set_header("X-Order-Replayed", "true");
         }
-        if (reply.error) {
-            respondWithError(response, *reply.error);
+        if (serviceResult.error) {
+            respondWithError(response, *serviceResult.error);
             return;
         }
-        response.status = reply.response.status;
-        response.set_content(reply.response.body, reply.response.contentType);
+        response.status = serviceResult.response.status;
+        response.set_content(serviceResult.response.body, serviceResult.response.contentType);
     }
 
     CallersServerOptions m_options;
--- a/carawaylatch/http/serviceclient.cpp
+++ b/carawaylatch/http/serviceclient.cpp
@@ -55,13 +55,13 @@
     if (result->status == StatusUnavailable) {
         return base::fail(base::ErrorKind::Overloaded, upstream + " refused (" + decodeRefusal(result->body).type + "); nothing ran");
     }
-    orders::ServiceAnswer answer;
-    answer.status = result->status;
-    answer.contentType = contentTypeOf(*result);
-    answer.body = result->body;
-    answer.attempt = {fromHex(result->get_header_value("X-Attempt-Id"))};
-    answer.incarnation = {fromHex(result->get_header_value("X-Incarnation"))};
-    return answer;
+    orders::ServiceAnswer response;
+    response.status = result->status;
+    response.contentType = contentTypeOf(*result);
+    response.body = result->body;
+    response.attempt = {fromHex(result->get_header_value("X-Attempt-Id"))};
+    response.incarnation = {fromHex(result->get_header_value("X-Incarnation"))};
+    return response;
 }
 
 } // namespace carawaylatch::http
--- a/carawaylatch/http/testing/callersservertest.cpp
+++ b/carawaylatch/http/testing/callersservertest.cpp
@@ -29,7 +29,7 @@
     ServiceResult callService(const ServiceCall &call) override
     {
         lastService = call;
-        return reply;
+        return serviceResult;
     }
     base::Result<std::vector<base::ModelId>> models(const RequestMetadata &) override
     {
@@ -39,7 +39,7 @@
     std::function<void(relay::CallerSink &sink)> onComplete;
     CompletionCall lastCall;
     ServiceCall lastService;
-    ServiceResult reply;
+    ServiceResult serviceResult;
     std::atomic<int> completed = 0;
 };
 
@@ -223,9 +223,9 @@
     void testServices()
     {
         auto client = createClient();
-        m_handler.reply.outcome = OrderOutcome::Done;
-        m_handler.reply.isReplayed = true;
-        m_handler.reply.response = {201, "text/plain", "booked", {}, {}};
+        m_handler.serviceResult.outcome = OrderOutcome::Done;
+        m_handler.serviceResult.isReplayed = true;
+        m_handler.serviceResult.response = {201, "text/plain", "booked", {}, {}};
         auto result = client.Put("/v1/services/bookings/trucks?day=2", {{"Idempotency-Key", "k1"}}, "truck", "text/plain");
         CPPUNIT_ASSERT_EQUAL(201, result->status);
         CPPUNIT_ASSERT_EQUAL(std::string("booked"), result->body);
@@ -234,7 +234,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("PUT"), m_handler.lastService.method);
         CPPUNIT_ASSERT_EQUAL(std::string("/v1/services/bookings/trucks?day=2"), m_handler.lastService.metadata.path);
         CPPUNIT_ASSERT_EQUAL(std::string("k1"), m_handler.lastService.idempotencyKey);
-        m_handler.reply = {OrderOutcome::NotRun, false, {}, base::fail(base::ErrorKind::NotRun, "not run", base::seconds{1})};
+        m_handler.serviceResult = {OrderOutcome::NotRun, false, {}, base::fail(base::ErrorKind::NotRun, "not run", base::seconds{1})};
         result = client.Get("/v1/services/bookings");
         CPPUNIT_ASSERT_EQUAL(503, result->status);
         CPPUNIT_ASSERT_EQUAL(std::string("not_run"), result->get_header_value("X-Order-Outcome"));
--- a/carawaylatch/http/testing/decodertest.cpp
+++ b/carawaylatch/http/testing/decodertest.cpp
@@ -30,12 +30,12 @@
         const std::vector<std::string> expected{"one", "two", "a\nb"};
         for (std::size_t splitAt = 0; splitAt <= text.size(); ++splitAt) {
             std::vector<std::string> events;
-            const auto keep = [&events](std::string_view data) {
+            const auto collect = [&events](std::string_view data) {
                 events.emplace_back(data);
             };
             SseParser parser;
-            static_cast<void>(parser.feed(std::string_view(text).substr(0, splitAt), keep));
-            CPPUNIT_ASSERT(parser.feed(std::string_view(text).substr(splitAt), keep) == SseParser::State::Open);
+            static_cast<void>(parser.feed(std::string_view(text).substr(0, splitAt), collect));
+            CPPUNIT_ASSERT(parser.feed(std::string_view(text).substr(splitAt), collect) == SseParser::State::Open);
             CPPUNIT_ASSERT(events == expected);
         }
     }
--- a/carawaylatch/http/testing/engineclienttest.cpp
+++ b/carawaylatch/http/testing/engineclienttest.cpp
@@ -245,8 +245,8 @@
             CPPUNIT_ASSERT(service.start());
             httplib::Client admin(service.endpoint().address, service.endpoint().port);
             admin.Post("/admin/faults", std::string("{\"mode\":\"") + it.fault + "\"}", "application/json");
-            const auto answer = ServiceClient(ConnectTimeout).call(requestTo(service.endpoint()));
-            CPPUNIT_ASSERT_MESSAGE(it.fault, it.error ? !answer && answer.error().kind == *it.error : answer.has_value());
+            const auto response = ServiceClient(ConnectTimeout).call(requestTo(service.endpoint()));
+            CPPUNIT_ASSERT_MESSAGE(it.fault, it.error ? !response && response.error().kind == *it.error : response.has_value());
             const std::string journal = admin.Get("/journal")->body;
             CPPUNIT_ASSERT_EQUAL_MESSAGE(it.fault, it.runs == 1, journal.find("\"acme/k1\"") != std::string::npos);
         }
--- a/carawaylatch/peer/testing/codectest.cpp
+++ b/carawaylatch/peer/testing/codectest.cpp
@@ -99,9 +99,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("message"), std::string(authenticator.verify(signedBytes).value()));
         CPPUNIT_ASSERT(!other.verify(signedBytes) && !authenticator.verify("") && !authenticator.verify("message"));
         for (std::size_t i = 0; i < signedBytes.size(); ++i) {
-            auto damaged = signedBytes;
-            damaged[i] ^= 1;
-            CPPUNIT_ASSERT(!authenticator.verify(damaged));
+            auto corrupted = signedBytes;
+            corrupted[i] ^= 1;
+            CPPUNIT_ASSERT(!authenticator.verify(corrupted));
         }
     }
 
@@ -109,31 +109,31 @@
     void testReplayFilterMatchesReferenceSet()
     {
         base::Random random(::carawaylatch::testing::seed());
-        ReplayFilter guard;
+        ReplayFilter replayFilter;
         std::set<std::uint64_t> admitted;
         std::uint64_t greatest = 0;
         for (int i = 0; i < 20'000; ++i) {
-            const auto back = random.below(ReplayFilter::WindowBits + 200);
-            const auto sequence = std::max<std::uint64_t>(1, greatest + random.below(10) == 0 ? 1 : greatest + 3 - std::min(greatest, back));
+            const auto distance = random.below(ReplayFilter::WindowBits + 200);
+            const auto sequence = std::max<std::uint64_t>(1, greatest + random.below(10) == 0 ? 1 : greatest + 3 - std::min(greatest, distance));
             const bool isTooOld = sequence + ReplayFilter::WindowBits <= greatest;
             const bool expected = !isTooOld && !admitted.contains(sequence);
-            CPPUNIT_ASSERT_EQUAL(expected, guard.admit(Sender, sequence));
+            CPPUNIT_ASSERT_EQUAL(expected, replayFilter.admit(Sender, sequence));
             if (expected) {
                 admitted.insert(sequence);
                 greatest = std::max(greatest, sequence);
             }
         }
-        CPPUNIT_ASSERT_MESSAGE("another incarnation has its own window", guard.admit({Sender.id, {10}}, 1));
-        CPPUNIT_ASSERT(!guard.admit(Sender, 0));
+        CPPUNIT_ASSERT_MESSAGE("another incarnation has its own window", replayFilter.admit({Sender.id, {10}}, 1));
+        CPPUNIT_ASSERT(!replayFilter.admit(Sender, 0));
     }
 
     void testReplayFilterIsBounded()
     {
-        ReplayFilter guard;
+        ReplayFilter replayFilter;
         for (std::uint64_t i = 0; i < ReplayFilter::MaxSenders + 10; ++i) {
-            CPPUNIT_ASSERT(guard.admit({base::RouterId("r"), {i + 1}}, 5));
+            CPPUNIT_ASSERT(replayFilter.admit({base::RouterId("r"), {i + 1}}, 5));
         }
-        CPPUNIT_ASSERT_MESSAGE("the most recently used window is kept", !guard.admit({base::RouterId("r"), {ReplayFilter::MaxSenders}}, 5));
+        CPPUNIT_ASSERT_MESSAGE("the most recently used window is kept", !replayFilter.admit({base::RouterId("r"), {ReplayFilter::MaxSenders}}, 5));
     }
 };
 
