--- a/carawaylatch/http/callersserver.cpp
+++ b/carawaylatch/http/callersserver.cpp
@@ -1,9 +1,9 @@
-// Requests of callers on httplib, a thread for each.
+// Implements the callers' server on cpp-httplib with one thread per request.
 //
-// A streamed request has a second thread from a pool that relays it, since the
-// status has to be known before httplib pulls the body (see streambridge.h). A
-// caller that leaves is noticed by the writing thread: by a failed write, or by
-// looking at the socket while there is nothing to write.
+// A streamed request takes a second thread from a pool that relays the stream, since
+// httplib needs the status before it pulls the body (see streambridge.h). The
+// writing thread detects that the caller disconnected: by a failed write, or by
+// polling the socket while there is nothing to write.
 #include "carawaylatch/http/callersserver.h"
 
 #include <httplib.h>
@@ -26,7 +26,7 @@
 
 constexpr const char *JsonType = "application/json";
 constexpr const char *StreamType = "text/event-stream";
-constexpr base::Duration LookInterval = base::milliseconds{50}; // between two looks at a quiet caller's socket
+constexpr base::Duration DisconnectPollInterval = base::milliseconds{50}; // between two checks of the socket while there is nothing to write
 
 } // namespace
 
@@ -69,15 +69,15 @@
         auto &server = m_server.server();
         server.set_payload_max_length(m_options.maxBodyBytes);
         server.set_error_handler([this](const httplib::Request &, httplib::Response &response) {
-            explainStatus(response);
+            addErrorBody(response);
         });
         server.set_exception_handler([](const httplib::Request &, httplib::Response &response, const std::exception_ptr &) {
-            answerError(response, base::fail(base::ErrorKind::Internal, "the router failed on this request; report its request id"));
+            respondWithError(response, base::fail(base::ErrorKind::Internal, "the router failed on this request; report its request id"));
         });
     }
 
-    // Gives the statuses that httplib sets by itself a body in the usual form.
-    void explainStatus(httplib::Response &response) const
+    // Adds a JSON error body to responses whose status httplib set by itself.
+    void addErrorBody(httplib::Response &response) const
     {
         if (!response.body.empty()) {
             return;
@@ -90,7 +90,7 @@
             message = "the body is over " + std::to_string(m_options.maxBodyBytes) + " bytes; send a shorter prompt";
         } else if (status == 400) {
             kind = base::ErrorKind::InvalidArgument;
-            message = "the request is not valid HTTP, or its head or body was cut off; send it whole, with header lines under 8 KB";
+            message = "the request is not valid HTTP, or its headers or body are incomplete; send all of it, with header lines under 8 KB";
         } else if (status != 404) {
             return;
         }
@@ -121,145 +121,146 @@
         server.Delete(ServicePath, service);
     }
 
-    // Reads what every request carries; sets the answer's request id.
-    base::Result<CallerHead> headOf(const httplib::Request &request, httplib::Response &response)
+    // Reads the request's metadata, generates a request id if there is none and sets it
+    // in the response.
+    base::Result<RequestMetadata> readMetadata(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = readCallerHead(request);
-        if (head && head.value().requestId.empty()) {
-            head.value().requestId = toHex(base::combineHashes(m_idSeed, ++m_requests));
+        auto metadata = readRequestMetadata(request);
+        if (metadata && metadata.value().requestId.empty()) {
+            metadata.value().requestId = toHex(base::combineHashes(m_idSeed, ++m_requestCounter));
         }
-        if (head) {
-            response.set_header("X-Request-Id", head.value().requestId);
+        if (metadata) {
+            response.set_header("X-Request-Id", metadata.value().requestId);
         }
-        return head;
+        return metadata;
     }
 
     void complete(const httplib::Request &request, httplib::Response &response, CompletionForm form)
     {
-        auto head = headOf(request, response);
-        if (!head) {
-            answerError(response, head.error());
+        auto metadata = readMetadata(request, response);
+        if (!metadata) {
+            respondWithError(response, metadata.error());
             return;
         }
         auto body = decodeCompletion(request.body, form);
         if (!body) {
-            answerError(response, body.error());
+            respondWithError(response, body.error());
             return;
         }
-        const AnswerIdentity identity{head.value().requestId, body.value().model, form};
+        const CompletionIdentity identity{metadata.value().requestId, body.value().model, form};
         auto call = std::make_shared<CompletionCall>();
-        call->head = std::move(head).value();
+        call->metadata = std::move(metadata).value();
         call->model = body.value().model;
         call->maxTokens = body.value().maxTokens;
         call->prompt = std::move(body.value().prompt);
         if (body.value().streaming == Streaming::On) {
-            stream(std::move(call), identity, response);
+            completeStream(std::move(call), identity, response);
         } else {
-            answerWhole(*call, identity, response);
+            completeUnary(*call, identity, response);
         }
     }
 
-    void answerWhole(const CompletionCall &call, const AnswerIdentity &identity, httplib::Response &response)
+    void completeUnary(const CompletionCall &call, const CompletionIdentity &identity, httplib::Response &response)
     {
         relay::CollectingSink sink;
         m_handler.complete(call, sink);
         if (sink.done()) {
-            response.set_content(encodeAnswer(identity, sink.text(), *sink.done()), JsonType);
+            response.set_content(encodeCompletion(identity, sink.text(), *sink.done()), JsonType);
         } else {
-            answerError(response, sink.error().value_or(base::fail(base::ErrorKind::Internal, "the router gave no answer; report the request id")));
+            respondWithError(response, sink.error().value_or(base::fail(base::ErrorKind::Internal, "the router produced no response; report the request id")));
         }
     }
 
-    void stream(std::shared_ptr<CompletionCall> call, const AnswerIdentity &identity, httplib::Response &response)
+    void completeStream(std::shared_ptr<CompletionCall> call, const CompletionIdentity &identity, httplib::Response &response)
     {
         auto bridge = std::make_shared<StreamBridge>(identity);
         m_relayThreads.enqueue([this, call = std::move(call), bridge] {
             m_handler.complete(*call, *bridge);
         });
-        if (bridge->waitForOpening() == StreamBridge::Opening::Refused) {
-            answerError(response, bridge->error());
+        if (bridge->waitForStart() == StreamBridge::StartResult::Refused) {
+            respondWithError(response, bridge->error());
             return;
         }
         response.set_header("Cache-Control", "no-store");
         response.set_chunked_content_provider(
             StreamType,
             [bridge](std::size_t, httplib::DataSink &sink) {
-                return writeSome(*bridge, sink);
+                return writeBuffered(*bridge, sink);
             },
-            [bridge](bool isWhole) {
-                if (!isWhole) {
-                    bridge->callerLeft();
+            [bridge](bool isComplete) {
+                if (!isComplete) {
+                    bridge->onCallerDisconnected();
                 }
             });
     }
 
-    // Writes what is buffered; false breaks the transfer off, so that a caller
-    // never takes a part for the whole.
-    static bool writeSome(StreamBridge &bridge, httplib::DataSink &sink)
+    // Writes the buffered events. Returns false to abort the chunked transfer, so that
+    // the caller can't mistake a truncated response for a complete one.
+    static bool writeBuffered(StreamBridge &bridge, httplib::DataSink &sink)
     {
         auto phase = StreamBridge::Phase::Open;
-        const std::string bytes = bridge.take(LookInterval, phase);
+        const std::string bytes = bridge.takeBuffered(DisconnectPollInterval, phase);
         const bool isWritten = bytes.empty() ? sink.is_writable() : sink.write(bytes.data(), bytes.size());
         if (!isWritten) {
-            bridge.callerLeft();
+            bridge.onCallerDisconnected();
             return false;
         }
-        if (phase == StreamBridge::Phase::Whole) {
+        if (phase == StreamBridge::Phase::Complete) {
             sink.done();
         }
-        return phase != StreamBridge::Phase::Broken;
+        return phase != StreamBridge::Phase::Failed;
     }
 
     void listModels(const httplib::Request &request, httplib::Response &response)
     {
-        const auto head = headOf(request, response);
-        if (!head) {
-            answerError(response, head.error());
+        const auto metadata = readMetadata(request, response);
+        if (!metadata) {
+            respondWithError(response, metadata.error());
             return;
         }
-        const auto models = m_handler.models(head.value());
-        models ? response.set_content(encodeModels(models.value()), JsonType) : answerError(response, models.error());
+        const auto models = m_handler.models(metadata.value());
+        models ? response.set_content(encodeModels(models.value()), JsonType) : respondWithError(response, models.error());
     }
 
     void callService(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = headOf(request, response);
-        if (!head) {
-            answerError(response, head.error());
+        auto metadata = readMetadata(request, response);
+        if (!metadata) {
+            respondWithError(response, metadata.error());
             return;
         }
         ServiceCall call;
-        call.head = std::move(head).value();
-        call.head.path = request.target;
+        call.metadata = std::move(metadata).value();
+        call.metadata.path = request.target;
         call.method = request.method;
         call.contentType = request.get_header_value("Content-Type");
         call.body = request.body;
         call.idempotencyKey = request.get_header_value("Idempotency-Key");
-        answerService(m_handler.callService(call), response);
+        writeServiceResult(m_handler.callService(call), response);
     }
 
-    static void answerService(const ServiceReply &reply, httplib::Response &response)
+    static void writeServiceResult(const ServiceResult &serviceResult, httplib::Response &response)
     {
         static constexpr std::string_view OutcomeNames[] = {"", "done", "not_run", "unknown", "running"};
-        if (reply.outcome != OrderOutcome::None) {
-            response.set_header("X-Order-Outcome", std::string(OutcomeNames[static_cast<std::size_t>(reply.outcome)]));
+        if (serviceResult.outcome != OrderOutcome::None) {
+            response.set_header("X-Order-Outcome", std::string(OutcomeNames[static_cast<std::size_t>(serviceResult.outcome)]));
         }
-        if (reply.isReplayed) {
+        if (serviceResult.isReplayed) {
             response.set_header("X-Order-Replayed", "true");
         }
-        if (reply.error) {
-            answerError(response, *reply.error);
+        if (serviceResult.error) {
+            respondWithError(response, *serviceResult.error);
             return;
         }
-        response.status = reply.answer.status;
-        response.set_content(reply.answer.body, reply.answer.contentType);
+        response.status = serviceResult.response.status;
+        response.set_content(serviceResult.response.body, serviceResult.response.contentType);
     }
 
     CallersServerOptions m_options;
     CallerHandler &m_handler;
     httplib::ThreadPool m_relayThreads;
     const std::uint64_t m_idSeed;
-    std::atomic<std::uint64_t> m_requests = 0;
+    std::atomic<std::uint64_t> m_requestCounter = 0;
     bool m_isStopped = false;
     HttpServer m_server;
 };
--- a/carawaylatch/http/operatorsserver.cpp
+++ b/carawaylatch/http/operatorsserver.cpp
@@ -1,4 +1,4 @@
-// A few handlers over OperatorHandler; every answer is made anew.
+// Maps the operators' HTTP API to OperatorHandler. Responses are not cached.
 #include "carawaylatch/http/operatorsserver.h"
 
 #include <httplib.h>
@@ -14,14 +14,14 @@
 namespace
 {
 
-constexpr std::size_t Threads = 8;
+constexpr std::size_t ThreadCount = 8;
 constexpr int StatusUnavailable = 503;
 constexpr const char *JsonType = "application/json";
 constexpr const char *TextType = "text/plain; charset=utf-8";
 constexpr const char *MetricsType = "text/plain; version=0.0.4; charset=utf-8";
 constexpr const char *PageType = "text/html; charset=utf-8";
 
-base::Result<base::UpstreamId> upstreamOf(const std::string &body)
+base::Result<base::UpstreamId> parseUpstreamId(const std::string &body)
 {
     const auto json = nlohmann::json::parse(body, nullptr, false);
     if (!json.is_object() || !json.contains("upstream") || !json["upstream"].is_string()) {
@@ -37,7 +37,7 @@
 public:
     Impl(const base::Endpoint &endpoint, OperatorHandler &handler)
         : m_handler(handler)
-        , m_server(endpoint, Threads)
+        , m_server(endpoint, ThreadCount)
     {
         addHealthHandlers();
         addReportHandlers();
@@ -84,40 +84,40 @@
     {
         auto &server = m_server.server();
         server.Post("/v1/drain", [this](const httplib::Request &request, httplib::Response &response) {
-            change(request, response, &OperatorHandler::drain);
+            applyDrainAction(request, response, &OperatorHandler::drain);
         });
         server.Post("/v1/undrain", [this](const httplib::Request &request, httplib::Response &response) {
-            change(request, response, &OperatorHandler::undrain);
+            applyDrainAction(request, response, &OperatorHandler::undrain);
         });
     }
 
     void explain(const httplib::Request &request, httplib::Response &response)
     {
-        auto head = readCallerHead(request);
+        auto metadata = readRequestMetadata(request);
         auto body = decodeCompletion(request.body, request.body.find("\"messages\"") == std::string::npos ? CompletionForm::Text : CompletionForm::Chat);
-        if (!head || !body) {
-            answerError(response, head ? body.error() : head.error());
+        if (!metadata || !body) {
+            respondWithError(response, metadata ? body.error() : metadata.error());
             return;
         }
         CompletionCall call;
-        call.head = std::move(head).value();
-        call.head.path = request.has_param("path") ? request.get_param_value("path") : "/v1/completions";
+        call.metadata = std::move(metadata).value();
+        call.metadata.path = request.has_param("path") ? request.get_param_value("path") : "/v1/completions";
         call.model = body.value().model;
         call.prompt = std::move(body.value().prompt);
         call.maxTokens = body.value().maxTokens;
         const auto report = m_handler.explainJson(call);
-        report ? response.set_content(report.value(), JsonType) : answerError(response, report.error());
+        report ? response.set_content(report.value(), JsonType) : respondWithError(response, report.error());
     }
 
-    void change(const httplib::Request &request, httplib::Response &response, base::Result<void> (OperatorHandler::*action)(const base::UpstreamId &))
+    void applyDrainAction(const httplib::Request &request, httplib::Response &response, base::Result<void> (OperatorHandler::*action)(const base::UpstreamId &))
     {
-        const auto upstream = upstreamOf(request.body);
+        const auto upstream = parseUpstreamId(request.body);
         if (!upstream) {
-            answerError(response, upstream.error());
+            respondWithError(response, upstream.error());
             return;
         }
         const auto done = (m_handler.*action)(upstream.value());
-        done ? response.set_content("{}", JsonType) : answerError(response, done.error());
+        done ? response.set_content("{}", JsonType) : respondWithError(response, done.error());
     }
 
     OperatorHandler &m_handler;
--- a/carawaylatch/peer/testing/codectest.cpp
+++ b/carawaylatch/peer/testing/codectest.cpp
@@ -1,11 +1,12 @@
-// Encoding of all kinds of message, damaged bytes, seals and replays.
+// Tests the encoding of all message kinds, the decoding of corrupted bytes, message
+// authentication and replay protection.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <set>
 
+#include "carawaylatch/peer/authenticatedcodec.h"
 #include "carawaylatch/peer/codec.h"
-#include "carawaylatch/peer/gate.h"
-#include "carawaylatch/peer/testing/samples.h"
+#include "carawaylatch/peer/testing/samplemessages.h"
 #include "testing/seed.h"
 
 namespace carawaylatch::peer::testing
@@ -22,18 +23,18 @@
 class CodecTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(CodecTest);
-    CPPUNIT_TEST(testEveryKindSurvives);
-    CPPUNIT_TEST(testWholeConfigurationSurvives);
-    CPPUNIT_TEST(testDamagedBytesAreRefusedOrDecode);
-    CPPUNIT_TEST(testSeal);
-    CPPUNIT_TEST(testReplayGuardAgainstSet);
-    CPPUNIT_TEST(testReplayGuardIsBounded);
+    CPPUNIT_TEST(testEveryKindRoundTrips);
+    CPPUNIT_TEST(testFullConfigurationRoundTrips);
+    CPPUNIT_TEST(testCorruptedBytesAreRejectedOrDecode);
+    CPPUNIT_TEST(testMessageAuthenticator);
+    CPPUNIT_TEST(testReplayFilterMatchesReferenceSet);
+    CPPUNIT_TEST(testReplayFilterIsBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testEveryKindSurvives()
+    void testEveryKindRoundTrips()
     {
-        Samples samples(::carawaylatch::testing::seed());
+        SampleMessages samples(::carawaylatch::testing::seed());
         std::set<std::string_view> names;
         for (int round = 0; round < 50; ++round) {
             const auto messages = samples.all();
@@ -52,7 +53,7 @@
         CPPUNIT_ASSERT_EQUAL(std::variant_size_v<PeerMessage>, names.size());
     }
 
-    void testWholeConfigurationSurvives()
+    void testFullConfigurationRoundTrips()
     {
         config::RowSet rows;
         rows.revision = {5};
@@ -62,10 +63,10 @@
         CPPUNIT_ASSERT(*std::get<config::ConfigUpdate>(decoded.value().message).whole == rows);
     }
 
-    void testDamagedBytesAreRefusedOrDecode()
+    void testCorruptedBytesAreRejectedOrDecode()
     {
         base::Random random(::carawaylatch::testing::seed());
-        Samples samples(::carawaylatch::testing::seed());
+        SampleMessages samples(::carawaylatch::testing::seed());
         int refused = 0;
         for (int round = 0; round < 300; ++round) {
             for (const auto &it : samples.all()) {
@@ -90,49 +91,49 @@
         CPPUNIT_ASSERT(refused > 1'000);
     }
 
-    void testSeal()
+    void testMessageAuthenticator()
     {
-        const Seal seal{std::string(Key)};
-        const Seal other("another key of 24 bytes!");
-        const auto sealed = seal.close("message");
-        CPPUNIT_ASSERT_EQUAL(std::string("message"), std::string(seal.open(sealed).value()));
-        CPPUNIT_ASSERT(!other.open(sealed) && !seal.open("") && !seal.open("message"));
-        for (std::size_t i = 0; i < sealed.size(); ++i) {
-            auto damaged = sealed;
-            damaged[i] ^= 1;
-            CPPUNIT_ASSERT(!seal.open(damaged));
+        const MessageAuthenticator authenticator{std::string(Key)};
+        const MessageAuthenticator other("another key of 24 bytes!");
+        const auto signedBytes = authenticator.sign("message");
+        CPPUNIT_ASSERT_EQUAL(std::string("message"), std::string(authenticator.verify(signedBytes).value()));
+        CPPUNIT_ASSERT(!other.verify(signedBytes) && !authenticator.verify("") && !authenticator.verify("message"));
+        for (std::size_t i = 0; i < signedBytes.size(); ++i) {
+            auto corrupted = signedBytes;
+            corrupted[i] ^= 1;
+            CPPUNIT_ASSERT(!authenticator.verify(corrupted));
         }
     }
 
-    // The window against a set of all numbers admitted before.
-    void testReplayGuardAgainstSet()
+    // Compares the window with a set of all numbers admitted before.
+    void testReplayFilterMatchesReferenceSet()
     {
         base::Random random(::carawaylatch::testing::seed());
-        ReplayGuard guard;
+        ReplayFilter replayFilter;
         std::set<std::uint64_t> admitted;
         std::uint64_t greatest = 0;
         for (int i = 0; i < 20'000; ++i) {
-            const auto back = random.below(ReplayGuard::WindowBits + 200);
-            const auto sequence = std::max<std::uint64_t>(1, greatest + random.below(10) == 0 ? 1 : greatest + 3 - std::min(greatest, back));
-            const bool isTooOld = sequence + ReplayGuard::WindowBits <= greatest;
+            const auto distance = random.below(ReplayFilter::WindowBits + 200);
+            const auto sequence = std::max<std::uint64_t>(1, greatest + random.below(10) == 0 ? 1 : greatest + 3 - std::min(greatest, distance));
+            const bool isTooOld = sequence + ReplayFilter::WindowBits <= greatest;
             const bool expected = !isTooOld && !admitted.contains(sequence);
-            CPPUNIT_ASSERT_EQUAL(expected, guard.admit(Sender, sequence));
+            CPPUNIT_ASSERT_EQUAL(expected, replayFilter.admit(Sender, sequence));
             if (expected) {
                 admitted.insert(sequence);
                 greatest = std::max(greatest, sequence);
             }
         }
-        CPPUNIT_ASSERT_MESSAGE("another life counts anew", guard.admit({Sender.id, {10}}, 1));
-        CPPUNIT_ASSERT(!guard.admit(Sender, 0));
+        CPPUNIT_ASSERT_MESSAGE("another incarnation has its own window", replayFilter.admit({Sender.id, {10}}, 1));
+        CPPUNIT_ASSERT(!replayFilter.admit(Sender, 0));
     }
 
-    void testReplayGuardIsBounded()
+    void testReplayFilterIsBounded()
     {
-        ReplayGuard guard;
-        for (std::uint64_t i = 0; i < ReplayGuard::MaxSenders + 10; ++i) {
-            CPPUNIT_ASSERT(guard.admit({base::RouterId("r"), {i + 1}}, 5));
+        ReplayFilter replayFilter;
+        for (std::uint64_t i = 0; i < ReplayFilter::MaxSenders + 10; ++i) {
+            CPPUNIT_ASSERT(replayFilter.admit({base::RouterId("r"), {i + 1}}, 5));
         }
-        CPPUNIT_ASSERT_MESSAGE("the newest is held", !guard.admit({base::RouterId("r"), {ReplayGuard::MaxSenders}}, 5));
+        CPPUNIT_ASSERT_MESSAGE("the most recently used window is kept", !replayFilter.admit({base::RouterId("r"), {ReplayFilter::MaxSenders}}, 5));
     }
 };
 
--- a/carawaylatch/peer/testing/fakenetwork.h
+++ b/carawaylatch/peer/testing/fakenetwork.h
@@ -1,12 +1,12 @@
-// A PeerTransport in memory: the contract of the real one over a virtual network
-// that delays, loses, doubles and cuts.
+// In-memory PeerTransport with the contract of the real one, on a virtual network that
+// can delay, lose, duplicate and partition messages.
 #pragma once
 
 #include <map>
 #include <memory>
 #include <string>
 
-#include "carawaylatch/peer/gate.h"
+#include "carawaylatch/peer/authenticatedcodec.h"
 #include "carawaylatch/peer/transport.h"
 #include "testing/virtualnetwork.h"
 
@@ -15,7 +15,8 @@
 
 class FakeTransport;
 
-// Routers by endpoint. Messages pass through the same gate as in the real transport.
+// Transports by endpoint. Messages pass through the same codec as in the real
+// transport.
 struct FakeNetwork
 {
     ::carawaylatch::testing::VirtualNetwork wire{1};
@@ -26,10 +27,10 @@
 class FakeTransport : public PeerTransport
 {
 public:
-    // `group` is what the network's cuts are between.
+    // Network partitions are between groups.
     FakeTransport(FakeNetwork &network, const PeerIdentity &self, const std::string &key, std::uint32_t group = 0, std::uint16_t port = 0)
         : m_network(network)
-        , m_gate(self, key)
+        , m_codec(self, key)
         , m_endpoint{"127.0.0.1", port != 0 ? port : ++network.lastPort}
         , m_group(group)
     {
@@ -56,9 +57,9 @@
     }
     void send(const base::Endpoint &to, const PeerMessage &message) override
     {
-        sendBytes(to, m_gate.wrap(message));
+        sendBytes(to, m_codec.encode(message));
     }
-    // Sends bytes as they are, as a stranger would.
+    // Sends raw bytes without encoding them, as an unauthenticated sender could.
     void sendBytes(const base::Endpoint &to, const std::string &bytes)
     {
         const auto target = m_network.transports.find(to);
@@ -74,7 +75,7 @@
             }
         });
     }
-    // Counts a message that is refused by its size alone.
+    // Counts a message that is rejected for its size.
     void refuseTooLarge()
     {
         ++m_counters.refused.at(static_cast<std::size_t>(PeerRefusal::TooLarge));
@@ -91,18 +92,18 @@
 private:
     void receive(const std::string &bytes)
     {
-        auto unwrapped = m_gate.unwrap(bytes);
-        if (const auto *refusal = std::get_if<PeerRefusal>(&unwrapped)) {
+        auto decoded = m_codec.decode(bytes);
+        if (const auto *refusal = std::get_if<PeerRefusal>(&decoded)) {
             ++m_counters.refused.at(static_cast<std::size_t>(*refusal));
             return;
         }
         ++m_counters.receivedMessages;
         m_counters.receivedBytes += bytes.size();
-        m_handler(std::get<PeerEnvelope>(unwrapped));
+        m_handler(std::get<PeerEnvelope>(decoded));
     }
 
     FakeNetwork &m_network;
-    Gate m_gate;
+    AuthenticatedCodec m_codec;
     base::Endpoint m_endpoint;
     std::uint32_t m_group;
     Handler m_handler;
--- a/carawaylatch/peer/testing/samples.h
+++ b/carawaylatch/peer/testing/samplemessages.h
@@ -1,4 +1,4 @@
-// One message of each kind, filled from a seeded source.
+// Sample messages of each kind with values from a seeded random generator.
 #pragma once
 
 #include <memory>
@@ -10,10 +10,10 @@
 namespace carawaylatch::peer::testing
 {
 
-class Samples
+class SampleMessages
 {
 public:
-    explicit Samples(std::uint64_t seed)
+    explicit SampleMessages(std::uint64_t seed)
         : m_random(seed)
     {
     }
--- a/carawaylatch/peer/transport.cpp
+++ b/carawaylatch/peer/transport.cpp
@@ -1,7 +1,7 @@
-// Names of refusals, and the gate that every transport passes bytes through.
+// Names of rejection reasons, and the codec that all transports share.
 #include "carawaylatch/peer/transport.h"
 
-#include "carawaylatch/peer/gate.h"
+#include "carawaylatch/peer/authenticatedcodec.h"
 
 namespace carawaylatch::peer
 {
@@ -12,23 +12,23 @@
     return RefusalNames.at(static_cast<std::size_t>(refusal));
 }
 
-Gate::Gate(PeerIdentity self, std::string key)
+AuthenticatedCodec::AuthenticatedCodec(PeerIdentity self, std::string key)
     : m_self(std::move(self))
-    , m_seal(std::move(key))
+    , m_authenticator(std::move(key))
 {
 }
 
-std::string Gate::wrap(const PeerMessage &message)
+std::string AuthenticatedCodec::encode(const PeerMessage &message)
 {
-    return m_seal.close(encodeEnvelope({m_self, ++m_sequence, message}));
+    return m_authenticator.sign(encodeEnvelope({m_self, ++m_sequence, message}));
 }
 
-std::variant<PeerEnvelope, PeerRefusal> Gate::unwrap(std::string_view sealed)
+std::variant<PeerEnvelope, PeerRefusal> AuthenticatedCodec::decode(std::string_view signedBytes)
 {
-    if (sealed.size() > MaxMessageBytes) {
+    if (signedBytes.size() > MaxMessageBytes) {
         return PeerRefusal::TooLarge;
     }
-    const auto bytes = m_seal.open(sealed);
+    const auto bytes = m_authenticator.verify(signedBytes);
     if (!bytes) {
         return PeerRefusal::WrongKey;
     }
@@ -36,7 +36,7 @@
     if (!envelope) {
         return envelope.error().kind == base::ErrorKind::StaleState ? PeerRefusal::WrongVersion : PeerRefusal::Malformed;
     }
-    if (!m_replays.admit(envelope.value().sender, envelope.value().sequence)) {
+    if (!m_replayFilter.admit(envelope.value().sender, envelope.value().sequence)) {
         return PeerRefusal::Replayed;
     }
     return std::move(envelope.value());
--- a/carawaylatch/peer/wirevalues.cpp
+++ b/carawaylatch/peer/wirevalues.cpp
@@ -1,4 +1,4 @@
-// Conversions of values, one pair for each type.
+// Conversions between typed values and protobuf messages, one pair for each type.
 #include "carawaylatch/peer/wirevalues.h"
 
 #include <limits>
@@ -14,15 +14,15 @@
 namespace
 {
 
-base::Error malformed(const char *what)
+base::Error malformedMessage(const char *what)
 {
-    return base::fail(ErrorKind::InvalidArgument, std::string("a peer's message has ") + what + "; look for a router of another version");
+    return base::fail(ErrorKind::InvalidArgument, std::string("a peer message has ") + what + "; check for a router of another version");
 }
 
 Result<admission::Resource> resourceFromWire(std::uint32_t number)
 {
     if (number > static_cast<std::uint32_t>(admission::Resource::Rate)) {
-        return malformed("an unknown resource");
+        return malformedMessage("an unknown resource");
     }
     return static_cast<admission::Resource>(number);
 }
@@ -46,7 +46,7 @@
 Result<prefix::HotUpstream> fromWire(const wire::HotUpstream &in)
 {
     if (in.keys_size() != in.ages_ms_size()) {
-        return malformed("block keys without ages");
+        return malformedMessage("different numbers of block keys and ages");
     }
     prefix::HotUpstream value;
     BOOST_OUTCOME_TRY(upstream, nameFromWire<base::UpstreamId>(in.upstream()));
@@ -59,17 +59,17 @@
     return value;
 }
 
-Result<handover::UpstreamIncarnation> fromWire(const wire::UpstreamLife &in)
+Result<handover::UpstreamLife> fromWire(const wire::UpstreamLife &in)
 {
     BOOST_OUTCOME_TRY(upstream, nameFromWire<base::UpstreamId>(in.upstream()));
-    return handover::UpstreamIncarnation{upstream, {in.incarnation()}};
+    return handover::UpstreamLife{upstream, {in.incarnation()}};
 }
 
 Result<handover::FencingFloor> fromWire(const wire::FencingFloor &in)
 {
     constexpr std::size_t MaxScopeBytes = 200;
     if (in.scope().size() > MaxScopeBytes) {
-        return malformed("a long name of a lease");
+        return malformedMessage("a lease name over the length limit");
     }
     return handover::FencingFloor{in.scope(), {in.token()}};
 }
@@ -91,7 +91,7 @@
     constexpr std::size_t MaxAddressBytes = 45;
     if (in.state() > static_cast<std::uint32_t>(membership::MemberState::Dead) || in.port() > std::numeric_limits<std::uint16_t>::max()
         || in.address().size() > MaxAddressBytes || in.id().empty()) {
-        return malformed("a member without sense");
+        return malformedMessage("an invalid member record");
     }
     BOOST_OUTCOME_TRY(id, nameFromWire<base::RouterId>(in.id()));
     BOOST_OUTCOME_TRY(domain, nameFromWire<base::FailureDomain>(in.domain()));
@@ -209,12 +209,12 @@
 Result<prefix::HotLevels> fromWire(const wire::HotLevels &in)
 {
     if (in.keys_size() != in.heats_size() || in.keys_size() != in.spreads_size()) {
-        return malformed("levels without heat");
+        return malformedMessage("different numbers of block keys, heats and spreads");
     }
     prefix::HotLevels value;
     for (int i = 0; i < in.keys_size(); ++i) {
         if (!(in.heats(i) >= 0) || in.spreads(i) > std::numeric_limits<std::uint8_t>::max()) {
-            return malformed("a level without sense");
+            return malformedMessage("a heat or spread out of range");
         }
         value.levels.push_back({in.keys(i), in.heats(i), static_cast<std::uint8_t>(in.spreads(i))});
     }
@@ -229,7 +229,7 @@
     for (const auto &it : value.members) {
         toWire(it, *out.add_members());
     }
-    for (const auto &it : value.incarnations) {
+    for (const auto &it : value.lives) {
         auto *life = out.add_lives();
         life->set_upstream(it.upstream.value());
         life->set_incarnation(it.incarnation.value);
@@ -254,13 +254,13 @@
         value.rows = std::move(rows);
     }
     BOOST_OUTCOME_TRY(members, listFromWire<membership::MemberRecord>(in.members()));
-    BOOST_OUTCOME_TRY(lives, listFromWire<handover::UpstreamIncarnation>(in.lives()));
+    BOOST_OUTCOME_TRY(lives, listFromWire<handover::UpstreamLife>(in.lives()));
     BOOST_OUTCOME_TRY(marks, listFromWire<upstreams::LeavingMark>(in.marks()));
     BOOST_OUTCOME_TRY(floors, listFromWire<handover::FencingFloor>(in.floors()));
     BOOST_OUTCOME_TRY(placements, fromWire(in.placements()));
     BOOST_OUTCOME_TRY(levels, fromWire(in.levels()));
     value.members = std::move(members);
-    value.incarnations = std::move(lives);
+    value.lives = std::move(lives);
     value.marks = std::move(marks);
     value.floors = std::move(floors);
     value.placements = std::move(placements);
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -50,16 +50,16 @@
     return telemetry::OrderOutcome::Done;
 }
 
-http::ServiceReply toServiceReply(const orders::OrderAnswer &answer)
+http::ServiceResult toServiceReply(const orders::OrderAnswer &answer)
 {
-    http::ServiceReply reply;
+    http::ServiceResult reply;
     switch (answer.kind) {
     case orders::OrderAnswerKind::Done:
         reply.outcome = http::OrderOutcome::Done;
         reply.isReplayed = answer.execution == orders::ExecutionStatus::NotRun;
-        reply.answer.status = answer.answer.status;
-        reply.answer.contentType = answer.answer.contentType;
-        reply.answer.body = answer.answer.body;
+        reply.response.status = answer.answer.status;
+        reply.response.contentType = answer.answer.contentType;
+        reply.response.body = answer.answer.body;
         return reply;
     case orders::OrderAnswerKind::NotRun:
         reply.outcome = http::OrderOutcome::NotRun;
@@ -77,9 +77,9 @@
     return reply;
 }
 
-http::ServiceReply errorReply(const base::Error &error)
+http::ServiceResult errorReply(const base::Error &error)
 {
-    http::ServiceReply reply;
+    http::ServiceResult reply;
     reply.error = error;
     return reply;
 }
@@ -137,7 +137,7 @@
 void TrafficPlane::complete(const http::CompletionCall &call, relay::CallerSink &sink)
 {
     const OpenRequestScope open(*this);
-    RequestContext context = createContext(call.head);
+    RequestContext context = createContext(call.metadata);
     context.model = call.model;
     context.prompt = call.prompt;
     context.maxTokens = call.maxTokens;
@@ -148,25 +148,25 @@
     }
     CompletionPlacer placer(m_dependencies.placing, context);
     relay::RelayRequest request;
-    request.requestId = call.head.requestId;
+    request.requestId = call.metadata.requestId;
     request.pool = context.pool->name;
     request.model = call.model;
-    request.trafficClass = call.head.trafficClass;
+    request.trafficClass = call.metadata.trafficClass;
     request.prompt = call.prompt;
     request.maxTokens = call.maxTokens;
     request.idempotency = context.route->idempotency;
     request.hedging = context.route->hedging;
     request.firstTokenDeadline = context.deadline;
     request.deadline = context.deadline;
-    TokenMeter meter(sink, m_dependencies.metrics, context.customer->id, call.head.trafficClass, m_dependencies.placing.clock);
+    TokenMeter meter(sink, m_dependencies.metrics, context.customer->id, call.metadata.trafficClass, m_dependencies.placing.clock);
     const relay::RelayReport report = m_dependencies.relay.run(request, placer, meter);
     recordMetrics(context, report, placer.wastedTokens());
 }
 
-http::ServiceReply TrafficPlane::callService(const http::ServiceCall &call)
+http::ServiceResult TrafficPlane::callService(const http::ServiceCall &call)
 {
     const OpenRequestScope open(*this);
-    RequestContext context = createContext(call.head);
+    RequestContext context = createContext(call.metadata);
     context.prompt = call.body;
     if (const auto passed = runFilters(m_filters, context); !passed) {
         recordRefusal(context, passed.error());
@@ -177,7 +177,7 @@
     return reply;
 }
 
-base::Result<std::vector<base::ModelId>> TrafficPlane::models(const http::CallerHead &head)
+base::Result<std::vector<base::ModelId>> TrafficPlane::models(const http::RequestMetadata &head)
 {
     RequestContext context = createContext(head);
     BOOST_OUTCOME_TRYV(CheckServing().apply(context));
@@ -194,7 +194,7 @@
 
 base::Result<telemetry::ExplainReport> TrafficPlane::explain(const http::CompletionCall &call)
 {
-    RequestContext context = createContext(call.head);
+    RequestContext context = createContext(call.metadata);
     context.model = call.model;
     context.prompt = call.prompt;
     BOOST_OUTCOME_TRYV(runFilters(m_explainFilters, context));
@@ -235,7 +235,7 @@
     return placement ? placement.value().expectedFirstToken : base::Duration{};
 }
 
-RequestContext TrafficPlane::createContext(const http::CallerHead &head) const
+RequestContext TrafficPlane::createContext(const http::RequestMetadata &head) const
 {
     return RequestContext{head, {}, {}, 0, m_dependencies.placing.clock.now(), m_dependencies.placing.published.load(), nullptr, nullptr, nullptr, {}, {}};
 }
@@ -276,7 +276,7 @@
     }
 }
 
-http::ServiceReply TrafficPlane::runOrder(const http::ServiceCall &call, RequestContext &context)
+http::ServiceResult TrafficPlane::runOrder(const http::ServiceCall &call, RequestContext &context)
 {
     if (call.idempotencyKey.empty()) {
         return errorReply(
@@ -293,7 +293,7 @@
     return reply;
 }
 
-http::ServiceReply TrafficPlane::runIdempotentCall(const http::ServiceCall &call, RequestContext &context)
+http::ServiceResult TrafficPlane::runIdempotentCall(const http::ServiceCall &call, RequestContext &context)
 {
     ServiceChooser chooser(m_dependencies.placing, context);
     orders::ServiceRequest request = serviceRequest(call, context);
@@ -311,8 +311,8 @@
         request.attempt = m_dependencies.attemptIds.next();
         auto answer = m_dependencies.services.call(request);
         if (answer && answer.value().attempt == request.attempt) {
-            http::ServiceReply reply;
-            reply.answer = std::move(answer).value();
+            http::ServiceResult reply;
+            reply.response = std::move(answer).value();
             return reply;
         }
         error = answer ? base::fail(base::ErrorKind::StaleState, request.upstream.value() + " returned the response to another request; try again")
@@ -325,9 +325,9 @@
 orders::ServiceRequest TrafficPlane::serviceRequest(const http::ServiceCall &call, const RequestContext &context) const
 {
     orders::ServiceRequest request;
-    request.requestId = call.head.requestId;
+    request.requestId = call.metadata.requestId;
     request.method = call.method;
-    request.path = call.head.path.substr(context.route->path.size());
+    request.path = call.metadata.path.substr(context.route->path.size());
     if (!request.path.starts_with('/')) {
         request.path.insert(request.path.begin(), '/');
     }
--- a/carawaylatch/router/trafficplane.h
+++ b/carawaylatch/router/trafficplane.h
@@ -40,8 +40,8 @@
     ~TrafficPlane() override;
 
     void complete(const http::CompletionCall &call, relay::CallerSink &sink) override;
-    [[nodiscard]] http::ServiceReply callService(const http::ServiceCall &call) override;
-    [[nodiscard]] base::Result<std::vector<base::ModelId>> models(const http::CallerHead &head) override;
+    [[nodiscard]] http::ServiceResult callService(const http::ServiceCall &call) override;
+    [[nodiscard]] base::Result<std::vector<base::ModelId>> models(const http::RequestMetadata &head) override;
 
     [[nodiscard]] base::Duration expectedFirstToken(const RequestContext &context) const override;
     // Returns where a request would be placed and why, without executing it.
@@ -53,11 +53,11 @@
     // Counts a request as open during its lifetime.
     class OpenRequestScope;
 
-    [[nodiscard]] RequestContext createContext(const http::CallerHead &head) const;
+    [[nodiscard]] RequestContext createContext(const http::RequestMetadata &head) const;
     void recordMetrics(const RequestContext &context, const relay::RelayReport &report, std::uint64_t wastedTokens);
     void recordRefusal(const RequestContext &context, const base::Error &error);
-    [[nodiscard]] http::ServiceReply runOrder(const http::ServiceCall &call, RequestContext &context);
-    [[nodiscard]] http::ServiceReply runIdempotentCall(const http::ServiceCall &call, RequestContext &context);
+    [[nodiscard]] http::ServiceResult runOrder(const http::ServiceCall &call, RequestContext &context);
+    [[nodiscard]] http::ServiceResult runIdempotentCall(const http::ServiceCall &call, RequestContext &context);
     [[nodiscard]] orders::ServiceRequest serviceRequest(const http::ServiceCall &call, const RequestContext &context) const;
 
     TrafficDependencies m_dependencies;
