--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -143,7 +143,7 @@
         for (std::uint32_t n = 0; n < m_size; ++n) {
             if (m_nodes[n]->isWatcher() && !m_isDead[n]) {
                 m_network.at(m_network.now() + base::milliseconds{4}, [this, n] { // watch and read
-                    m_nodes[n]->onStored(m_head, m_stored);
+                    m_nodes[n]->onStoredConfig(m_head, m_stored);
                     act(n);
                 });
             }
--- a/carawaylatch/config/headstore.cpp
+++ b/carawaylatch/config/configstore.cpp
@@ -2,7 +2,7 @@
 //
 // A pause follows whatever failed or lost a race, growing to MaxPause, so that
 // racing operators don't keep colliding and an outage is not hammered.
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 
 #include <algorithm>
 #include <thread>
@@ -37,46 +37,46 @@
         }
     }
     for (const auto &it : current.rows) {
-        if (scope == FileScope::Whole && wanted.find(it.key) == nullptr) {
+        if (scope == FileScope::AllRows && wanted.find(it.key) == nullptr) {
             changes.push_back({RowChange::Kind::Remove, Row{it.key, {}, {}, 0}, it.revision});
         }
     }
     return changes;
 }
 
-EditId makeEditId(base::Random &random)
+EditId randomEditId(base::Random &random)
 {
     const auto id = random.next();
     return {id == 0 ? 1 : id};
 }
 
-HeadStore::HeadStore(store::ObjectStore &objects, AcceptanceOptions options, Pause pause)
+ConfigStore::ConfigStore(store::ObjectStore &objects, CommitOptions options, Pause pause)
     : m_objects(objects)
     , m_options(options)
     , m_pause(pause ? std::move(pause) : Pause(sleepFor))
 {
 }
 
-Result<Accepted> HeadStore::apply(Edit edit)
+Result<CommitResult> ConfigStore::apply(Edit edit)
 {
     return run(std::move(edit), m_options);
 }
 
-Result<Accepted> HeadStore::dryRun(Edit edit)
+Result<CommitResult> ConfigStore::dryRun(Edit edit)
 {
     auto options = m_options;
     options.dryRun = DryRun::On;
     return run(std::move(edit), options);
 }
 
-Result<Accepted> HeadStore::run(Edit edit, AcceptanceOptions options)
+Result<CommitResult> ConfigStore::run(Edit edit, CommitOptions options)
 {
-    Acceptance acceptance(std::move(edit), options);
+    EditCommit acceptance(std::move(edit), options);
     execute(acceptance);
     return acceptance.outcome();
 }
 
-void HeadStore::execute(Acceptance &acceptance)
+void ConfigStore::execute(EditCommit &acceptance)
 {
     auto pause = MinPause;
     while (const auto *next = acceptance.request()) {
@@ -102,7 +102,7 @@
     }
 }
 
-Result<RowSet> HeadStore::readSnapshot(const std::string &name)
+Result<RowSet> ConfigStore::readSnapshot(const std::string &name)
 {
     if (name != m_snapshotName) {
         BOOST_OUTCOME_TRY(object, m_objects.read(name));
@@ -113,7 +113,7 @@
     return m_snapshot;
 }
 
-Result<StoredConfig> HeadStore::load()
+Result<StoredConfig> ConfigStore::load()
 {
     base::Error last;
     for (int i = 0; i < MaxSnapshotReads; ++i) {
@@ -138,7 +138,7 @@
     return last;
 }
 
-Result<std::vector<Edit>> HeadStore::history(std::size_t limit)
+Result<std::vector<Edit>> ConfigStore::history(std::size_t limit)
 {
     BOOST_OUTCOME_TRY(stored, load());
     std::vector<Edit> edits(stored.head.edits.rbegin(), stored.head.edits.rend());
--- a/carawaylatch/config/distributor.cpp
+++ b/carawaylatch/config/distributor.cpp
@@ -66,7 +66,7 @@
     }
 }
 
-void Distributor::onStored(const Head &head, const RowSet &rows)
+void Distributor::onStoredConfig(const Head &head, const RowSet &rows)
 {
     const auto before = revision();
     if (rows.revision <= before) {
@@ -83,11 +83,11 @@
 void Distributor::onUpdate(const base::RouterId &from, const ConfigUpdate &update, base::TimePoint now)
 {
     const auto before = revision();
-    const bool isAdopted = update.whole != nullptr ? adoptWhole(update.whole) : adoptEdits(update.edits);
+    const bool isAdopted = update.snapshot != nullptr ? adoptWhole(update.snapshot) : adoptEdits(update.edits);
     if (isAdopted) {
         publish();
         forward(before, &from);
-    } else if (update.whole == nullptr && !update.edits.empty()) {
+    } else if (update.snapshot == nullptr && !update.edits.empty()) {
         onPeerRevision(from, update.edits.back().revision, now);
     }
 }
@@ -185,7 +185,7 @@
 void Distributor::forward(base::Revision after, const base::RouterId *from)
 {
     const auto update = updateAfter(after);
-    if (!update || update->whole != nullptr) {
+    if (!update || update->snapshot != nullptr) {
         return;
     }
     for (const auto &it : m_children) {
--- a/carawaylatch/config/distributor.h
+++ b/carawaylatch/config/distributor.h
@@ -53,7 +53,7 @@
 struct ConfigUpdate
 {
     std::vector<Edit> edits;
-    std::shared_ptr<const RowSet> whole; // nullptr for edits
+    std::shared_ptr<const RowSet> snapshot; // nullptr for edits
 };
 
 // Asks a peer for all that is newer.
@@ -74,7 +74,7 @@
     ConfigRequest request;
 };
 
-// Read and watch the head object, and report with onStored() and onWatchFailed().
+// Read and watch the head object, and report with onStoredConfig() and onWatchFailed().
 struct StartWatch
 {
 };
@@ -103,7 +103,7 @@
     // The live routers, this one included, whenever they change.
     void onMembers(std::span<const DistributionPeer> members);
     // Head and rows as read from the platform.
-    void onStored(const Head &head, const RowSet &rows);
+    void onStoredConfig(const Head &head, const RowSet &rows);
     // An update from a peer.
     void onUpdate(const base::RouterId &from, const ConfigUpdate &update, base::TimePoint now);
     // A peer asks for what is newer than its revision.
--- a/carawaylatch/config/acceptance.cpp
+++ b/carawaylatch/config/editcommit.cpp
@@ -15,7 +15,7 @@
 // follows from the total order of edits, so two writers of one name agree, and
 // "exists already" counts as written. What a compaction replaces is removed after
 // the head is written; a reader that still has the old head reads it again.
-#include "carawaylatch/config/acceptance.h"
+#include "carawaylatch/config/editcommit.h"
 
 #include <algorithm>
 
@@ -53,94 +53,94 @@
 
 } // namespace
 
-Acceptance::Acceptance(Edit edit, AcceptanceOptions options)
+EditCommit::EditCommit(Edit edit, CommitOptions options)
     : m_edit(std::move(edit))
     , m_options(options)
 {
     if (const auto checked = checkEdit(m_edit); !checked) {
         finish(checked.error());
     } else {
-        read(AcceptanceStep::ReadHead, std::string(HeadName));
+        read(CommitStep::ReadHead, std::string(HeadName));
     }
 }
 
-const StoreRequest *Acceptance::request() const
+const StoreRequest *EditCommit::request() const
 {
     return m_request ? &*m_request : nullptr;
 }
 
-AcceptanceStep Acceptance::step() const
+CommitStep EditCommit::step() const
 {
     return m_step;
 }
 
-const Result<Accepted> &Acceptance::outcome() const
+const Result<CommitResult> &EditCommit::outcome() const
 {
     return *m_outcome;
 }
 
-void Acceptance::read(AcceptanceStep step, std::string name)
+void EditCommit::read(CommitStep step, std::string name)
 {
     m_step = step;
     m_request = StoreRequest{StoreRequest::Kind::Read, std::move(name), {}, {}};
 }
 
-void Acceptance::write(AcceptanceStep step, std::string name, std::string value, store::Version expected)
+void EditCommit::write(CommitStep step, std::string name, std::string value, store::Version expected)
 {
     m_step = step;
     m_request = StoreRequest{StoreRequest::Kind::Write, std::move(name), std::move(value), expected};
 }
 
-void Acceptance::finish(Result<Accepted> outcome)
+void EditCommit::finish(Result<CommitResult> outcome)
 {
     const bool isAccepted = outcome.has_value();
     m_outcome = std::move(outcome);
     if (isAccepted) {
         removeNext();
     } else {
-        m_step = AcceptanceStep::Done;
+        m_step = CommitStep::Done;
         m_request.reset();
     }
 }
 
-void Acceptance::removeNext()
+void EditCommit::removeNext()
 {
     if (m_old.empty()) {
-        m_step = AcceptanceStep::Done;
+        m_step = CommitStep::Done;
         m_request.reset();
         return;
     }
-    read(AcceptanceStep::RemoveOld, std::move(m_old.back()));
+    read(CommitStep::RemoveReplaced, std::move(m_old.back()));
     m_old.pop_back();
 }
 
-void Acceptance::restart()
+void EditCommit::restart()
 {
     m_old.clear();
-    read(AcceptanceStep::ReadHead, std::string(HeadName));
+    read(CommitStep::ReadHead, std::string(HeadName));
 }
 
-bool Acceptance::spendRace()
+bool EditCommit::spendRace()
 {
-    return ++m_races <= m_options.maxRaces;
+    return ++m_races <= m_options.maxRetries;
 }
 
-void Acceptance::onRead(const Result<store::Object> &result)
+void EditCommit::onRead(const Result<store::Object> &result)
 {
     switch (m_step) {
-    case AcceptanceStep::ReadHead:
+    case CommitStep::ReadHead:
         onHead(result);
         break;
-    case AcceptanceStep::ReadSnapshot:
+    case CommitStep::ReadSnapshot:
         onSnapshot(result);
         break;
-    case AcceptanceStep::ReadBack:
+    case CommitStep::ReadBack:
         onReadBack(result);
         break;
-    case AcceptanceStep::ReadHistory:
+    case CommitStep::ReadHistory:
         onHistory(result);
         break;
-    case AcceptanceStep::RemoveOld:
+    case CommitStep::RemoveReplaced:
         if (result) {
             m_request = StoreRequest{StoreRequest::Kind::Remove, result.value().name, {}, result.value().version};
         } else {
@@ -152,17 +152,17 @@
     }
 }
 
-void Acceptance::onWritten(const Result<store::Version> &result)
+void EditCommit::onWritten(const Result<store::Version> &result)
 {
     switch (m_step) {
-    case AcceptanceStep::WriteSnapshot:
-    case AcceptanceStep::WriteHistory:
+    case CommitStep::WriteSnapshot:
+    case CommitStep::WriteHistory:
         onCompactionWritten(result);
         break;
-    case AcceptanceStep::WriteHead:
+    case CommitStep::WriteHead:
         onHeadWritten(result);
         break;
-    case AcceptanceStep::RemoveOld:
+    case CommitStep::RemoveReplaced:
         removeNext();
         break;
     default:
@@ -170,7 +170,7 @@
     }
 }
 
-void Acceptance::onHead(const Result<store::Object> &result)
+void EditCommit::onHead(const Result<store::Object> &result)
 {
     m_head = {};
     m_headVersion = {};
@@ -190,13 +190,13 @@
         m_snapshot = {};
         m_snapshotName.clear();
     } else if (m_head.snapshotName != m_snapshotName) {
-        read(AcceptanceStep::ReadSnapshot, m_head.snapshotName);
+        read(CommitStep::ReadSnapshot, m_head.snapshotName);
         return;
     }
     decide(materialize(m_snapshot, m_head));
 }
 
-void Acceptance::onSnapshot(const Result<store::Object> &result)
+void EditCommit::onSnapshot(const Result<store::Object> &result)
 {
     if (!result && result.error().kind == ErrorKind::NotFound && spendRace()) {
         restart(); // replaced by a compaction since the head was read
@@ -216,7 +216,7 @@
     decide(materialize(m_snapshot, m_head));
 }
 
-void Acceptance::fixExpectations(const RowSet &current)
+void EditCommit::fixExpectations(const RowSet &current)
 {
     if (m_areExpectationsFixed) {
         return;
@@ -234,7 +234,7 @@
     }
 }
 
-Result<void> Acceptance::checkConflicts(const RowSet &current) const
+Result<void> EditCommit::checkConflicts(const RowSet &current) const
 {
     for (const auto &it : m_edit.changes) {
         const auto *row = current.find(it.row.key);
@@ -247,13 +247,13 @@
     return ok();
 }
 
-void Acceptance::decide(RowSet current)
+void EditCommit::decide(RowSet current)
 {
     const auto same = std::find_if(m_head.edits.begin(), m_head.edits.end(), [this](const Edit &it) {
         return it.id == m_edit.id;
     });
     if (same != m_head.edits.end()) {
-        finish(Accepted{same->revision, std::move(current), same->changes.size()});
+        finish(CommitResult{same->revision, std::move(current), same->changes.size()});
         return;
     }
     fixExpectations(current);
@@ -263,7 +263,7 @@
     }
     if (m_edit.changes.empty()) {
         const auto revision = current.revision;
-        finish(Accepted{revision, std::move(current), 0});
+        finish(CommitResult{revision, std::move(current), 0});
         return;
     }
     m_edit.revision.value = current.revision.value + 1;
@@ -274,13 +274,13 @@
     } else if (formatSnapshot(m_next).size() > MaxHeadBytes) {
         finish(base::fail(ErrorKind::InvalidArgument, "the tables would be larger than 950000 bytes; remove rows that are no longer needed"));
     } else if (m_options.dryRun == DryRun::On) {
-        finish(Accepted{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_next, m_edit.changes.size()});
     } else {
         compactOrWrite();
     }
 }
 
-void Acceptance::compactOrWrite()
+void EditCommit::compactOrWrite()
 {
     m_nextHead = m_head;
     if (m_head.edits.size() >= m_options.compactAfter || formatHead(m_head).size() > CompactHeadBytes) {
@@ -290,7 +290,7 @@
     }
 }
 
-void Acceptance::startCompaction()
+void EditCommit::startCompaction()
 {
     const auto kept = std::min(m_options.keepEdits, m_head.edits.size() / 2);
     const auto cut = m_head.edits.end() - static_cast<std::ptrdiff_t>(kept);
@@ -303,25 +303,25 @@
     m_nextHead.snapshotRevision = rows.revision;
     m_nextHead.edits.assign(cut, m_head.edits.end());
     m_nextHead.history.push_back({m_head.edits.front().revision, rows.revision});
-    write(AcceptanceStep::WriteSnapshot, m_nextHead.snapshotName, std::move(text), {});
+    write(CommitStep::WriteSnapshot, m_nextHead.snapshotName, std::move(text), {});
 }
 
-void Acceptance::onCompactionWritten(const Result<store::Version> &result)
+void EditCommit::onCompactionWritten(const Result<store::Version> &result)
 {
     const bool isWritten = result || result.error().kind == ErrorKind::Conflict;
     if (!isWritten) {
         m_nextHead = m_head; // the next edit will compact
         m_old.clear();
         writeHead();
-    } else if (m_step == AcceptanceStep::WriteSnapshot) {
+    } else if (m_step == CommitStep::WriteSnapshot) {
         const auto &part = m_nextHead.history.back();
         const auto count = static_cast<std::ptrdiff_t>(part.last.value - part.first.value + 1);
-        write(AcceptanceStep::WriteHistory, historyName(part), formatEdits({m_head.edits.begin(), m_head.edits.begin() + count}), {});
+        write(CommitStep::WriteHistory, historyName(part), formatEdits({m_head.edits.begin(), m_head.edits.begin() + count}), {});
     } else {
         if (!m_head.snapshotName.empty()) {
             m_old.push_back(m_head.snapshotName);
         }
-        if (m_nextHead.history.size() > MaxHistoryParts) {
+        if (m_nextHead.history.size() > MaxHistorySegments) {
             m_old.push_back(historyName(m_nextHead.history.front()));
             m_nextHead.history.erase(m_nextHead.history.begin());
         }
@@ -329,7 +329,7 @@
     }
 }
 
-void Acceptance::writeHead()
+void EditCommit::writeHead()
 {
     m_nextHead.revision = m_edit.revision;
     m_nextHead.edits.push_back(m_edit);
@@ -339,19 +339,19 @@
                           RetryAfter));
         return;
     }
-    write(AcceptanceStep::WriteHead, std::string(HeadName), std::move(text), m_headVersion);
+    write(CommitStep::WriteHead, std::string(HeadName), std::move(text), m_headVersion);
 }
 
-void Acceptance::onHeadWritten(const Result<store::Version> &result)
+void EditCommit::onHeadWritten(const Result<store::Version> &result)
 {
     if (result) {
-        finish(Accepted{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_next, m_edit.changes.size()});
         return;
     }
     const auto kind = result.error().kind;
     m_mayBeWritten = m_mayBeWritten || (kind != ErrorKind::Conflict && kind != ErrorKind::Unavailable);
     if (m_mayBeWritten) {
-        read(AcceptanceStep::ReadBack, std::string(HeadName));
+        read(CommitStep::ReadBack, std::string(HeadName));
     } else if (kind == ErrorKind::Unavailable) {
         finish(base::fail(ErrorKind::Unavailable, "the platform was not reached and nothing was changed: " + result.error().message, RetryAfter));
     } else if (spendRace()) {
@@ -361,7 +361,7 @@
     }
 }
 
-void Acceptance::retryReadBack(const base::Error &error)
+void EditCommit::retryReadBack(const base::Error &error)
 {
     if (++m_readBacks <= m_options.maxReadBacks) {
         return; // the same request again
@@ -372,7 +372,7 @@
                       RetryAfter));
 }
 
-void Acceptance::onReadBack(const Result<store::Object> &result)
+void EditCommit::onReadBack(const Result<store::Object> &result)
 {
     if (!result && result.error().kind == ErrorKind::NotFound) {
         settle({});
@@ -391,12 +391,12 @@
 }
 
 // Decides by a head read after the unclear write.
-void Acceptance::settle(const Head &head)
+void EditCommit::settle(const Head &head)
 {
     const auto revision = m_edit.revision;
     if (head.revision < revision) {
         if (spendRace()) {
-            write(AcceptanceStep::WriteHead, std::string(HeadName), formatHead(m_nextHead), m_headVersion);
+            write(CommitStep::WriteHead, std::string(HeadName), formatHead(m_nextHead), m_headVersion);
         } else {
             m_readBacks = m_options.maxReadBacks;
             retryReadBack(base::fail(ErrorKind::Unclear, "no write is answered"));
@@ -407,7 +407,7 @@
         settleEdit(head.edits[revision.value - head.snapshotRevision.value - 1]);
         return;
     }
-    const auto part = std::find_if(head.history.begin(), head.history.end(), [revision](const HistoryPart &it) {
+    const auto part = std::find_if(head.history.begin(), head.history.end(), [revision](const HistorySegment &it) {
         return it.first <= revision && revision <= it.last;
     });
     if (part == head.history.end()) {
@@ -415,10 +415,10 @@
         retryReadBack(base::fail(ErrorKind::NotFound, "the history doesn't reach back to it"));
         return;
     }
-    read(AcceptanceStep::ReadHistory, historyName(*part));
+    read(CommitStep::ReadHistory, historyName(*part));
 }
 
-void Acceptance::onHistory(const Result<store::Object> &result)
+void EditCommit::onHistory(const Result<store::Object> &result)
 {
     if (!result) {
         retryReadBack(result.error());
@@ -434,10 +434,10 @@
 }
 
 // Decides by the edit that has the revision which this one would have.
-void Acceptance::settleEdit(const Edit &edit)
+void EditCommit::settleEdit(const Edit &edit)
 {
     if (edit.id == m_edit.id) {
-        finish(Accepted{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_next, m_edit.changes.size()});
         return;
     }
     m_mayBeWritten = false;
--- a/carawaylatch/config/acceptance.h
+++ b/carawaylatch/config/editcommit.h
@@ -2,7 +2,7 @@
 //
 // The driver executes what request() asks for and reports the result:
 //
-//     Acceptance acceptance(edit, AcceptanceOptions{});
+//     Acceptance acceptance(edit, CommitOptions{});
 //     while (const auto *request = acceptance.request()) {
 //         ... read, write or remove; then acceptance.onRead(...) or onWritten(...)
 //     }
@@ -25,7 +25,7 @@
 namespace carawaylatch::config
 {
 
-enum class AcceptanceStep {
+enum class CommitStep {
     ReadHead,
     ReadSnapshot,
     WriteSnapshot, // of a compaction; the edit goes on if it fails
@@ -33,14 +33,14 @@
     WriteHead,
     ReadBack, // the write's answer was lost
     ReadHistory, // the edit may have left the head since
-    RemoveOld, // what a compaction replaced; may fail
+    RemoveReplaced, // what a compaction replaced; may fail
     Done,
 };
 
 // All steps that talk to the store, for fault tables.
-constexpr AcceptanceStep AllAcceptanceSteps[] = {
-    AcceptanceStep::ReadHead,  AcceptanceStep::ReadSnapshot, AcceptanceStep::WriteSnapshot, AcceptanceStep::WriteHistory,
-    AcceptanceStep::WriteHead, AcceptanceStep::ReadBack,     AcceptanceStep::ReadHistory,   AcceptanceStep::RemoveOld,
+constexpr CommitStep AllCommitSteps[] = {
+    CommitStep::ReadHead,  CommitStep::ReadSnapshot, CommitStep::WriteSnapshot, CommitStep::WriteHistory,
+    CommitStep::WriteHead, CommitStep::ReadBack,     CommitStep::ReadHistory,   CommitStep::RemoveReplaced,
 };
 
 struct StoreRequest
@@ -61,42 +61,42 @@
     On, // stop before the first write
 };
 
-struct AcceptanceOptions
+struct CommitOptions
 {
     DryRun dryRun = DryRun::Off;
-    std::uint32_t maxRaces = 64; // lost races and unclear writes until Conflict or Unclear
+    std::uint32_t maxRetries = 64; // lost races and unclear writes until Conflict or Unclear
     std::uint32_t maxReadBacks = 8; // failed reads back until Unclear
     std::size_t compactAfter = 128; // edits in the head
     std::size_t keepEdits = 32; // edits that stay in the head at a compaction
 };
 
-struct Accepted
+struct CommitResult
 {
     base::Revision revision; // of the edit; of the configuration found if nothing changed
     RowSet rows; // the configuration with the edit
     std::size_t changedRows = 0; // zero if the tables already were as asked
 };
 
-class Acceptance
+class EditCommit
 {
 public:
-    Acceptance(Edit edit, AcceptanceOptions options);
+    EditCommit(Edit edit, CommitOptions options);
 
     // Returns what to do next, or nullptr once done.
     [[nodiscard]] const StoreRequest *request() const;
-    [[nodiscard]] AcceptanceStep step() const;
+    [[nodiscard]] CommitStep step() const;
     // Reports the result of a Read.
     void onRead(const base::Result<store::Object> &result);
     // Reports the result of a Write or Remove; of a Remove the version is ignored.
     void onWritten(const base::Result<store::Version> &result);
     // Returns the result once done. Unavailable: the edit is not in force and was not
     // accepted. Unclear: it may be; ask the history for its id.
-    [[nodiscard]] const base::Result<Accepted> &outcome() const;
+    [[nodiscard]] const base::Result<CommitResult> &outcome() const;
 
 private:
-    void read(AcceptanceStep step, std::string name);
-    void write(AcceptanceStep step, std::string name, std::string value, store::Version expected);
-    void finish(base::Result<Accepted> outcome);
+    void read(CommitStep step, std::string name);
+    void write(CommitStep step, std::string name, std::string value, store::Version expected);
+    void finish(base::Result<CommitResult> outcome);
     void restart();
     void onHead(const base::Result<store::Object> &result);
     void onSnapshot(const base::Result<store::Object> &result);
@@ -117,10 +117,10 @@
     [[nodiscard]] bool spendRace();
 
     Edit m_edit;
-    AcceptanceOptions m_options;
-    AcceptanceStep m_step = AcceptanceStep::ReadHead;
+    CommitOptions m_options;
+    CommitStep m_step = CommitStep::ReadHead;
     std::optional<StoreRequest> m_request;
-    std::optional<base::Result<Accepted>> m_outcome; // set before RemoveOld already
+    std::optional<base::Result<CommitResult>> m_outcome; // set before RemoveReplaced already
 
     Head m_head; // as read last
     store::Version m_headVersion; // of m_head in the store
--- a/carawaylatch/config/head.cpp
+++ b/carawaylatch/config/head.cpp
@@ -139,17 +139,17 @@
     return edits;
 }
 
-std::string partText(const HistoryPart &part)
+std::string partText(const HistorySegment &part)
 {
     return std::to_string(part.first.value) + '-' + std::to_string(part.last.value);
 }
 
-Result<HistoryPart> partFrom(std::string_view text)
+Result<HistorySegment> partFrom(std::string_view text)
 {
     const auto dash = text.find('-');
     BOOST_OUTCOME_TRY(first, parseNumber(text.substr(0, dash)));
     BOOST_OUTCOME_TRY(last, parseNumber(dash == std::string_view::npos ? std::string_view{} : text.substr(dash + 1)));
-    return HistoryPart{{first}, {last}};
+    return HistorySegment{{first}, {last}};
 }
 
 Result<Head> headFrom(const IniDocument &document)
@@ -274,7 +274,7 @@
     return std::string(SnapshotPrefix) + std::to_string(revision.value) + '-' + hexText(base::hash64(text));
 }
 
-std::string historyName(const HistoryPart &part)
+std::string historyName(const HistorySegment &part)
 {
     return std::string(HistoryPrefix) + partText(part);
 }
--- a/carawaylatch/config/head.h
+++ b/carawaylatch/config/head.h
@@ -58,12 +58,12 @@
 };
 
 // A part of the history that left the head.
-struct HistoryPart
+struct HistorySegment
 {
     base::Revision first;
     base::Revision last;
 
-    bool operator==(const HistoryPart &) const = default;
+    bool operator==(const HistorySegment &) const = default;
 };
 
 struct Head
@@ -72,12 +72,12 @@
     std::string snapshotName; // empty: the empty configuration
     base::Revision snapshotRevision;
     std::vector<Edit> edits; // of revisions snapshotRevision + 1 to revision, in order
-    std::vector<HistoryPart> history; // oldest first; at most MaxHistoryParts, older ones are dropped
+    std::vector<HistorySegment> history; // oldest first; at most MaxHistorySegments, older ones are dropped
 
     bool operator==(const Head &) const = default;
 };
 
-constexpr std::size_t MaxHistoryParts = 200;
+constexpr std::size_t MaxHistorySegments = 200;
 
 [[nodiscard]] std::string formatHead(const Head &head);
 [[nodiscard]] base::Result<Head> parseHead(std::string_view text);
@@ -92,7 +92,7 @@
 
 // Returns the object's name of a snapshot: revision and content, so that a name never means two contents.
 [[nodiscard]] std::string snapshotName(base::Revision revision, std::string_view text);
-[[nodiscard]] std::string historyName(const HistoryPart &part);
+[[nodiscard]] std::string historyName(const HistorySegment &part);
 
 // Applies an accepted edit, whose revision must be the next one of the rows.
 void applyEdit(RowSet &rows, const Edit &edit);
--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -435,13 +435,13 @@
     }
 }
 
-Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableReading reading)
+Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing reading)
 {
     BOOST_OUTCOME_TRY(document, parseIni(text, fileName));
     RowSet rows;
     for (const auto &section : document.sections) {
         BOOST_OUTCOME_TRY(row, rowFromSection(section, fileName));
-        if (reading == TableReading::Strict) {
+        if (reading == TableParsing::Strict) {
             BOOST_OUTCOME_TRY(checkKnown(row, fileName));
         }
         if (const auto *other = rows.find(row.key); other != nullptr) {
--- a/carawaylatch/config/tablefile.h
+++ b/carawaylatch/config/tablefile.h
@@ -83,13 +83,13 @@
 };
 
 // How unknown kinds and fields are taken.
-enum class TableReading {
+enum class TableParsing {
     Strict, // as errors: what operators hand in
     Lenient, // kept: what was accepted before
 };
 
 // Reads rows. A field `revision = N` in a row says on which revision the row was edited.
-[[nodiscard]] base::Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableReading reading = TableReading::Strict);
+[[nodiscard]] base::Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing reading = TableParsing::Strict);
 
 // Returns the text of rows, which parseRows() reads back.
 [[nodiscard]] std::string formatRows(const RowSet &rows);
--- a/carawaylatch/config/testing/distributortest.cpp
+++ b/carawaylatch/config/testing/distributortest.cpp
@@ -10,9 +10,9 @@
 #include <memory>
 #include <set>
 
+#include "carawaylatch/config/configstore.h"
 #include "carawaylatch/config/distributor.h"
-#include "carawaylatch/config/headstore.h"
-#include "carawaylatch/config/testing/storesteps.h"
+#include "carawaylatch/config/testing/faultyplatform.h"
 #include "testing/seed.h"
 #include "testing/virtualnetwork.h"
 
@@ -62,7 +62,7 @@
     // An operator's edit is accepted; watchers with a platform read it.
     void accept(std::uint64_t id, const std::string &pool)
     {
-        Acceptance acceptance(poolEdit(id, pool, id), {});
+        EditCommit acceptance(poolEdit(id, pool, id), {});
         m_platform.finish(acceptance);
         CPPUNIT_ASSERT(acceptance.outcome().has_value());
         m_history[acceptance.outcome().value().revision] = acceptance.outcome().value().rows;
@@ -74,8 +74,8 @@
     }
     void readStored(std::uint32_t n)
     {
-        const auto stored = HeadStore(m_platform.memory).load();
-        m_nodes[n]->onStored(stored.value().head, stored.value().rows);
+        const auto stored = ConfigStore(m_platform.memory).load();
+        m_nodes[n]->onStoredConfig(stored.value().head, stored.value().rows);
         act(n);
     }
     void takePlatformFrom(std::uint32_t domain)
@@ -156,7 +156,7 @@
 
     ::carawaylatch::testing::VirtualNetwork m_network;
     base::Random m_random;
-    Platform m_platform;
+    FaultyPlatform m_platform;
     std::uint32_t m_size;
     std::vector<DistributionPeer> m_members;
     std::vector<std::unique_ptr<Distributor>> m_nodes;
@@ -265,7 +265,7 @@
         older->revision = {6};
         distributor.onUpdate(base::RouterId("p"), {{}, older}, now);
         distributor.onUpdate(base::RouterId("p"), {{third}, nullptr}, now);
-        distributor.onStored({{6}, {}, {6}, {}, {}}, *older);
+        distributor.onStoredConfig({{6}, {}, {6}, {}, {}}, *older);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, distributor.revision().value);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, distributor.takeActions().size());
     }
--- a/carawaylatch/config/testing/acceptancetest.cpp
+++ b/carawaylatch/config/testing/editcommittest.cpp
@@ -11,8 +11,8 @@
 #include <sstream>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/config/headstore.h"
-#include "carawaylatch/config/testing/storesteps.h"
+#include "carawaylatch/config/configstore.h"
+#include "carawaylatch/config/testing/faultyplatform.h"
 #include "testing/seed.h"
 
 namespace carawaylatch::config::testing
@@ -24,13 +24,14 @@
 namespace
 {
 
-constexpr AcceptanceOptions Small{DryRun::Off, 64, 8, 6, 2};
+constexpr CommitOptions Small{DryRun::Off, 64, 8, 6, 2};
 constexpr std::size_t AllEdits = 100'000;
 
 // Holds the stored history against the outcomes that operators were given.
-void checkHistory(Platform &platform, const std::map<std::uint64_t, ErrorKind> &refused, const std::set<std::uint64_t> &accepted, const std::string &label)
+void checkHistory(FaultyPlatform &platform, const std::map<std::uint64_t, ErrorKind> &refused, const std::set<std::uint64_t> &accepted,
+                  const std::string &label)
 {
-    HeadStore store(platform.memory);
+    ConfigStore store(platform.memory);
     const auto stored = store.load();
     const auto history = store.history(AllEdits);
     CPPUNIT_ASSERT_MESSAGE(label, stored && history);
@@ -62,7 +63,7 @@
     std::map<std::uint64_t, ErrorKind> refused;
     std::set<std::uint64_t> accepted;
 
-    void add(std::uint64_t id, const Acceptance &acceptance)
+    void add(std::uint64_t id, const EditCommit &acceptance)
     {
         if (acceptance.outcome()) {
             accepted.insert(id);
@@ -72,10 +73,10 @@
     }
 };
 
-void applyEdits(Platform &platform, Outcomes &outcomes, std::uint64_t firstId, int count, const std::string &pool)
+void applyEdits(FaultyPlatform &platform, Outcomes &outcomes, std::uint64_t firstId, int count, const std::string &pool)
 {
     for (int i = 0; i < count; ++i) {
-        Acceptance acceptance(poolEdit(firstId + i, pool, firstId + i), Small);
+        EditCommit acceptance(poolEdit(firstId + i, pool, firstId + i), Small);
         platform.finish(acceptance);
         outcomes.add(firstId + i, acceptance);
     }
@@ -90,16 +91,16 @@
 };
 
 constexpr FaultCase FaultCases[] = {
-    {StoreFault::Down, 1, 0},        {StoreFault::Down, 1'000, 0},     {StoreFault::AnswerLost, 1, 0},      {StoreFault::AnswerLost, 2, 0},
-    {StoreFault::AnswerLost, 1, 1},  {StoreFault::AnswerLost, 1, 12},  {StoreFault::RequestLost, 1, 0},     {StoreFault::RequestLost, 3, 0},
-    {StoreFault::RequestLost, 1, 1}, {StoreFault::RequestLost, 1, 12}, {StoreFault::RequestLost, 1'000, 0}, {StoreFault::AnswerLost, 1'000, 0},
+    {StoreFault::Down, 1, 0},         {StoreFault::Down, 1'000, 0},      {StoreFault::ResponseLost, 1, 0},    {StoreFault::ResponseLost, 2, 0},
+    {StoreFault::ResponseLost, 1, 1}, {StoreFault::ResponseLost, 1, 12}, {StoreFault::RequestLost, 1, 0},     {StoreFault::RequestLost, 3, 0},
+    {StoreFault::RequestLost, 1, 1},  {StoreFault::RequestLost, 1, 12},  {StoreFault::RequestLost, 1'000, 0}, {StoreFault::ResponseLost, 1'000, 0},
 };
 
 } // namespace
 
-class AcceptanceTest : public CppUnit::TestFixture
+class EditCommitTest : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(AcceptanceTest);
+    CPPUNIT_TEST_SUITE(EditCommitTest);
     CPPUNIT_TEST(testEveryFaultAtEveryStep);
     CPPUNIT_TEST(testLateWrite);
     CPPUNIT_TEST(testSameRowIsRefusedNamingBothRevisions);
@@ -115,28 +116,28 @@
 public:
     void testEveryFaultAtEveryStep()
     {
-        std::set<AcceptanceStep> met;
+        std::set<CommitStep> met;
         int cases = 0;
-        for (const auto step : AllAcceptanceSteps) {
+        for (const auto step : AllCommitSteps) {
             for (const auto &it : FaultCases) {
                 cases += runFaultCase(step, it, met) ? 1 : 0;
             }
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("a step was never met", std::size(AllAcceptanceSteps), met.size());
-        CPPUNIT_ASSERT_EQUAL(static_cast<int>(std::size(AllAcceptanceSteps) * std::size(FaultCases)), cases);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("a step was never met", std::size(AllCommitSteps), met.size());
+        CPPUNIT_ASSERT_EQUAL(static_cast<int>(std::size(AllCommitSteps) * std::size(FaultCases)), cases);
     }
 
     // A write that was said to be unclear takes effect only after others were accepted.
     void testLateWrite()
     {
         for (int lateBy = 0; lateBy < 6; ++lateBy) {
-            Platform platform;
+            FaultyPlatform platform;
             Outcomes outcomes;
             applyEdits(platform, outcomes, 1, 2, "a");
-            Acceptance acceptance(poolEdit(50, "b", 7), Small);
+            EditCommit acceptance(poolEdit(50, "b", 7), Small);
             std::optional<StoreRequest> late;
             for (int calls = 0; acceptance.request() != nullptr; ++calls) {
-                if (acceptance.step() == AcceptanceStep::WriteHead && !late) {
+                if (acceptance.step() == CommitStep::WriteHead && !late) {
                     late = *acceptance.request();
                     calls = 0;
                     acceptance.onWritten(base::fail(ErrorKind::Unclear, "no answer"));
@@ -155,8 +156,8 @@
 
     void testSameRowIsRefusedNamingBothRevisions()
     {
-        Platform platform;
-        HeadStore store(platform.memory);
+        FaultyPlatform platform;
+        ConfigStore store(platform.memory);
         CPPUNIT_ASSERT(store.apply(poolEdit(1, "a", 1)) && store.apply(poolEdit(2, "b", 1)) && store.apply(poolEdit(3, "a", 2)));
         const auto refused = store.apply(poolEdit(4, "a", 3, base::Revision{1}));
         CPPUNIT_ASSERT(!refused && refused.error().kind == ErrorKind::Conflict);
@@ -170,12 +171,12 @@
     // One operator removes a pool while another adds a route to it: only one may win.
     void testRouteAndPoolAreCheckedTogether()
     {
-        Platform platform;
-        HeadStore store(platform.memory);
+        FaultyPlatform platform;
+        ConfigStore store(platform.memory);
         CPPUNIT_ASSERT(store.apply(poolEdit(1, "a", 1)));
         const Row route{{"route", "r"}, {}, {{"path", "/v1/completions", 0}, {"model", "m", 0}, {"pool", "a", 0}}, 0};
-        Acceptance adds({{2}, "alice", 1, {}, {{RowChange::Kind::Put, route, {}}}}, Small);
-        Acceptance removes({{3}, "bob", 1, {}, {{RowChange::Kind::Remove, Row{{"pool", "a"}, {}, {}, 0}, {}}}}, Small);
+        EditCommit adds({{2}, "alice", 1, {}, {{RowChange::Kind::Put, route, {}}}}, Small);
+        EditCommit removes({{3}, "bob", 1, {}, {{RowChange::Kind::Remove, Row{{"pool", "a"}, {}, {}, 0}, {}}}}, Small);
         platform.step(adds, StoreFault::None);
         platform.step(removes, StoreFault::None);
         platform.finish(adds);
@@ -186,8 +187,8 @@
 
     void testRepeatedEditIsAcceptedOnce()
     {
-        Platform platform;
-        HeadStore store(platform.memory);
+        FaultyPlatform platform;
+        ConfigStore store(platform.memory);
         CPPUNIT_ASSERT(store.apply(poolEdit(1, "a", 1)) && store.apply(poolEdit(2, "a", 2)));
         const auto again = store.apply(poolEdit(1, "a", 1));
         CPPUNIT_ASSERT(again && again.value().revision.value == 1);
@@ -196,8 +197,8 @@
 
     void testUnchangedTablesMakeNoRevision()
     {
-        Platform platform;
-        HeadStore store(platform.memory);
+        FaultyPlatform platform;
+        ConfigStore store(platform.memory);
         CPPUNIT_ASSERT(store.apply(poolEdit(1, "a", 1)));
         const auto same = store.apply(poolEdit(2, "a", 1));
         CPPUNIT_ASSERT(same && same.value().changedRows == 0 && same.value().revision.value == 1);
@@ -214,7 +215,7 @@
         constexpr unsigned FaultSteps = 5;
         for (unsigned order = 0; order < (1U << Depth); ++order) {
             for (unsigned faultStep = 0; faultStep < FaultSteps; ++faultStep) {
-                for (const auto fault : {StoreFault::Down, StoreFault::AnswerLost, StoreFault::RequestLost}) {
+                for (const auto fault : {StoreFault::Down, StoreFault::ResponseLost, StoreFault::RequestLost}) {
                     for (const char *secondPool : {"a", "b"}) {
                         runInterleaving(order, Depth, faultStep, fault, secondPool);
                     }
@@ -227,15 +228,15 @@
     {
         base::Random random(::carawaylatch::testing::seed());
         for (int round = 0; round < 40; ++round) {
-            Platform platform;
+            FaultyPlatform platform;
             Outcomes outcomes;
             std::uint64_t nextId = 1;
-            std::vector<std::pair<std::uint64_t, Acceptance>> running;
+            std::vector<std::pair<std::uint64_t, EditCommit>> running;
             std::uint64_t lastRevision = 0;
             for (int i = 0; i < 400; ++i) {
                 if (running.size() < 4) {
                     const auto id = nextId++;
-                    running.emplace_back(id, Acceptance(poolEdit(id, std::string(1, static_cast<char>('a' + random.below(3))), id), Small));
+                    running.emplace_back(id, EditCommit(poolEdit(id, std::string(1, static_cast<char>('a' + random.below(3))), id), Small));
                 }
                 const auto n = random.below(running.size());
                 auto &[id, acceptance] = running[n];
@@ -261,15 +262,15 @@
 
     void testFieldsOfNewerVersionSurviveEditsAndCompaction()
     {
-        Platform platform;
+        FaultyPlatform platform;
         auto newer = poolEdit(1, "new", 1);
         newer.changes[0].row.fields.push_back({"colour", "green and blue", 0});
         newer.changes.push_back({RowChange::Kind::Put, Row{{"quota", "q"}, {}, {{"share", "3", 0}}, 0}, {}});
-        Acceptance first(newer, Small);
+        EditCommit first(newer, Small);
         platform.finish(first);
         Outcomes outcomes;
         applyEdits(platform, outcomes, 10, 20, "a");
-        HeadStore store(platform.memory);
+        ConfigStore store(platform.memory);
         const auto stored = store.load().value();
         CPPUNIT_ASSERT(stored.head.snapshotRevision.value > 1);
         const auto *row = stored.rows.find({"pool", "new"});
@@ -279,12 +280,12 @@
 
     void testStoredTextsAreBounded()
     {
-        Platform platform;
+        FaultyPlatform platform;
         auto wide = poolEdit(1, "a", 1);
         for (int i = 0; i < 30'000; ++i) {
             wide.changes[0].row.fields.push_back({"member", "engine-" + std::to_string(i) + " 10.0.0.1:8000 dakar-a", 0});
         }
-        HeadStore store(platform.memory);
+        ConfigStore store(platform.memory);
         CPPUNIT_ASSERT(!store.apply(wide));
         auto odd = poolEdit(2, "a", 1);
         odd.author = "two\nlines";
@@ -294,16 +295,16 @@
 
 private:
     // Brings an acceptance to a step, lets the fault happen there, and judges.
-    bool runFaultCase(AcceptanceStep step, const FaultCase &fault, std::set<AcceptanceStep> &met)
+    bool runFaultCase(CommitStep step, const FaultCase &fault, std::set<CommitStep> &met)
     {
         std::ostringstream label;
         label << "step " << static_cast<int>(step) << " fault " << static_cast<int>(fault.fault) << " calls " << fault.calls << " others " << fault.otherEdits;
-        Platform platform;
+        FaultyPlatform platform;
         Outcomes outcomes;
         // 9 edits leave a snapshot, and a head that is compacted by the next edit.
-        const bool isCompacting = step >= AcceptanceStep::WriteSnapshot && step != AcceptanceStep::WriteHead;
+        const bool isCompacting = step >= CommitStep::WriteSnapshot && step != CommitStep::WriteHead;
         applyEdits(platform, outcomes, 1, isCompacting ? 10 : 9, "a");
-        Acceptance acceptance(poolEdit(50, "b", 7), Small);
+        EditCommit acceptance(poolEdit(50, "b", 7), Small);
         int left = fault.calls;
         bool isMet = false;
         while (acceptance.request() != nullptr) {
@@ -324,24 +325,24 @@
     }
 
     // Loses the head's answer where the wanted step comes only after that.
-    static void provoke(Platform &platform, Acceptance &acceptance, AcceptanceStep step, Outcomes &outcomes)
+    static void provoke(FaultyPlatform &platform, EditCommit &acceptance, CommitStep step, Outcomes &outcomes)
     {
-        const bool isAfterLoss = step == AcceptanceStep::ReadBack || step == AcceptanceStep::ReadHistory;
-        if (isAfterLoss && acceptance.step() == AcceptanceStep::WriteHead) {
-            platform.step(acceptance, StoreFault::AnswerLost);
-            applyEdits(platform, outcomes, 200, step == AcceptanceStep::ReadHistory ? 14 : 0, "d");
+        const bool isAfterLoss = step == CommitStep::ReadBack || step == CommitStep::ReadHistory;
+        if (isAfterLoss && acceptance.step() == CommitStep::WriteHead) {
+            platform.step(acceptance, StoreFault::ResponseLost);
+            applyEdits(platform, outcomes, 200, step == CommitStep::ReadHistory ? 14 : 0, "d");
         }
-        while (step == AcceptanceStep::ReadHistory && acceptance.step() == AcceptanceStep::ReadBack) {
+        while (step == CommitStep::ReadHistory && acceptance.step() == CommitStep::ReadBack) {
             platform.step(acceptance, StoreFault::None);
         }
     }
 
     static void runInterleaving(unsigned order, unsigned depth, unsigned faultStep, StoreFault fault, const std::string &secondPool)
     {
-        Platform platform;
+        FaultyPlatform platform;
         Outcomes outcomes;
         applyEdits(platform, outcomes, 1, 1, "a");
-        Acceptance operators[] = {Acceptance(poolEdit(50, "a", 50), Small), Acceptance(poolEdit(51, secondPool, 51), Small)};
+        EditCommit operators[] = {EditCommit(poolEdit(50, "a", 50), Small), EditCommit(poolEdit(51, secondPool, 51), Small)};
         unsigned firstSteps = 0;
         for (unsigned i = 0; i < depth; ++i) {
             const unsigned n = (order >> i) & 1U;
@@ -360,6 +361,6 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AcceptanceTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EditCommitTest);
 
 } // namespace carawaylatch::config::testing
--- a/carawaylatch/config/testing/storesteps.h
+++ b/carawaylatch/config/testing/faultyplatform.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "carawaylatch/config/acceptance.h"
+#include "carawaylatch/config/editcommit.h"
 #include "carawaylatch/config/tablefile.h"
 #include "carawaylatch/store/faultystore.h"
 #include "carawaylatch/store/memorystore.h"
@@ -12,13 +12,13 @@
 {
 
 // A platform whose every call may be made to fail.
-struct Platform
+struct FaultyPlatform
 {
     store::MemoryStore memory;
     store::FaultyStore faulty{memory};
 
     // Executes the next step of an acceptance under a fault.
-    void step(Acceptance &acceptance, store::StoreFault fault)
+    void step(EditCommit &acceptance, store::StoreFault fault)
     {
         const StoreRequest request = *acceptance.request();
         faulty.inject(fault, fault == store::StoreFault::None ? 0 : 1);
@@ -33,7 +33,7 @@
         faulty.inject(store::StoreFault::None, 0);
     }
 
-    void finish(Acceptance &acceptance)
+    void finish(EditCommit &acceptance)
     {
         while (acceptance.request() != nullptr) {
             step(acceptance, store::StoreFault::None);
--- a/carawaylatch/config/testing/tablefiletest.cpp
+++ b/carawaylatch/config/testing/tablefiletest.cpp
@@ -116,9 +116,9 @@
     {
         const std::string newer = Good + "\n[pool newer]\nrevision = 7\nmodel = m\ncolour = green\ncolour = blue\n\n[quota q]\nshare = 3\n";
         CPPUNIT_ASSERT(!parseRows(newer, "t.ini"));
-        const auto rows = parseRows(newer, "t.ini", TableReading::Lenient);
+        const auto rows = parseRows(newer, "t.ini", TableParsing::Lenient);
         CPPUNIT_ASSERT(rows.has_value() && toTables(rows.value()).has_value());
-        const auto again = parseRows(formatRows(rows.value()), "t.ini", TableReading::Lenient);
+        const auto again = parseRows(formatRows(rows.value()), "t.ini", TableParsing::Lenient);
         CPPUNIT_ASSERT(again.value() == rows.value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, again.value().find({"pool", "newer"})->revision.value);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, again.value().find({"pool", "newer"})->fields.size());
@@ -134,10 +134,10 @@
             for (auto n = random.below(random.below(10) == 0 ? 400 : 12); n > 0; --n) {
                 value += Letters[random.below(Letters.size())];
             }
-            const auto rows = parseRows("[pool a]\nlist =" + value.substr(0, 180) + "\n", "t.ini", TableReading::Lenient);
+            const auto rows = parseRows("[pool a]\nlist =" + value.substr(0, 180) + "\n", "t.ini", TableParsing::Lenient);
             if (rows) {
                 ++kept;
-                const auto again = parseRows(formatRows(rows.value()), "t.ini", TableReading::Lenient);
+                const auto again = parseRows(formatRows(rows.value()), "t.ini", TableParsing::Lenient);
                 CPPUNIT_ASSERT_MESSAGE(value + (again ? "" : " gave: " + again.error().message), again && again.value() == rows.value());
             }
         }
--- a/carawaylatch/fleet/testing/leasetest.cpp
+++ b/carawaylatch/fleet/testing/leasetest.cpp
@@ -206,11 +206,11 @@
             add(choices, name + ": unreachable", std::move(failed));
             return;
         }
-        for (const StoreFault fault : {StoreFault::Down, StoreFault::AnswerLost, StoreFault::RequestLost}) {
+        for (const StoreFault fault : {StoreFault::Down, StoreFault::ResponseLost, StoreFault::RequestLost}) {
             LeaseModel failed = *this;
             --failed.m_remaining.faults;
             PendingCall &failedCall = *failed.m_routers[index].call;
-            if (fault == StoreFault::AnswerLost) {
+            if (fault == StoreFault::ResponseLost) {
                 (void)failed.write(failedCall.action);
             } else if (fault == StoreFault::RequestLost) {
                 failed.m_delayed.push_back(failedCall.action); // may still take effect
@@ -335,7 +335,7 @@
         LeaseClient one("one", platform);
         LeaseClient two("two", platform);
         if (phase == LeasePhase::Verifying) {
-            one.store.inject(StoreFault::AnswerLost, 1, 1);
+            one.store.inject(StoreFault::ResponseLost, 1, 1);
         }
         const base::TimePoint start{base::hours{1}};
         std::optional<base::TimePoint> faultAt;
@@ -380,7 +380,7 @@
             actor.store.inject(StoreFault::Down);
             break;
         case LeaseFault::AnswerLost:
-            actor.store.inject(StoreFault::AnswerLost, 1);
+            actor.store.inject(StoreFault::ResponseLost, 1);
             break;
         case LeaseFault::RequestLost:
             actor.store.inject(StoreFault::RequestLost, 1);
--- a/carawaylatch/orders/testing/orderexecutortest.cpp
+++ b/carawaylatch/orders/testing/orderexecutortest.cpp
@@ -125,7 +125,7 @@
 
     void testOutcomeReachesPlatformLater()
     {
-        for (const StoreFault fault : {StoreFault::Down, StoreFault::AnswerLost, StoreFault::RequestLost}) {
+        for (const StoreFault fault : {StoreFault::Down, StoreFault::ResponseLost, StoreFault::RequestLost}) {
             const std::string key = "k" + std::to_string(static_cast<int>(fault));
             m_service.before = [this, fault] {
                 m_faulty.inject(fault);
@@ -147,7 +147,7 @@
     // The outcome of the claim write is unknown and the object store becomes unavailable.
     void testUnclearClaimIsReopened()
     {
-        for (const StoreFault fault : {StoreFault::AnswerLost, StoreFault::RequestLost}) {
+        for (const StoreFault fault : {StoreFault::ResponseLost, StoreFault::RequestLost}) {
             const std::string key = "k" + std::to_string(static_cast<int>(fault));
             m_faulty.inject(fault);
             const auto answer = runAt(*m_one, key);
--- a/carawaylatch/orders/testing/orderstatemachinetest.cpp
+++ b/carawaylatch/orders/testing/orderstatemachinetest.cpp
@@ -85,7 +85,7 @@
                 return std::nullopt;
             }
             if (m_target == OrderStep::ResolvingClaim && stateMachine.state().step == OrderStep::Claiming && !m_wasUnclear) {
-                m_faulty.inject(StoreFault::AnswerLost, 1);
+                m_faulty.inject(StoreFault::ResponseLost, 1);
                 m_wasUnclear = true;
             }
             action = execute(stateMachine, action);
@@ -130,7 +130,7 @@
         if (fault == InjectedFault::PlatformDown) {
             m_faulty.inject(StoreFault::Down);
         } else if (fault == InjectedFault::AnswerLost || fault == InjectedFault::RequestLost) {
-            m_faulty.inject(fault == InjectedFault::AnswerLost ? StoreFault::AnswerLost : StoreFault::RequestLost, 1);
+            m_faulty.inject(fault == InjectedFault::AnswerLost ? StoreFault::ResponseLost : StoreFault::RequestLost, 1);
         } else if (fault == InjectedFault::Slow) {
             m_now = m_deadline;
         }
--- a/carawaylatch/peer/codec.cpp
+++ b/carawaylatch/peer/codec.cpp
@@ -67,8 +67,8 @@
     void operator()(const config::ConfigUpdate &value)
     {
         auto *update = m_out.mutable_config_update();
-        if (value.whole != nullptr) {
-            update->set_whole(config::formatSnapshot(*value.whole));
+        if (value.snapshot != nullptr) {
+            update->set_whole(config::formatSnapshot(*value.snapshot));
         } else {
             update->set_edits(config::formatEdits(value.edits));
         }
@@ -124,7 +124,7 @@
     config::ConfigUpdate update;
     if (!in.whole().empty()) {
         BOOST_OUTCOME_TRY(rows, config::parseSnapshot(in.whole()));
-        update.whole = std::make_shared<const config::RowSet>(std::move(rows));
+        update.snapshot = std::make_shared<const config::RowSet>(std::move(rows));
     } else {
         BOOST_OUTCOME_TRY(edits, config::parseEdits(in.edits()));
         update.edits = std::move(edits);
--- a/carawaylatch/peer/testing/codectest.cpp
+++ b/carawaylatch/peer/testing/codectest.cpp
@@ -59,7 +59,7 @@
         rows.put({{"pool", "p"}, {3}, {{"model", "m", 0}, {"unknown", "kept", 0}}, 0});
         const config::ConfigUpdate update{{}, std::make_shared<const config::RowSet>(rows)};
         const auto decoded = decodeEnvelope(encodeEnvelope({Sender, 1, update}));
-        CPPUNIT_ASSERT(*std::get<config::ConfigUpdate>(decoded.value().message).whole == rows);
+        CPPUNIT_ASSERT(*std::get<config::ConfigUpdate>(decoded.value().message).snapshot == rows);
     }
 
     void testDamagedBytesAreRefusedOrDecode()
--- a/carawaylatch/router.h
+++ b/carawaylatch/router.h
@@ -53,7 +53,7 @@
 //     carawaylatch/orders/orderexecutor.h      calls that run at most once
 //     carawaylatch/admission/admissioncontroller.h        limits, fair queueing, refusal in time
 //     carawaylatch/relay/streamassembler.h streams whole and in order
-//     carawaylatch/config/headstore.h      tables with one point of acceptance
+//     carawaylatch/config/configstore.h      tables with one point of acceptance
 //     carawaylatch/fleet/lease.h           leases with fencing numbers
 //     carawaylatch/membership/memberlist.h who is alive
 //     carawaylatch/store/objectstore.h  the interface that an embedder implements
--- a/carawaylatch/router/configcontroller.cpp
+++ b/carawaylatch/router/configcontroller.cpp
@@ -93,7 +93,7 @@
 void ConfigController::onRows(const config::RowSet &rows, base::TimePoint now)
 {
     config::ConfigUpdate update;
-    update.whole = std::make_shared<const config::RowSet>(rows);
+    update.snapshot = std::make_shared<const config::RowSet>(rows);
     m_distributor.onUpdate(m_parts.settings.router.id, update, now);
     carryOut(now);
 }
@@ -135,7 +135,7 @@
 
 void ConfigController::watch(const std::stop_token &stop)
 {
-    config::HeadStore store(m_parts.objects);
+    config::ConfigStore store(m_parts.objects);
     while (!stop.stop_requested()) {
         if (m_isWatcher) {
             watchOnce(store, stop);
@@ -145,7 +145,7 @@
     }
 }
 
-void ConfigController::watchOnce(config::HeadStore &store, const std::stop_token &stop)
+void ConfigController::watchOnce(config::ConfigStore &store, const std::stop_token &stop)
 {
     const auto stored = store.load();
     if (!stored) {
@@ -153,7 +153,7 @@
         return;
     }
     m_parts.loop.post([this, stored](base::TimePoint now) {
-        m_distributor.onStored(stored.value().head, stored.value().rows);
+        m_distributor.onStoredConfig(stored.value().head, stored.value().rows);
         carryOut(now);
     });
     const auto changes = m_parts.objects.watch(config::HeadName, stored.value().version, m_parts.settings.platform.watchWait);
--- a/carawaylatch/router/configcontroller.h
+++ b/carawaylatch/router/configcontroller.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <thread>
 
+#include "carawaylatch/config/configstore.h"
 #include "carawaylatch/config/distributor.h"
-#include "carawaylatch/config/headstore.h"
 #include "carawaylatch/router/controlstate.h"
 #include "carawaylatch/router/peerbus.h"
 
@@ -40,7 +40,7 @@
     void carryOut(const config::ConfigInForce &inForce, base::TimePoint now);
     // The watching thread.
     void watch(const std::stop_token &stop);
-    void watchOnce(config::HeadStore &store, const std::stop_token &stop);
+    void watchOnce(config::ConfigStore &store, const std::stop_token &stop);
 
     const ControlParts &m_parts;
     PeerBus &m_bus;
--- a/carawaylatch/router/handovercontroller.cpp
+++ b/carawaylatch/router/handovercontroller.cpp
@@ -59,7 +59,7 @@
 // Reads what the platform holds: the configuration must be there, hot state may be.
 base::Result<handover::Snapshot> readStored(store::ObjectStore &objects, const base::FailureDomain &domain)
 {
-    BOOST_OUTCOME_TRY(stored, config::HeadStore(objects).load());
+    BOOST_OUTCOME_TRY(stored, config::ConfigStore(objects).load());
     handover::Snapshot snapshot;
     if (const auto object = objects.read(storedName(domain)); object) {
         if (auto decoded = peer::decodeSnapshot(object.value().value); decoded) {
--- a/carawaylatch/router/testing/smallfleet.cpp
+++ b/carawaylatch/router/testing/smallfleet.cpp
@@ -9,7 +9,7 @@
 #include <thread>
 
 #include "carawaylatch/base/hash.h"
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 #include "carawaylatch/config/keydigest.h"
 #include "carawaylatch/config/tablefile.h"
 
@@ -136,12 +136,12 @@
     ini += "[route bookings]\npath = /v1/services/bookings\npool = desk\nidempotency = at-most-once\ndeadline = 10s\n";
     const auto rows = config::parseRows(ini, "tables");
     CPPUNIT_ASSERT_MESSAGE(rows ? "" : rows.error().message, rows.has_value());
-    config::HeadStore store(m_platform.store());
+    config::ConfigStore store(m_platform.store());
     config::Edit edit;
     base::Random random(weightsVersion);
-    edit.id = config::makeEditId(random);
+    edit.id = config::randomEditId(random);
     edit.author = "test";
-    edit.changes = config::changesBetween(store.load().value().rows, rows.value(), config::FileScope::Rows);
+    edit.changes = config::changesBetween(store.load().value().rows, rows.value(), config::FileScope::NamedRows);
     const auto accepted = store.apply(edit);
     CPPUNIT_ASSERT_MESSAGE(accepted ? "" : accepted.error().message, accepted.has_value());
 }
--- a/carawaylatch/store/faultystore.cpp
+++ b/carawaylatch/store/faultystore.cpp
@@ -36,7 +36,7 @@
         return write();
     case StoreFault::Down:
         return unavailable();
-    case StoreFault::AnswerLost:
+    case StoreFault::ResponseLost:
         static_cast<void>(write());
         return unclear();
     case StoreFault::RequestLost:
--- a/carawaylatch/store/faultystore.h
+++ b/carawaylatch/store/faultystore.h
@@ -15,12 +15,12 @@
 enum class StoreFault {
     None,
     Down, // nothing reaches the store
-    AnswerLost, // the call takes effect, its answer is lost
+    ResponseLost, // the call takes effect, its answer is lost
     RequestLost, // the call takes no effect, and the caller can't tell
 };
 
 // All faults, for tables of cases.
-constexpr StoreFault AllStoreFaults[] = {StoreFault::None, StoreFault::Down, StoreFault::AnswerLost, StoreFault::RequestLost};
+constexpr StoreFault AllStoreFaults[] = {StoreFault::None, StoreFault::Down, StoreFault::ResponseLost, StoreFault::RequestLost};
 
 class FaultyStore : public ObjectStore
 {
--- a/carawaylatch/store/httpobjectstore.cpp
+++ b/carawaylatch/store/httpobjectstore.cpp
@@ -251,7 +251,7 @@
     m_connections->stop();
 }
 
-PlatformCalls HttpObjectStore::calls() const
+PlatformCallCounts HttpObjectStore::calls() const
 {
     return {m_reads, m_writes, m_connections->failures()};
 }
--- a/carawaylatch/store/httpobjectstore.h
+++ b/carawaylatch/store/httpobjectstore.h
@@ -15,7 +15,7 @@
 {
 
 // Calls made since the start, for the metrics of what control costs.
-struct PlatformCalls
+struct PlatformCallCounts
 {
     std::uint64_t reads = 0; // watches and lists included
     std::uint64_t writes = 0;
@@ -38,7 +38,7 @@
 
     // Ends calls in progress, so that a stopping process need not wait for its watches.
     void stop();
-    [[nodiscard]] PlatformCalls calls() const;
+    [[nodiscard]] PlatformCallCounts calls() const;
 
 private:
     class Connections;
--- a/carawaylatch/store/testing/objectstoretest.cpp
+++ b/carawaylatch/store/testing/objectstoretest.cpp
@@ -138,7 +138,7 @@
 
 constexpr FaultCase FaultCases[] = {
     {"down", "down", StoreFault::Down, ErrorKind::Unavailable, false},
-    {"answer lost after the write took effect", "lose_answers", StoreFault::AnswerLost, ErrorKind::Unclear, true},
+    {"answer lost after the write took effect", "lose_answers", StoreFault::ResponseLost, ErrorKind::Unclear, true},
     {"request lost", nullptr, StoreFault::RequestLost, ErrorKind::Unclear, false},
 };
 
--- a/tools/ctl/applycommand.cpp
+++ b/tools/ctl/applycommand.cpp
@@ -1,7 +1,7 @@
 // apply: has the platform accept an edit and waits for the answer.
 //
 // The edit carries an id, so that a lost answer is settled by reading back
-// inside HeadStore. With --wait the command also asks the router until it and
+// inside ConfigStore. With --wait the command also asks the router until it and
 // all live routers that it knows have the revision in force.
 #include <nlohmann/json.hpp>
 
@@ -72,7 +72,7 @@
     }
 }
 
-void print(CommandContext &context, const config::RowSet &before, const config::Edit &edit, const config::Accepted &accepted, const Spread &spread)
+void print(CommandContext &context, const config::RowSet &before, const config::Edit &edit, const config::CommitResult &accepted, const Spread &spread)
 {
     const bool isDryRun = context.options.applyMode == ApplyMode::DryRun;
     if (context.options.output == OutputForm::Json) {
@@ -101,12 +101,12 @@
     if (context.words.empty() && context.options.removals.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, "nothing to apply; name a file or use --remove");
     }
-    config::HeadStore store(context.objects);
+    config::ConfigStore store(context.objects);
     BOOST_OUTCOME_TRY(stored, store.load());
     BOOST_OUTCOME_TRY(changes, changesFor(context, stored.rows));
     base::Random random(context.options.editSeed);
     config::Edit edit;
-    edit.id = config::makeEditId(random);
+    edit.id = config::randomEditId(random);
     edit.author = context.options.author;
     edit.madeAt = wallMilliseconds();
     edit.changes = changes;
--- a/tools/ctl/diffcommand.cpp
+++ b/tools/ctl/diffcommand.cpp
@@ -15,7 +15,7 @@
 
 base::Result<void> runDiff(CommandContext &context)
 {
-    config::HeadStore store(context.objects);
+    config::ConfigStore store(context.objects);
     BOOST_OUTCOME_TRY(stored, store.load());
     BOOST_OUTCOME_TRY(changes, changesFor(context, stored.rows));
     if (context.options.output == OutputForm::Json) {
--- a/tools/ctl/getcommand.cpp
+++ b/tools/ctl/getcommand.cpp
@@ -14,7 +14,7 @@
 
 base::Result<void> runGet(CommandContext &context)
 {
-    config::HeadStore store(context.objects);
+    config::ConfigStore store(context.objects);
     BOOST_OUTCOME_TRY(stored, store.load());
     if (context.options.output == OutputForm::Text) {
         context.out << "; revision " << stored.rows.revision.value << "\n" << config::formatRows(stored.rows);
--- a/tools/ctl/historycommand.cpp
+++ b/tools/ctl/historycommand.cpp
@@ -6,7 +6,7 @@
 #include <ostream>
 #include <sstream>
 
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 #include "tools/ctl/command.h"
 
 namespace carawaylatch::ctl
@@ -42,7 +42,7 @@
 
 base::Result<void> runHistory(CommandContext &context)
 {
-    config::HeadStore store(context.objects);
+    config::ConfigStore store(context.objects);
     BOOST_OUTCOME_TRY(edits, store.history(context.options.historyLimit));
     if (context.options.output == OutputForm::Json) {
         auto array = nlohmann::ordered_json::array();
--- a/tools/ctl/rowdiff.h
+++ b/tools/ctl/rowdiff.h
@@ -6,7 +6,7 @@
 
 #include <nlohmann/json_fwd.hpp>
 
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 
 namespace carawaylatch::ctl
 {
--- a/tools/ctl/tablefiles.cpp
+++ b/tools/ctl/tablefiles.cpp
@@ -58,7 +58,7 @@
 base::Result<std::vector<config::RowChange>> changesFor(const CommandContext &context, const config::RowSet &current)
 {
     BOOST_OUTCOME_TRY(wanted, readTableFiles(context.words));
-    const auto scope = context.options.scope == TableScope::Whole ? config::FileScope::Whole : config::FileScope::Rows;
+    const auto scope = context.options.scope == TableScope::Whole ? config::FileScope::AllRows : config::FileScope::NamedRows;
     auto changes = config::changesBetween(current, wanted, scope);
     for (const auto &label : context.options.removals) {
         BOOST_OUTCOME_TRY(key, parseRowLabel(label));
--- a/tools/ctl/tablefiles.h
+++ b/tools/ctl/tablefiles.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "carawaylatch/base/error.h"
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 #include "carawaylatch/config/tablefile.h"
 #include "tools/ctl/command.h"
 
--- a/tools/ctl/testing/ctltest.cpp
+++ b/tools/ctl/testing/ctltest.cpp
@@ -13,7 +13,7 @@
 
 #include <unistd.h>
 
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 #include "carawaylatch/store/faultystore.h"
 #include "carawaylatch/store/memorystore.h"
 #include "carawaylatch/telemetry/explainreport.h"
