--- a/carawaylatch/config/configstore.cpp
+++ b/carawaylatch/config/configstore.cpp
@@ -71,31 +71,31 @@
 
 Result<CommitResult> ConfigStore::run(Edit edit, CommitOptions options)
 {
-    EditCommit acceptance(std::move(edit), options);
-    execute(acceptance);
-    return acceptance.outcome();
+    EditCommit commit(std::move(edit), options);
+    execute(commit);
+    return commit.outcome();
 }
 
-void ConfigStore::execute(EditCommit &acceptance)
+void ConfigStore::execute(EditCommit &commit)
 {
     auto pause = MinPause;
-    while (const auto *next = acceptance.request()) {
+    while (const auto *next = commit.request()) {
         const StoreRequest request = *next;
         bool isDone = false;
         if (request.kind == StoreRequest::Kind::Read) {
             const auto result = m_objects.read(request.name);
             isDone = result || result.error().kind == ErrorKind::NotFound;
-            acceptance.onRead(result);
+            commit.onRead(result);
         } else if (request.kind == StoreRequest::Kind::Write) {
             const auto result = m_objects.write(request.name, request.value, request.expected);
             isDone = result.has_value();
-            acceptance.onWritten(result);
+            commit.onWritten(result);
         } else {
             const auto result = m_objects.remove(request.name, request.expected);
             isDone = true;
-            acceptance.onWritten(result ? Result<store::Version>(store::Version{}) : Result<store::Version>(result.error()));
+            commit.onWritten(result ? Result<store::Version>(store::Version{}) : Result<store::Version>(result.error()));
         }
-        if (!isDone && acceptance.request() != nullptr) {
+        if (!isDone && commit.request() != nullptr) {
             m_pause(pause);
             pause = std::min(pause * 2, MaxPause);
         }
@@ -150,8 +150,8 @@
         if (!object) {
             return object.error();
         }
-        BOOST_OUTCOME_TRY(part, parseEdits(object.value().value));
-        edits.insert(edits.end(), part.rbegin(), part.rend());
+        BOOST_OUTCOME_TRY(segment, parseEdits(object.value().value));
+        edits.insert(edits.end(), segment.rbegin(), segment.rend());
     }
     edits.resize(std::min(limit, edits.size()));
     return edits;
--- a/carawaylatch/config/configstore.h
+++ b/carawaylatch/config/configstore.h
@@ -63,7 +63,7 @@
 
 private:
     [[nodiscard]] base::Result<CommitResult> run(Edit edit, CommitOptions options);
-    void execute(EditCommit &acceptance);
+    void execute(EditCommit &commit);
     [[nodiscard]] base::Result<RowSet> readSnapshot(const std::string &name);
 
     store::ObjectStore &m_objects;
--- a/carawaylatch/config/distributor.cpp
+++ b/carawaylatch/config/distributor.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-constexpr std::string_view Duty = "configuration";
+constexpr std::string_view RankingKey = "configuration";
 
 struct Ranked
 {
@@ -39,7 +39,7 @@
 
 void Distributor::onMembers(std::span<const DistributionPeer> members)
 {
-    const auto key = base::hash64(m_options.domain.value(), base::hash64(Duty));
+    const auto key = base::hash64(m_options.domain.value(), base::hash64(RankingKey));
     std::vector<Ranked> ranked;
     for (const auto &it : members) {
         if (it.domain == m_options.domain) {
@@ -49,17 +49,17 @@
     std::sort(ranked.begin(), ranked.end(), [](const Ranked &first, const Ranked &second) {
         return first.weight != second.weight ? first.weight > second.weight : *first.id < *second.id;
     });
-    const auto self = static_cast<std::size_t>(std::find_if(ranked.begin(), ranked.end(),
-                                                            [this](const Ranked &it) {
-                                                                return *it.id == m_options.self;
-                                                            })
-                                               - ranked.begin());
+    const auto selfRank = static_cast<std::size_t>(std::find_if(ranked.begin(), ranked.end(),
+                                                                [this](const Ranked &it) {
+                                                                    return *it.id == m_options.self;
+                                                                })
+                                                   - ranked.begin());
     m_children.clear();
-    const auto first = self * m_options.fanOut + 1;
+    const auto first = selfRank * m_options.fanOut + 1;
     for (auto i = first; i < first + m_options.fanOut && i < ranked.size(); ++i) {
         m_children.push_back(*ranked[i].id);
     }
-    const bool isWatcher = self < ranked.size() && self < m_options.watchers;
+    const bool isWatcher = selfRank < ranked.size() && selfRank < m_options.watchers;
     if (isWatcher != m_isWatcher) {
         m_isWatcher = isWatcher;
         m_actions.push_back(isWatcher ? DistributorAction(StartWatch{}) : DistributorAction(StopWatch{}));
@@ -72,21 +72,21 @@
     if (rows.revision <= before) {
         return;
     }
-    if (!adoptEdits(head.edits)) {
-        (void)adoptWhole(std::make_shared<const RowSet>(rows));
+    if (!applyNextEdits(head.edits)) {
+        (void)replaceRows(std::make_shared<const RowSet>(rows));
         m_edits.assign(head.edits.begin(), head.edits.end());
     }
     publish();
-    forward(before, nullptr);
+    forwardToChildren(before, nullptr);
 }
 
 void Distributor::onUpdate(const base::RouterId &from, const ConfigUpdate &update, base::TimePoint now)
 {
     const auto before = revision();
-    const bool isAdopted = update.snapshot != nullptr ? adoptWhole(update.snapshot) : adoptEdits(update.edits);
-    if (isAdopted) {
+    const bool isApplied = update.snapshot != nullptr ? replaceRows(update.snapshot) : applyNextEdits(update.edits);
+    if (isApplied) {
         publish();
-        forward(before, &from);
+        forwardToChildren(before, &from);
     } else if (update.snapshot == nullptr && !update.edits.empty()) {
         onPeerRevision(from, update.edits.back().revision, now);
     }
@@ -104,9 +104,9 @@
     if (revision <= this->revision()) {
         return;
     }
-    const bool isAsked = m_requested >= revision && now < m_requestedAt + m_options.requestInterval;
-    if (!isAsked) {
-        m_requested = revision;
+    const bool isRequested = m_requestedRevision >= revision && now < m_requestedAt + m_options.requestInterval;
+    if (!isRequested) {
+        m_requestedRevision = revision;
         m_requestedAt = now;
         m_actions.emplace_back(SendRequest{peer, {this->revision()}});
     }
@@ -138,7 +138,7 @@
 }
 
 // Applies the edits that are next; false if none is, or if there is a gap before them.
-bool Distributor::adoptEdits(std::span<const Edit> edits)
+bool Distributor::applyNextEdits(std::span<const Edit> edits)
 {
     const auto next = std::find_if(edits.begin(), edits.end(), [this](const Edit &it) {
         return it.revision.value == revision().value + 1;
@@ -158,7 +158,7 @@
     return true;
 }
 
-bool Distributor::adoptWhole(std::shared_ptr<const RowSet> rows)
+bool Distributor::replaceRows(std::shared_ptr<const RowSet> rows)
 {
     if (rows->revision <= revision()) {
         return false;
@@ -182,7 +182,7 @@
 }
 
 // Sends on what is newer than `after`, but never a whole configuration unasked.
-void Distributor::forward(base::Revision after, const base::RouterId *from)
+void Distributor::forwardToChildren(base::Revision after, const base::RouterId *from)
 {
     const auto update = updateAfter(after);
     if (!update || update->snapshot != nullptr) {
--- a/carawaylatch/config/distributor.h
+++ b/carawaylatch/config/distributor.h
@@ -120,10 +120,10 @@
     [[nodiscard]] std::span<const base::RouterId> children() const;
 
 private:
-    [[nodiscard]] bool adoptEdits(std::span<const Edit> edits);
-    [[nodiscard]] bool adoptWhole(std::shared_ptr<const RowSet> rows);
+    [[nodiscard]] bool applyNextEdits(std::span<const Edit> edits);
+    [[nodiscard]] bool replaceRows(std::shared_ptr<const RowSet> rows);
     void publish();
-    void forward(base::Revision after, const base::RouterId *from);
+    void forwardToChildren(base::Revision after, const base::RouterId *from);
     [[nodiscard]] std::optional<ConfigUpdate> updateAfter(base::Revision revision) const;
 
     DistributorOptions m_options;
@@ -132,7 +132,7 @@
     std::deque<Edit> m_edits; // of contiguous revisions that end at m_rows->revision
     std::vector<base::RouterId> m_children;
     bool m_isWatcher = false;
-    base::Revision m_requested; // the greatest revision asked for
+    base::Revision m_requestedRevision; // the greatest revision asked for
     base::TimePoint m_requestedAt;
     std::vector<DistributorAction> m_actions;
 };
--- a/carawaylatch/config/editcommit.cpp
+++ b/carawaylatch/config/editcommit.cpp
@@ -93,36 +93,36 @@
 
 void EditCommit::finish(Result<CommitResult> outcome)
 {
-    const bool isAccepted = outcome.has_value();
+    const bool isCommitted = outcome.has_value();
     m_outcome = std::move(outcome);
-    if (isAccepted) {
-        removeNext();
+    if (isCommitted) {
+        removeNextReplaced();
     } else {
         m_step = CommitStep::Done;
         m_request.reset();
     }
 }
 
-void EditCommit::removeNext()
+void EditCommit::removeNextReplaced()
 {
-    if (m_old.empty()) {
+    if (m_replaced.empty()) {
         m_step = CommitStep::Done;
         m_request.reset();
         return;
     }
-    read(CommitStep::RemoveReplaced, std::move(m_old.back()));
-    m_old.pop_back();
+    read(CommitStep::RemoveReplaced, std::move(m_replaced.back()));
+    m_replaced.pop_back();
 }
 
 void EditCommit::restart()
 {
-    m_old.clear();
+    m_replaced.clear();
     read(CommitStep::ReadHead, std::string(HeadName));
 }
 
-bool EditCommit::spendRace()
+bool EditCommit::consumeRetry()
 {
-    return ++m_races <= m_options.maxRetries;
+    return ++m_retries <= m_options.maxRetries;
 }
 
 void EditCommit::onRead(const Result<store::Object> &result)
@@ -144,7 +144,7 @@
         if (result) {
             m_request = StoreRequest{StoreRequest::Kind::Remove, result.value().name, {}, result.value().version};
         } else {
-            removeNext();
+            removeNextReplaced();
         }
         break;
     default:
@@ -163,7 +163,7 @@
         onHeadWritten(result);
         break;
     case CommitStep::RemoveReplaced:
-        removeNext();
+        removeNextReplaced();
         break;
     default:
         break;
@@ -193,12 +193,12 @@
         read(CommitStep::ReadSnapshot, m_head.snapshotName);
         return;
     }
-    decide(materialize(m_snapshot, m_head));
+    tryCommit(materialize(m_snapshot, m_head));
 }
 
 void EditCommit::onSnapshot(const Result<store::Object> &result)
 {
-    if (!result && result.error().kind == ErrorKind::NotFound && spendRace()) {
+    if (!result && result.error().kind == ErrorKind::NotFound && consumeRetry()) {
         restart(); // replaced by a compaction since the head was read
         return;
     }
@@ -213,15 +213,15 @@
     }
     m_snapshot = std::move(rows.value());
     m_snapshotName = m_head.snapshotName;
-    decide(materialize(m_snapshot, m_head));
+    tryCommit(materialize(m_snapshot, m_head));
 }
 
-void EditCommit::fixExpectations(const RowSet &current)
+void EditCommit::resolveExpectedRevisions(const RowSet &current)
 {
-    if (m_areExpectationsFixed) {
+    if (m_areExpectationsResolved) {
         return;
     }
-    m_areExpectationsFixed = true;
+    m_areExpectationsResolved = true;
     std::erase_if(m_edit.changes, [&](const RowChange &it) {
         const auto *row = current.find(it.row.key);
         return it.kind == RowChange::Kind::Put ? row != nullptr && row->fields == it.row.fields : row == nullptr;
@@ -247,16 +247,16 @@
     return ok();
 }
 
-void EditCommit::decide(RowSet current)
+void EditCommit::tryCommit(RowSet current)
 {
-    const auto same = std::find_if(m_head.edits.begin(), m_head.edits.end(), [this](const Edit &it) {
+    const auto earlier = std::find_if(m_head.edits.begin(), m_head.edits.end(), [this](const Edit &it) {
         return it.id == m_edit.id;
     });
-    if (same != m_head.edits.end()) {
-        finish(CommitResult{same->revision, std::move(current), same->changes.size()});
+    if (earlier != m_head.edits.end()) {
+        finish(CommitResult{earlier->revision, std::move(current), earlier->changes.size()});
         return;
     }
-    fixExpectations(current);
+    resolveExpectedRevisions(current);
     if (const auto checked = checkConflicts(current); !checked) {
         finish(checked.error());
         return;
@@ -267,14 +267,14 @@
         return;
     }
     m_edit.revision.value = current.revision.value + 1;
-    m_next = std::move(current);
-    applyEdit(m_next, m_edit);
-    if (const auto tables = toTables(m_next); !tables) {
+    m_nextRows = std::move(current);
+    applyEdit(m_nextRows, m_edit);
+    if (const auto tables = toTables(m_nextRows); !tables) {
         finish(tables.error());
-    } else if (formatSnapshot(m_next).size() > MaxHeadBytes) {
+    } else if (formatSnapshot(m_nextRows).size() > MaxHeadBytes) {
         finish(base::fail(ErrorKind::InvalidArgument, "the tables would be larger than 950000 bytes; remove rows that are no longer needed"));
     } else if (m_options.dryRun == DryRun::On) {
-        finish(CommitResult{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_nextRows, m_edit.changes.size()});
     } else {
         compactOrWrite();
     }
@@ -293,15 +293,15 @@
 void EditCommit::startCompaction()
 {
     const auto kept = std::min(m_options.keepEdits, m_head.edits.size() / 2);
-    const auto cut = m_head.edits.end() - static_cast<std::ptrdiff_t>(kept);
+    const auto firstKept = m_head.edits.end() - static_cast<std::ptrdiff_t>(kept);
     RowSet rows = m_snapshot;
-    for (auto it = m_head.edits.begin(); it != cut; ++it) {
+    for (auto it = m_head.edits.begin(); it != firstKept; ++it) {
         applyEdit(rows, *it);
     }
     auto text = formatSnapshot(rows);
     m_nextHead.snapshotName = snapshotName(rows.revision, text);
     m_nextHead.snapshotRevision = rows.revision;
-    m_nextHead.edits.assign(cut, m_head.edits.end());
+    m_nextHead.edits.assign(firstKept, m_head.edits.end());
     m_nextHead.history.push_back({m_head.edits.front().revision, rows.revision});
     write(CommitStep::WriteSnapshot, m_nextHead.snapshotName, std::move(text), {});
 }
@@ -311,18 +311,18 @@
     const bool isWritten = result || result.error().kind == ErrorKind::Conflict;
     if (!isWritten) {
         m_nextHead = m_head; // the next edit will compact
-        m_old.clear();
+        m_replaced.clear();
         writeHead();
     } else if (m_step == CommitStep::WriteSnapshot) {
-        const auto &part = m_nextHead.history.back();
-        const auto count = static_cast<std::ptrdiff_t>(part.last.value - part.first.value + 1);
-        write(CommitStep::WriteHistory, historyName(part), formatEdits({m_head.edits.begin(), m_head.edits.begin() + count}), {});
+        const auto &segment = m_nextHead.history.back();
+        const auto count = static_cast<std::ptrdiff_t>(segment.last.value - segment.first.value + 1);
+        write(CommitStep::WriteHistory, historyName(segment), formatEdits({m_head.edits.begin(), m_head.edits.begin() + count}), {});
     } else {
         if (!m_head.snapshotName.empty()) {
-            m_old.push_back(m_head.snapshotName);
+            m_replaced.push_back(m_head.snapshotName);
         }
         if (m_nextHead.history.size() > MaxHistorySegments) {
-            m_old.push_back(historyName(m_nextHead.history.front()));
+            m_replaced.push_back(historyName(m_nextHead.history.front()));
             m_nextHead.history.erase(m_nextHead.history.begin());
         }
         writeHead();
@@ -345,7 +345,7 @@
 void EditCommit::onHeadWritten(const Result<store::Version> &result)
 {
     if (result) {
-        finish(CommitResult{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_nextRows, m_edit.changes.size()});
         return;
     }
     const auto kind = result.error().kind;
@@ -354,7 +354,7 @@
         read(CommitStep::ReadBack, std::string(HeadName));
     } else if (kind == ErrorKind::Unavailable) {
         finish(base::fail(ErrorKind::Unavailable, "the platform was not reached and nothing was changed: " + result.error().message, RetryAfter));
-    } else if (spendRace()) {
+    } else if (consumeRetry()) {
         restart();
     } else {
         finish(base::fail(ErrorKind::Conflict, "other edits kept coming first; nothing was changed, try again", RetryAfter));
@@ -375,7 +375,7 @@
 void EditCommit::onReadBack(const Result<store::Object> &result)
 {
     if (!result && result.error().kind == ErrorKind::NotFound) {
-        settle({});
+        resolveUnclearWrite({});
         return;
     }
     if (!result) {
@@ -387,15 +387,15 @@
         finish(head.error());
         return;
     }
-    settle(head.value());
+    resolveUnclearWrite(head.value());
 }
 
 // Decides by a head read after the unclear write.
-void EditCommit::settle(const Head &head)
+void EditCommit::resolveUnclearWrite(const Head &head)
 {
     const auto revision = m_edit.revision;
     if (head.revision < revision) {
-        if (spendRace()) {
+        if (consumeRetry()) {
             write(CommitStep::WriteHead, std::string(HeadName), formatHead(m_nextHead), m_headVersion);
         } else {
             m_readBacks = m_options.maxReadBacks;
@@ -404,18 +404,18 @@
         return;
     }
     if (head.snapshotRevision < revision) {
-        settleEdit(head.edits[revision.value - head.snapshotRevision.value - 1]);
+        resolveByStoredEdit(head.edits[revision.value - head.snapshotRevision.value - 1]);
         return;
     }
-    const auto part = std::find_if(head.history.begin(), head.history.end(), [revision](const HistorySegment &it) {
+    const auto segment = std::find_if(head.history.begin(), head.history.end(), [revision](const HistorySegment &it) {
         return it.first <= revision && revision <= it.last;
     });
-    if (part == head.history.end()) {
+    if (segment == head.history.end()) {
         m_readBacks = m_options.maxReadBacks;
         retryReadBack(base::fail(ErrorKind::NotFound, "the history doesn't reach back to it"));
         return;
     }
-    read(CommitStep::ReadHistory, historyName(*part));
+    read(CommitStep::ReadHistory, historyName(*segment));
 }
 
 void EditCommit::onHistory(const Result<store::Object> &result)
@@ -430,18 +430,18 @@
         retryReadBack(edits ? base::fail(ErrorKind::NotFound, "the history has a gap") : edits.error());
         return;
     }
-    settleEdit(edits.value()[m_edit.revision.value - edits.value().front().revision.value]);
+    resolveByStoredEdit(edits.value()[m_edit.revision.value - edits.value().front().revision.value]);
 }
 
 // Decides by the edit that has the revision which this one would have.
-void EditCommit::settleEdit(const Edit &edit)
+void EditCommit::resolveByStoredEdit(const Edit &edit)
 {
     if (edit.id == m_edit.id) {
-        finish(CommitResult{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_nextRows, m_edit.changes.size()});
         return;
     }
     m_mayBeWritten = false;
-    if (spendRace()) {
+    if (consumeRetry()) {
         restart();
     } else {
         finish(base::fail(ErrorKind::Conflict, "other edits kept coming first; nothing was changed, try again", RetryAfter));
--- a/carawaylatch/config/editcommit.h
+++ b/carawaylatch/config/editcommit.h
@@ -103,18 +103,18 @@
     void onReadBack(const base::Result<store::Object> &result);
     void onHistory(const base::Result<store::Object> &result);
     void onHeadWritten(const base::Result<store::Version> &result);
-    void decide(RowSet current);
-    void fixExpectations(const RowSet &current);
+    void tryCommit(RowSet current);
+    void resolveExpectedRevisions(const RowSet &current);
     [[nodiscard]] base::Result<void> checkConflicts(const RowSet &current) const;
     void compactOrWrite();
     void startCompaction();
     void onCompactionWritten(const base::Result<store::Version> &result);
     void writeHead();
-    void removeNext();
-    void settle(const Head &head);
-    void settleEdit(const Edit &edit);
+    void removeNextReplaced();
+    void resolveUnclearWrite(const Head &head);
+    void resolveByStoredEdit(const Edit &edit);
     void retryReadBack(const base::Error &error);
-    [[nodiscard]] bool spendRace();
+    [[nodiscard]] bool consumeRetry();
 
     Edit m_edit;
     CommitOptions m_options;
@@ -126,12 +126,12 @@
     store::Version m_headVersion; // of m_head in the store
     RowSet m_snapshot; // of m_head.snapshotName
     std::string m_snapshotName; // whose content m_snapshot is
-    RowSet m_next; // the configuration with the edit
+    RowSet m_nextRows; // the configuration with the edit
     Head m_nextHead; // what is written
-    std::vector<std::string> m_old; // objects that a compaction replaced
-    bool m_areExpectationsFixed = false;
+    std::vector<std::string> m_replaced; // objects that a compaction replaced
+    bool m_areExpectationsResolved = false;
     bool m_mayBeWritten = false; // a write of the head with an unknown result
-    std::uint32_t m_races = 0;
+    std::uint32_t m_retries = 0;
     std::uint32_t m_readBacks = 0;
 };
 
--- a/carawaylatch/config/head.cpp
+++ b/carawaylatch/config/head.cpp
@@ -36,9 +36,9 @@
     return buf.data();
 }
 
-base::Error damaged(std::string_view what, const std::string &why)
+base::Error unreadableObject(std::string_view objectName, const std::string &reason)
 {
-    return base::fail(base::ErrorKind::Internal, std::string(what) + " can't be read: " + why + "; look at the object with the platform's own tools");
+    return base::fail(base::ErrorKind::Internal, std::string(objectName) + " can't be read: " + reason + "; look at the object with the platform's own tools");
 }
 
 const std::string *findValue(const IniSection &section, std::string_view key)
@@ -49,7 +49,7 @@
     return it == section.entries.end() ? nullptr : &it->value;
 }
 
-Result<std::uint64_t> numberOf(const IniSection &section, std::string_view key)
+Result<std::uint64_t> requiredNumber(const IniSection &section, std::string_view key)
 {
     const auto *value = findValue(section, key);
     if (value == nullptr) {
@@ -81,7 +81,7 @@
     }
 }
 
-Result<RowChange> changeFrom(IniSection section)
+Result<RowChange> parseChange(IniSection section)
 {
     RowChange change;
     const auto *kind = findValue(section, ChangeKey);
@@ -90,7 +90,7 @@
     }
     change.kind = *kind == "put" ? RowChange::Kind::Put : RowChange::Kind::Remove;
     if (findValue(section, ExpectedKey) != nullptr) {
-        BOOST_OUTCOME_TRY(expected, numberOf(section, ExpectedKey));
+        BOOST_OUTCOME_TRY(expected, requiredNumber(section, ExpectedKey));
         change.expected = base::Revision{expected};
     }
     std::erase_if(section.entries, [](const IniEntry &it) {
@@ -101,7 +101,7 @@
     return change;
 }
 
-Result<Edit> editFrom(const IniSection &section)
+Result<Edit> parseEdit(const IniSection &section)
 {
     Edit edit;
     const auto hex = std::string_view(section.name).substr(EditSection.size());
@@ -109,8 +109,8 @@
     if (ec != std::errc{} || end != hex.data() + hex.size()) {
         return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] has no id");
     }
-    BOOST_OUTCOME_TRY(revision, numberOf(section, "revision"));
-    BOOST_OUTCOME_TRY(madeAt, numberOf(section, "made_at"));
+    BOOST_OUTCOME_TRY(revision, requiredNumber(section, "revision"));
+    BOOST_OUTCOME_TRY(madeAt, requiredNumber(section, "made_at"));
     edit.revision.value = revision;
     edit.madeAt = static_cast<std::int64_t>(madeAt);
     if (const auto *author = findValue(section, "author"); author != nullptr) {
@@ -119,12 +119,12 @@
     return edit;
 }
 
-Result<std::vector<Edit>> editsFrom(std::span<const IniSection> sections)
+Result<std::vector<Edit>> parseEditSections(std::span<const IniSection> sections)
 {
     std::vector<Edit> edits;
     for (const auto &section : sections) {
         if (section.name.starts_with(EditSection)) {
-            BOOST_OUTCOME_TRY(edit, editFrom(section));
+            BOOST_OUTCOME_TRY(edit, parseEdit(section));
             if (!edits.empty() && edit.revision.value != edits.back().revision.value + 1) {
                 return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] has a revision out of order");
             }
@@ -132,19 +132,19 @@
         } else if (edits.empty()) {
             return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] stands before any edit");
         } else {
-            BOOST_OUTCOME_TRY(change, changeFrom(section));
+            BOOST_OUTCOME_TRY(change, parseChange(section));
             edits.back().changes.push_back(std::move(change));
         }
     }
     return edits;
 }
 
-std::string partText(const HistorySegment &part)
+std::string formatSegment(const HistorySegment &segment)
 {
-    return std::to_string(part.first.value) + '-' + std::to_string(part.last.value);
+    return std::to_string(segment.first.value) + '-' + std::to_string(segment.last.value);
 }
 
-Result<HistorySegment> partFrom(std::string_view text)
+Result<HistorySegment> parseSegment(std::string_view text)
 {
     const auto dash = text.find('-');
     BOOST_OUTCOME_TRY(first, parseNumber(text.substr(0, dash)));
@@ -152,15 +152,15 @@
     return HistorySegment{{first}, {last}};
 }
 
-Result<Head> headFrom(const IniDocument &document)
+Result<Head> parseHeadSections(const IniDocument &document)
 {
     if (document.sections.empty() || document.sections.front().name != "head") {
         return base::fail(base::ErrorKind::InvalidArgument, "the first section is not [head]");
     }
     const auto &section = document.sections.front();
     Head head;
-    BOOST_OUTCOME_TRY(revision, numberOf(section, "revision"));
-    BOOST_OUTCOME_TRY(snapshotRevision, numberOf(section, "snapshot_revision"));
+    BOOST_OUTCOME_TRY(revision, requiredNumber(section, "revision"));
+    BOOST_OUTCOME_TRY(snapshotRevision, requiredNumber(section, "snapshot_revision"));
     head.revision.value = revision;
     head.snapshotRevision.value = snapshotRevision;
     if (const auto *name = findValue(section, "snapshot"); name != nullptr) {
@@ -168,11 +168,11 @@
     }
     if (const auto *history = findValue(section, "history"); history != nullptr) {
         for (const auto it : splitList(*history)) {
-            BOOST_OUTCOME_TRY(part, partFrom(it));
-            head.history.push_back(part);
+            BOOST_OUTCOME_TRY(segment, parseSegment(it));
+            head.history.push_back(segment);
         }
     }
-    BOOST_OUTCOME_TRY(edits, editsFrom(std::span(document.sections).subspan(1)));
+    BOOST_OUTCOME_TRY(edits, parseEditSections(std::span(document.sections).subspan(1)));
     head.edits = std::move(edits);
     const bool isContiguous = head.edits.empty() ? head.revision == head.snapshotRevision
                                                  : head.edits.front().revision.value == snapshotRevision + 1 && head.edits.back().revision == head.revision;
@@ -192,7 +192,7 @@
     appendIniEntry(text, "snapshot_revision", std::to_string(head.snapshotRevision.value));
     std::string history;
     for (const auto &it : head.history) {
-        history += (history.empty() ? "" : ", ") + partText(it);
+        history += (history.empty() ? "" : ", ") + formatSegment(it);
     }
     appendIniEntry(text, "history", history);
     return text + formatEdits(head.edits);
@@ -202,11 +202,11 @@
 {
     const auto document = parseIni(text, HeadName);
     if (!document) {
-        return damaged(HeadName, document.error().message);
+        return unreadableObject(HeadName, document.error().message);
     }
-    auto head = headFrom(document.value());
+    auto head = parseHeadSections(document.value());
     if (!head) {
-        return damaged(HeadName, head.error().message);
+        return unreadableObject(HeadName, head.error().message);
     }
     return head;
 }
@@ -224,11 +224,11 @@
 {
     const auto document = parseIni(text, "edits");
     if (!document) {
-        return damaged("a list of edits", document.error().message);
+        return unreadableObject("a list of edits", document.error().message);
     }
-    auto edits = editsFrom(document.value().sections);
+    auto edits = parseEditSections(document.value().sections);
     if (!edits) {
-        return damaged("a list of edits", edits.error().message);
+        return unreadableObject("a list of edits", edits.error().message);
     }
     return edits;
 }
@@ -247,22 +247,22 @@
 {
     const auto document = parseIni(text, "snapshot");
     if (!document) {
-        return damaged("a snapshot", document.error().message);
+        return unreadableObject("a snapshot", document.error().message);
     }
     const auto &sections = document.value().sections;
     if (sections.empty() || sections.front().name != "configuration") {
-        return damaged("a snapshot", "the first section is not [configuration]");
+        return unreadableObject("a snapshot", "the first section is not [configuration]");
     }
-    const auto revision = numberOf(sections.front(), "revision");
+    const auto revision = requiredNumber(sections.front(), "revision");
     if (!revision) {
-        return damaged("a snapshot", revision.error().message);
+        return unreadableObject("a snapshot", revision.error().message);
     }
     RowSet rows;
     rows.revision.value = revision.value();
     for (const auto &it : std::span(sections).subspan(1)) {
         auto row = rowFromSection(it, "snapshot");
         if (!row) {
-            return damaged("a snapshot", row.error().message);
+            return unreadableObject("a snapshot", row.error().message);
         }
         rows.put(std::move(row.value()));
     }
@@ -274,9 +274,9 @@
     return std::string(SnapshotPrefix) + std::to_string(revision.value) + '-' + hexText(base::hash64(text));
 }
 
-std::string historyName(const HistorySegment &part)
+std::string historyName(const HistorySegment &segment)
 {
-    return std::string(HistoryPrefix) + partText(part);
+    return std::string(HistoryPrefix) + formatSegment(segment);
 }
 
 void applyEdit(RowSet &rows, const Edit &edit)
--- a/carawaylatch/config/head.h
+++ b/carawaylatch/config/head.h
@@ -92,7 +92,7 @@
 
 // Returns the object's name of a snapshot: revision and content, so that a name never means two contents.
 [[nodiscard]] std::string snapshotName(base::Revision revision, std::string_view text);
-[[nodiscard]] std::string historyName(const HistorySegment &part);
+[[nodiscard]] std::string historyName(const HistorySegment &segment);
 
 // Applies an accepted edit, whose revision must be the next one of the rows.
 void applyEdit(RowSet &rows, const Edit &edit);
--- a/carawaylatch/config/inidocument.cpp
+++ b/carawaylatch/config/inidocument.cpp
@@ -21,9 +21,9 @@
 
 constexpr std::string_view Blanks = " \t\r\n";
 
-struct Reader
+struct IniReader
 {
-    std::string_view rest;
+    std::string_view remaining;
     std::string_view fileName;
     int line = 0;
     bool isContinuation = false;
@@ -31,14 +31,14 @@
     IniDocument document;
 };
 
-void refuse(Reader &reader, std::string_view problem)
+void setProblem(IniReader &reader, std::string_view problem)
 {
     if (reader.problem.empty()) {
         reader.problem = linePrefix(reader.fileName, reader.line) + std::string(problem);
     }
 }
 
-void noteSection(Reader &reader, std::string_view line)
+void addSection(IniReader &reader, std::string_view line)
 {
     const auto start = line.find_first_not_of(Blanks);
     if (start == std::string_view::npos || line[start] != '[') {
@@ -46,39 +46,39 @@
     }
     const auto end = line.find(']', start);
     if (end == std::string_view::npos) {
-        refuse(reader, "the section header has no ']'; write [NAME]");
+        setProblem(reader, "the section header has no ']'; write [NAME]");
         return;
     }
     const auto name = line.substr(start + 1, end - start - 1);
     if (name.empty() || name.size() > MaxIniSectionBytes) {
-        refuse(reader, "a section name has 1 to 49 bytes; shorten it");
+        setProblem(reader, "a section name has 1 to 49 bytes; shorten it");
     }
     reader.document.sections.push_back({std::string(name), reader.line, {}});
 }
 
 char *readLine(char *buf, int size, void *user)
 {
-    auto &reader = *static_cast<Reader *>(user);
-    if (reader.rest.empty() || !reader.problem.empty()) {
+    auto &reader = *static_cast<IniReader *>(user);
+    if (reader.remaining.empty() || !reader.problem.empty()) {
         return nullptr;
     }
-    const auto end = std::min(reader.rest.find('\n'), reader.rest.size());
-    const auto line = reader.rest.substr(0, end);
-    reader.rest.remove_prefix(std::min(end + 1, reader.rest.size()));
+    const auto end = std::min(reader.remaining.find('\n'), reader.remaining.size());
+    const auto line = reader.remaining.substr(0, end);
+    reader.remaining.remove_prefix(std::min(end + 1, reader.remaining.size()));
     ++reader.line;
     if (line.size() > std::min<std::size_t>(MaxIniLineBytes, size - 3)) {
-        refuse(reader, "the line is longer than 190 bytes; break it and begin the next line with a space");
+        setProblem(reader, "the line is longer than 190 bytes; break it and begin the next line with a space");
         return nullptr;
     }
     if (line.find('\0') != std::string_view::npos) {
-        refuse(reader, "the line has a NUL byte; write plain text");
+        setProblem(reader, "the line has a NUL byte; write plain text");
         return nullptr;
     }
     const auto &sections = reader.document.sections;
     const bool isIndented = !line.empty() && (line.front() == ' ' || line.front() == '\t');
     reader.isContinuation = isIndented && !sections.empty() && !sections.back().entries.empty();
     if (!reader.isContinuation) {
-        noteSection(reader, line);
+        addSection(reader, line);
     }
     std::memcpy(buf, line.data(), line.size());
     buf[line.size()] = '\n';
@@ -88,10 +88,10 @@
 
 int addEntry(void *user, const char *section, const char *name, const char *value)
 {
-    auto &reader = *static_cast<Reader *>(user);
+    auto &reader = *static_cast<IniReader *>(user);
     auto &sections = reader.document.sections;
     if (sections.empty() || sections.back().name != section) {
-        refuse(reader, "the key '" + std::string(name) + "' stands before any section; put it below a [SECTION] line");
+        setProblem(reader, "the key '" + std::string(name) + "' stands before any section; put it below a [SECTION] line");
         return 0;
     }
     auto &entries = sections.back().entries;
@@ -114,7 +114,7 @@
 
 base::Result<IniDocument> parseIni(std::string_view text, std::string_view fileName)
 {
-    Reader reader{text, fileName, 0, false, {}, {}};
+    IniReader reader{text, fileName, 0, false, {}, {}};
     const int errorLine = ini_parse_stream(readLine, &reader, addEntry, &reader);
     if (!reader.problem.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, reader.problem);
--- a/carawaylatch/config/settings.cpp
+++ b/carawaylatch/config/settings.cpp
@@ -36,18 +36,18 @@
 
 struct Bounds
 {
-    std::int64_t least = 0;
-    std::int64_t greatest = std::numeric_limits<std::int64_t>::max();
+    std::int64_t minimum = 0;
+    std::int64_t maximum = std::numeric_limits<std::int64_t>::max();
     std::string_view choices; // allowed words, "a|b|c"
 };
 
 // Forms of a member's type: parse returns the value, format its text, count its
 // size for the bounds. One overload for each type that occurs in Settings.
 template <typename T>
-struct Form;
+struct ValueTraits;
 
 template <>
-struct Form<std::uint64_t>
+struct ValueTraits<std::uint64_t>
 {
     static constexpr std::string_view Name = "number";
     static Result<std::uint64_t> parse(std::string_view text)
@@ -65,7 +65,7 @@
 };
 
 template <typename T>
-struct NarrowForm : Form<std::uint64_t>
+struct NarrowNumberTraits : ValueTraits<std::uint64_t>
 {
     static Result<T> parse(std::string_view text)
     {
@@ -79,17 +79,17 @@
 };
 
 template <>
-struct Form<std::uint32_t> : NarrowForm<std::uint32_t>
+struct ValueTraits<std::uint32_t> : NarrowNumberTraits<std::uint32_t>
 {
 };
 
 template <>
-struct Form<std::uint16_t> : NarrowForm<std::uint16_t>
+struct ValueTraits<std::uint16_t> : NarrowNumberTraits<std::uint16_t>
 {
 };
 
 template <>
-struct Form<base::Duration>
+struct ValueTraits<base::Duration>
 {
     static constexpr std::string_view Name = "duration";
     static Result<base::Duration> parse(std::string_view text)
@@ -107,7 +107,7 @@
 };
 
 template <>
-struct Form<std::string>
+struct ValueTraits<std::string>
 {
     static constexpr std::string_view Name = "text";
     static Result<std::string> parse(std::string_view text)
@@ -125,7 +125,7 @@
 };
 
 template <typename Tag>
-struct Form<base::Name<Tag>>
+struct ValueTraits<base::Name<Tag>>
 {
     static constexpr std::string_view Name = "name";
     static Result<base::Name<Tag>> parse(std::string_view text)
@@ -144,7 +144,7 @@
 };
 
 template <>
-struct Form<std::vector<base::Endpoint>>
+struct ValueTraits<std::vector<base::Endpoint>>
 {
     static constexpr std::string_view Name = "endpoints between commas";
     static Result<std::vector<base::Endpoint>> parse(std::string_view text)
@@ -171,7 +171,7 @@
 };
 
 template <>
-struct Form<base::LogLevel>
+struct ValueTraits<base::LogLevel>
 {
     static constexpr std::string_view Name = "word";
     static constexpr std::array<std::string_view, 3> Names{"info", "warning", "error"};
@@ -193,7 +193,7 @@
     }
 };
 
-struct KeyRow
+struct KeyDescription
 {
     std::string_view section;
     std::string_view name;
@@ -235,14 +235,14 @@
 
     static Result<void> parse(Settings &settings, std::string_view text, const Bounds &bounds)
     {
-        BOOST_OUTCOME_TRY(value, Form<Value>::parse(text));
+        BOOST_OUTCOME_TRY(value, ValueTraits<Value>::parse(text));
         if (!bounds.choices.empty() && !isChoice(bounds.choices, text)) {
             return base::fail(base::ErrorKind::InvalidArgument, "'" + std::string(text) + "' is unknown; write one of " + std::string(bounds.choices));
         }
-        const auto count = Form<Value>::count(value);
-        if (count < bounds.least || count > bounds.greatest) {
-            return base::fail(base::ErrorKind::InvalidArgument, "the value is out of range; write one from " + formatBound<Value>(bounds.least) + " to "
-                                                                    + formatBound<Value>(bounds.greatest)
+        const auto count = ValueTraits<Value>::count(value);
+        if (count < bounds.minimum || count > bounds.maximum) {
+            return base::fail(base::ErrorKind::InvalidArgument, "the value is out of range; write one from " + formatBound<Value>(bounds.minimum) + " to "
+                                                                    + formatBound<Value>(bounds.maximum)
                                                                     + (std::is_same_v<Value, std::string> ? " bytes long" : ""));
         }
         (settings.*SectionMember).*ValueMember = std::move(value);
@@ -251,16 +251,16 @@
 
     static std::string format(const Settings &settings)
     {
-        return Form<Value>::format((settings.*SectionMember).*ValueMember);
+        return ValueTraits<Value>::format((settings.*SectionMember).*ValueMember);
     }
 };
 
 template <auto SectionMember, auto ValueMember>
-constexpr KeyRow row(std::string_view section, std::string_view name, Presence presence, Bounds bounds, std::string_view meaning)
+constexpr KeyDescription describeKey(std::string_view section, std::string_view name, Presence presence, Bounds bounds, std::string_view meaning)
 {
-    using Bound = Binding<SectionMember, ValueMember>;
-    using Value = typename Bound::Value;
-    return {section, name, Form<Value>::Name, presence, bounds, meaning, Bound::parse, Bound::format, formatBound<Value>};
+    using MemberBinding = Binding<SectionMember, ValueMember>;
+    using Value = typename MemberBinding::Value;
+    return {section, name, ValueTraits<Value>::Name, presence, bounds, meaning, MemberBinding::parse, MemberBinding::format, formatBound<Value>};
 }
 
 constexpr std::int64_t Millisecond = 1'000'000;
@@ -278,50 +278,52 @@
 
 using S = Settings;
 
-const std::array Rows{
-    row<&S::router, &S::Router::id>("router", "id", Required, AnyName, "Name of this router, unique in the fleet."),
-    row<&S::router, &S::Router::failureDomain>("router", "failure_domain", Required, AnyName, "Failure domain that this VM is in."),
-    row<&S::router, &S::Router::versionLabel>("router", "version_label", Optional, AnyText, "Version shown on the operators' port and in the log."),
-    row<&S::callers, &S::Callers::address>("callers", "address", Optional, AnyAddress, "IP number that callers reach."),
-    row<&S::callers, &S::Callers::port>("callers", "port", Optional, AnyPort, "Port that callers reach; 0 lets the system choose."),
-    row<&S::callers, &S::Callers::maxStreams>("callers", "max_streams", Optional, {1, 10'000, {}}, "Requests served at the same time, one thread each."),
-    row<&S::callers, &S::Callers::maxBodyBytes>("callers", "max_body_bytes", Optional, {1'000, 100'000'000, {}}, "Longest request body in bytes."),
-    row<&S::operators, &S::Operators::address>("operators", "address", Optional, AnyAddress, "IP number of the operators' port."),
-    row<&S::operators, &S::Operators::port>("operators", "port", Optional, AnyPort, "Port of status, metrics and readiness; 0 lets the system choose."),
-    row<&S::peers, &S::Peers::address>("peers", "address", Optional, AnyAddress, "IP number that other routers reach."),
-    row<&S::peers, &S::Peers::port>("peers", "port", Optional, AnyPort, "Port for other routers; 0 lets the system choose."),
-    row<&S::peers, &S::Peers::key>("peers", "key", Presence::Secret, {16, MaxTextBytes, {}}, "Secret that all routers of the fleet share."),
-    row<&S::peers, &S::Peers::seeds>("peers", "seeds", Optional, {0, 64, {}}, "Peer ports of routers to ask first, beside the platform's list."),
-    row<&S::peers, &S::Peers::maxConnections>("peers", "max_connections", Optional, {4, 1'000, {}}, "Connections to other routers kept open."),
-    row<&S::platform, &S::Platform::address>("platform", "address", Optional, AnyAddress, "IP number of the platform's object API."),
-    row<&S::platform, &S::Platform::port>("platform", "port", Required, {1, MaxPort, {}}, "Port of the platform's object API."),
-    row<&S::platform, &S::Platform::timeout>("platform", "timeout", Optional, {10 * Millisecond, Minute, {}}, "Longest wait for one call."),
-    row<&S::platform, &S::Platform::watchWait>("platform", "watch_wait", Optional, {100 * Millisecond, 5 * Minute, {}}, "Longest wait of one watch."),
-    row<&S::routing, &S::Routing::strategy>("routing", "strategy", Optional, Strategies, "How an upstream is chosen."),
-    row<&S::routing, &S::Routing::seed>("routing", "seed", Optional, {}, "Seed of random choices."),
-    row<&S::routing, &S::Routing::indexBytes>("routing", "index_bytes", Optional, {1'000'000, 200'000'000, {}}, "Bound of the prefix index in bytes."),
-    row<&S::admission, &S::Admission::configuredRouters>("admission", "configured_routers", Optional, {1, 10'000, {}},
-                                                         "Routers in the fleet; shares of limits are split by it while peers are cut off."),
-    row<&S::admission, &S::Admission::maxQueue>("admission", "max_queue", Optional, {1, 100'000, {}}, "Waiting requests of all customers together."),
-    row<&S::admission, &S::Admission::retryBudgetPercent>("admission", "retry_budget_percent", Optional, {0, 100, {}},
-                                                          "Retries and hedges allowed for each hundred requests to a pool."),
-    row<&S::timings, &S::Timings::loadPoll>("timings", "load_poll", Optional, {10 * Millisecond, Minute, {}}, "Time between load reports of one upstream."),
-    row<&S::timings, &S::Timings::heartbeat>("timings", "heartbeat", Optional, {50 * Millisecond, Minute, {}}, "Time between probes of other routers."),
-    row<&S::timings, &S::Timings::suspicion>("timings", "suspicion", Optional, {100 * Millisecond, 10 * Minute, {}},
-                                             "Time from a missed probe until a router counts as dead."),
-    row<&S::timings, &S::Timings::drainLag>("timings", "drain_lag", Optional, {0, 5 * Minute, {}},
-                                            "How long the balancer goes on sending requests after the router says that it is not ready."),
-    row<&S::timings, &S::Timings::lease>("timings", "lease", Optional, {500 * Millisecond, 10 * Minute, {}}, "Lease of a failure domain's controller."),
-    row<&S::timings, &S::Timings::snapshot>("timings", "snapshot", Optional, {500 * Millisecond, 10 * Minute, {}},
-                                            "Time between stored snapshots for warm starts."),
-    row<&S::timings, &S::Timings::warmStart>("timings", "warm_start", Optional, {0, Minute, {}}, "Longest wait for other routers at a start."),
-    row<&S::timings, &S::Timings::upstreamTimeout>("timings", "upstream_timeout", Optional, {50 * Millisecond, 10 * Minute, {}},
-                                                   "Longest wait for an upstream's answer that doesn't stream."),
-    row<&S::logs, &S::Logs::directory>("logs", "directory", Optional, AnyText, "Folder of log files; empty for standard error."),
-    row<&S::logs, &S::Logs::level>("logs", "level", Optional, {}, "Least level that is logged: info, warning or error."),
+const std::array KeyTable{
+    describeKey<&S::router, &S::Router::id>("router", "id", Required, AnyName, "Name of this router, unique in the fleet."),
+    describeKey<&S::router, &S::Router::failureDomain>("router", "failure_domain", Required, AnyName, "Failure domain that this VM is in."),
+    describeKey<&S::router, &S::Router::versionLabel>("router", "version_label", Optional, AnyText, "Version shown on the operators' port and in the log."),
+    describeKey<&S::callers, &S::Callers::address>("callers", "address", Optional, AnyAddress, "IP number that callers reach."),
+    describeKey<&S::callers, &S::Callers::port>("callers", "port", Optional, AnyPort, "Port that callers reach; 0 lets the system choose."),
+    describeKey<&S::callers, &S::Callers::maxStreams>("callers", "max_streams", Optional, {1, 10'000, {}},
+                                                      "Requests served at the same time, one thread each."),
+    describeKey<&S::callers, &S::Callers::maxBodyBytes>("callers", "max_body_bytes", Optional, {1'000, 100'000'000, {}}, "Longest request body in bytes."),
+    describeKey<&S::operators, &S::Operators::address>("operators", "address", Optional, AnyAddress, "IP number of the operators' port."),
+    describeKey<&S::operators, &S::Operators::port>("operators", "port", Optional, AnyPort, "Port of status, metrics and readiness; 0 lets the system choose."),
+    describeKey<&S::peers, &S::Peers::address>("peers", "address", Optional, AnyAddress, "IP number that other routers reach."),
+    describeKey<&S::peers, &S::Peers::port>("peers", "port", Optional, AnyPort, "Port for other routers; 0 lets the system choose."),
+    describeKey<&S::peers, &S::Peers::key>("peers", "key", Presence::Secret, {16, MaxTextBytes, {}}, "Secret that all routers of the fleet share."),
+    describeKey<&S::peers, &S::Peers::seeds>("peers", "seeds", Optional, {0, 64, {}}, "Peer ports of routers to ask first, beside the platform's list."),
+    describeKey<&S::peers, &S::Peers::maxConnections>("peers", "max_connections", Optional, {4, 1'000, {}}, "Connections to other routers kept open."),
+    describeKey<&S::platform, &S::Platform::address>("platform", "address", Optional, AnyAddress, "IP number of the platform's object API."),
+    describeKey<&S::platform, &S::Platform::port>("platform", "port", Required, {1, MaxPort, {}}, "Port of the platform's object API."),
+    describeKey<&S::platform, &S::Platform::timeout>("platform", "timeout", Optional, {10 * Millisecond, Minute, {}}, "Longest wait for one call."),
+    describeKey<&S::platform, &S::Platform::watchWait>("platform", "watch_wait", Optional, {100 * Millisecond, 5 * Minute, {}}, "Longest wait of one watch."),
+    describeKey<&S::routing, &S::Routing::strategy>("routing", "strategy", Optional, Strategies, "How an upstream is chosen."),
+    describeKey<&S::routing, &S::Routing::seed>("routing", "seed", Optional, {}, "Seed of random choices."),
+    describeKey<&S::routing, &S::Routing::indexBytes>("routing", "index_bytes", Optional, {1'000'000, 200'000'000, {}}, "Bound of the prefix index in bytes."),
+    describeKey<&S::admission, &S::Admission::configuredRouters>("admission", "configured_routers", Optional, {1, 10'000, {}},
+                                                                 "Routers in the fleet; shares of limits are split by it while peers are cut off."),
+    describeKey<&S::admission, &S::Admission::maxQueue>("admission", "max_queue", Optional, {1, 100'000, {}}, "Waiting requests of all customers together."),
+    describeKey<&S::admission, &S::Admission::retryBudgetPercent>("admission", "retry_budget_percent", Optional, {0, 100, {}},
+                                                                  "Retries and hedges allowed for each hundred requests to a pool."),
+    describeKey<&S::timings, &S::Timings::loadPoll>("timings", "load_poll", Optional, {10 * Millisecond, Minute, {}},
+                                                    "Time between load reports of one upstream."),
+    describeKey<&S::timings, &S::Timings::heartbeat>("timings", "heartbeat", Optional, {50 * Millisecond, Minute, {}}, "Time between probes of other routers."),
+    describeKey<&S::timings, &S::Timings::suspicion>("timings", "suspicion", Optional, {100 * Millisecond, 10 * Minute, {}},
+                                                     "Time from a missed probe until a router counts as dead."),
+    describeKey<&S::timings, &S::Timings::drainLag>("timings", "drain_lag", Optional, {0, 5 * Minute, {}},
+                                                    "How long the balancer goes on sending requests after the router says that it is not ready."),
+    describeKey<&S::timings, &S::Timings::lease>("timings", "lease", Optional, {500 * Millisecond, 10 * Minute, {}}, "Lease of a failure domain's controller."),
+    describeKey<&S::timings, &S::Timings::snapshot>("timings", "snapshot", Optional, {500 * Millisecond, 10 * Minute, {}},
+                                                    "Time between stored snapshots for warm starts."),
+    describeKey<&S::timings, &S::Timings::warmStart>("timings", "warm_start", Optional, {0, Minute, {}}, "Longest wait for other routers at a start."),
+    describeKey<&S::timings, &S::Timings::upstreamTimeout>("timings", "upstream_timeout", Optional, {50 * Millisecond, 10 * Minute, {}},
+                                                           "Longest wait for an upstream's answer that doesn't stream."),
+    describeKey<&S::logs, &S::Logs::directory>("logs", "directory", Optional, AnyText, "Folder of log files; empty for standard error."),
+    describeKey<&S::logs, &S::Logs::level>("logs", "level", Optional, {}, "Least level that is logged: info, warning or error."),
 };
 
-std::string rangeText(const KeyRow &row)
+std::string rangeText(const KeyDescription &row)
 {
     if (!row.bounds.choices.empty()) {
         std::string text(row.bounds.choices);
@@ -331,8 +333,8 @@
         return text;
     }
     if (row.form == "number" || row.form == "duration") {
-        const bool isOpen = row.bounds.greatest == std::numeric_limits<std::int64_t>::max();
-        return row.formatBound(row.bounds.least) + (isOpen ? " or more" : " to " + row.formatBound(row.bounds.greatest));
+        const bool isUnbounded = row.bounds.maximum == std::numeric_limits<std::int64_t>::max();
+        return row.formatBound(row.bounds.minimum) + (isUnbounded ? " or more" : " to " + row.formatBound(row.bounds.maximum));
     }
     return {};
 }
@@ -344,17 +346,17 @@
 
 bool isSection(std::string_view section)
 {
-    return std::any_of(Rows.begin(), Rows.end(), [section](const KeyRow &it) {
+    return std::any_of(KeyTable.begin(), KeyTable.end(), [section](const KeyDescription &it) {
         return it.section == section;
     });
 }
 
 // Returns the names in a row that fit, "a, b, c": sections, or the keys of one.
-std::string namesFor(std::string_view section)
+std::string listNames(std::string_view section)
 {
     std::string text;
     std::string_view last;
-    for (const auto &it : Rows) {
+    for (const auto &it : KeyTable) {
         const auto name = section.empty() ? it.section : it.name;
         if ((section.empty() || it.section == section) && name != last) {
             text += (text.empty() ? "" : ", ") + std::string(name);
@@ -365,7 +367,7 @@
 }
 
 // Values that must fit each other, checked once all keys are read.
-Result<void> checkTogether(const Settings &settings, std::string_view fileName)
+Result<void> checkConsistency(const Settings &settings, std::string_view fileName)
 {
     for (const auto *address : {&settings.callers.address, &settings.operators.address, &settings.peers.address, &settings.platform.address}) {
         if (const auto parsed = parseAddress(*address); !parsed) {
@@ -381,11 +383,11 @@
 
 Result<void> applyEntry(Settings &settings, const IniSection &section, const IniEntry &entry, std::string_view fileName)
 {
-    const auto *const it = std::find_if(Rows.begin(), Rows.end(), [&](const KeyRow &candidate) {
+    const auto *const it = std::find_if(KeyTable.begin(), KeyTable.end(), [&](const KeyDescription &candidate) {
         return candidate.section == section.name && candidate.name == entry.key;
     });
-    if (it == Rows.end()) {
-        return lineError(fileName, entry.line, "unknown key '" + entry.key + "' in [" + section.name + "]; write one of " + namesFor(section.name));
+    if (it == KeyTable.end()) {
+        return lineError(fileName, entry.line, "unknown key '" + entry.key + "' in [" + section.name + "]; write one of " + listNames(section.name));
     }
     if (const auto parsed = it->parse(settings, entry.value, it->bounds); !parsed) {
         return lineError(fileName, entry.line, "key '" + entry.key + "': " + parsed.error().message);
@@ -399,8 +401,8 @@
 {
     const Settings defaults;
     std::vector<SettingsKey> keys;
-    keys.reserve(Rows.size());
-    for (const auto &it : Rows) {
+    keys.reserve(KeyTable.size());
+    for (const auto &it : KeyTable) {
         keys.push_back({it.section, it.name, it.form, it.presence == Optional ? it.format(defaults) : std::string{}, rangeText(it), it.meaning});
     }
     return keys;
@@ -414,7 +416,7 @@
         << "comments. A long value goes on in the next line, which then begins with a space. Unknown, repeated or wrong keys stop\n"
         << "the start with exit code 2 and a message that names file, line and key.\n";
     std::string_view section;
-    for (const auto &it : Rows) {
+    for (const auto &it : KeyTable) {
         if (it.section != section) {
             section = it.section;
             out << "\n## [" << section << "]\n\n| key | form | default | range | meaning |\n|---|---|---|---|---|\n";
@@ -433,7 +435,7 @@
     std::set<std::string> seen; // "section" and "section.key"
     for (const auto &section : document.sections) {
         if (!isSection(section.name)) {
-            return lineError(fileName, section.line, "unknown section [" + section.name + "]; write one of " + namesFor({}));
+            return lineError(fileName, section.line, "unknown section [" + section.name + "]; write one of " + listNames({}));
         }
         if (!seen.insert(section.name).second) {
             return lineError(fileName, section.line, "section [" + section.name + "] stands twice; keep one and put all its keys there");
@@ -445,14 +447,14 @@
             }
         }
     }
-    for (const auto &it : Rows) {
+    for (const auto &it : KeyTable) {
         const std::string key = std::string(it.section) + '.' + std::string(it.name);
         if (it.presence != Optional && !seen.contains(key)) {
             return base::fail(base::ErrorKind::InvalidArgument, std::string(fileName) + ": key '" + std::string(it.name) + "' is missing; write it in ["
                                                                     + std::string(it.section) + "]: " + std::string(it.meaning));
         }
     }
-    BOOST_OUTCOME_TRY(checkTogether(settings, fileName));
+    BOOST_OUTCOME_TRY(checkConsistency(settings, fileName));
     return settings;
 }
 
--- a/carawaylatch/config/tablecheck.cpp
+++ b/carawaylatch/config/tablecheck.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::string_view ServicePrefix = "/v1/services/";
 
-base::Error conflict(const std::string &where, const std::string &message)
+base::Error inconsistency(const std::string &where, const std::string &message)
 {
     return base::fail(base::ErrorKind::InvalidArgument, where + message);
 }
@@ -44,8 +44,8 @@
     for (const auto &it : tables.customers) {
         const auto [other, isNew] = digests.emplace(it.keyDigest, it.id);
         if (!isNew) {
-            return conflict(locate({"customer", it.id.value()}),
-                            "customer " + it.id.value() + " has the key of customer " + other->second.value() + "; give each its own key");
+            return inconsistency(locate({"customer", it.id.value()}),
+                                 "customer " + it.id.value() + " has the key of customer " + other->second.value() + "; give each its own key");
         }
     }
     return ok();
@@ -54,10 +54,10 @@
 Result<void> checkPool(const Pool &pool, const std::string &where)
 {
     if (pool.kind == UpstreamKind::Engine && pool.model.isEmpty()) {
-        return conflict(where, "pool " + pool.name.value() + " of engines has no model; write model = NAME");
+        return inconsistency(where, "pool " + pool.name.value() + " of engines has no model; write model = NAME");
     }
     if (pool.kind == UpstreamKind::Service && (!pool.model.isEmpty() || pool.weightsVersion.value != 0 || !pool.adapter.empty())) {
-        return conflict(where, "pool " + pool.name.value() + " of services has a model, weights version or adapter; remove these or write kind = engine");
+        return inconsistency(where, "pool " + pool.name.value() + " of services has a model, weights version or adapter; remove these or write kind = engine");
     }
     return ok();
 }
@@ -71,54 +71,56 @@
         std::set<base::UpstreamId> inPool;
         for (const auto &it : pool.members) {
             if (!inPool.insert(it.id).second) {
-                return conflict(where, "pool " + pool.name.value() + " has member " + it.id.value() + " twice; remove one");
+                return inconsistency(where, "pool " + pool.name.value() + " has member " + it.id.value() + " twice; remove one");
             }
             const auto &[otherPool, other] = byId.try_emplace(it.id, &pool, &it).first->second;
             if (other->endpoint != it.endpoint || other->domain != it.domain) {
-                return conflict(where, "member " + it.id.value() + " has another endpoint or failure domain in pool " + otherPool->name.value()
-                                           + "; write the same in both or rename one");
+                return inconsistency(where, "member " + it.id.value() + " has another endpoint or failure domain in pool " + otherPool->name.value()
+                                                + "; write the same in both or rename one");
             }
             if (otherPool->model != pool.model) {
-                return conflict(where, "member " + it.id.value() + " serves another model in pool " + otherPool->name.value() + "; an upstream has one model");
+                return inconsistency(where,
+                                     "member " + it.id.value() + " serves another model in pool " + otherPool->name.value() + "; an upstream has one model");
             }
             if (const auto owner = byEndpoint.try_emplace(it.endpoint, it.id).first->second; owner != it.id) {
-                return conflict(where, "members " + it.id.value() + " and " + owner.value() + " have the endpoint " + formatEndpoint(it.endpoint)
-                                           + "; give each its own");
+                return inconsistency(where, "members " + it.id.value() + " and " + owner.value() + " have the endpoint " + formatEndpoint(it.endpoint)
+                                                + "; give each its own");
             }
         }
     }
     return ok();
 }
 
-Result<void> checkJoin(const Route &route, const Tables &tables, const std::string &where)
+Result<void> checkRoute(const Route &route, const Tables &tables, const std::string &where)
 {
     const auto pool = std::find_if(tables.pools.begin(), tables.pools.end(), [&](const Pool &it) {
         return it.name == route.pool;
     });
     const std::string label = "route " + route.name.value();
     if (pool == tables.pools.end()) {
-        return conflict(where,
-                        label + " goes to pool '" + route.pool.value() + "', which doesn't exist; add [pool " + route.pool.value() + "] or name another");
+        return inconsistency(where,
+                             label + " goes to pool '" + route.pool.value() + "', which doesn't exist; add [pool " + route.pool.value() + "] or name another");
     }
     const bool isServicePath = route.path.starts_with(ServicePrefix);
     if (isServicePath != (pool->kind == UpstreamKind::Service)) {
-        return conflict(where, label + " has path " + route.path + " but pool " + pool->name.value()
-                                   + " is of another kind; write /v1/services/NAME for services, /v1/completions or /v1/chat/completions for engines");
+        return inconsistency(where, label + " has path " + route.path + " but pool " + pool->name.value()
+                                        + " is of another kind; write /v1/services/NAME for services, /v1/completions or /v1/chat/completions for engines");
     }
     if (route.model != pool->model) {
-        return conflict(where, label + " names model '" + route.model.value() + "' but pool " + pool->name.value() + " serves '" + pool->model.value()
-                                   + "'; write the same in both");
+        return inconsistency(where, label + " names model '" + route.model.value() + "' but pool " + pool->name.value() + " serves '" + pool->model.value()
+                                        + "'; write the same in both");
     }
     for (const auto &it : route.customers) {
         const bool isKnown = std::any_of(tables.customers.begin(), tables.customers.end(), [&](const Customer &customer) {
             return customer.id == it;
         });
         if (!isKnown) {
-            return conflict(where, label + " names customer '" + it.value() + "', who doesn't exist; add [customer " + it.value() + "] or remove the name");
+            return inconsistency(where,
+                                 label + " names customer '" + it.value() + "', who doesn't exist; add [customer " + it.value() + "] or remove the name");
         }
     }
     if (route.idempotency == Idempotency::AtMostOnce && route.hedging == Hedging::On) {
-        return conflict(where, label + " hedges calls that may run at most once; write hedging = off");
+        return inconsistency(where, label + " hedges calls that may run at most once; write hedging = off");
     }
     return ok();
 }
@@ -143,8 +145,8 @@
         auto &others = byTarget[{route.path, route.model}];
         for (const auto *it : others) {
             if (isAmbiguous(route, *it)) {
-                return conflict(locate(routeKey(route)), "routes " + it->name.value() + " and " + route.name.value()
-                                                             + " match the same requests; change path, model, class or customers of one");
+                return inconsistency(locate(routeKey(route)), "routes " + it->name.value() + " and " + route.name.value()
+                                                                  + " match the same requests; change path, model, class or customers of one");
             }
         }
         others.push_back(&route);
@@ -162,7 +164,7 @@
     }
     BOOST_OUTCOME_TRY(checkMembers(tables, locate));
     for (const auto &it : tables.routes) {
-        BOOST_OUTCOME_TRY(checkJoin(it, tables, locate(routeKey(it))));
+        BOOST_OUTCOME_TRY(checkRoute(it, tables, locate(routeKey(it))));
     }
     return checkAmbiguity(tables, locate);
 }
--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -52,7 +52,7 @@
 }
 
 template <typename T>
-Result<void> store(T &member, Result<T> value)
+Result<void> assignResult(T &member, Result<T> value)
 {
     if (!value) {
         return value.error();
@@ -62,7 +62,7 @@
 }
 
 template <typename Tag>
-Result<void> storeName(base::Name<Tag> &member, std::string_view text)
+Result<void> parseNameInto(base::Name<Tag> &member, std::string_view text)
 {
     BOOST_OUTCOME_TRY(name, parseName(text));
     member = base::Name<Tag>(name);
@@ -70,18 +70,18 @@
 }
 
 template <typename T>
-Result<void> storeNumber(T &member, std::string_view text, std::uint64_t least, std::uint64_t greatest)
+Result<void> parseNumberInto(T &member, std::string_view text, std::uint64_t minimum, std::uint64_t maximum)
 {
     BOOST_OUTCOME_TRY(value, parseNumber(text));
-    if (value < least || value > greatest) {
-        return invalid("'" + std::string(text) + "' is out of range; write a number from " + std::to_string(least) + " to " + std::to_string(greatest));
+    if (value < minimum || value > maximum) {
+        return invalid("'" + std::string(text) + "' is out of range; write a number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
     }
     member = static_cast<T>(value);
     return ok();
 }
 
 template <typename T>
-Result<void> storeChoice(T &member, std::string_view text, std::string_view first, std::string_view second, T firstValue, T secondValue)
+Result<void> parseChoiceInto(T &member, std::string_view text, std::string_view first, std::string_view second, T firstValue, T secondValue)
 {
     if (text != first && text != second) {
         return invalid("'" + std::string(text) + "' is unknown; write " + std::string(first) + " or " + std::string(second));
@@ -90,7 +90,7 @@
     return ok();
 }
 
-Result<void> storeDigest(std::string &member, std::string_view text)
+Result<void> parseDigestInto(std::string &member, std::string_view text)
 {
     if (text.size() != KeyDigestDigits || text.find_first_not_of("0123456789abcdef") != std::string_view::npos) {
         return invalid("a key digest is 32 lower-case hex digits; `carawaylatchctl digest` prints the one of a key");
@@ -99,7 +99,7 @@
     return ok();
 }
 
-Result<void> storeMember(std::vector<PoolMember> &members, std::string_view text)
+Result<void> parseMemberInto(std::vector<PoolMember> &members, std::string_view text)
 {
     const auto words = splitWords(text);
     if (words.size() != 3) {
@@ -112,7 +112,7 @@
     return ok();
 }
 
-Result<void> storeCustomers(std::vector<base::CustomerId> &customers, std::string_view text)
+Result<void> parseCustomersInto(std::vector<base::CustomerId> &customers, std::string_view text)
 {
     for (const auto it : splitList(text)) {
         BOOST_OUTCOME_TRY(name, parseName(it));
@@ -121,7 +121,7 @@
     return ok();
 }
 
-Result<void> storePath(std::string &member, std::string_view text)
+Result<void> parsePathInto(std::string &member, std::string_view text)
 {
     constexpr std::string_view ServicePrefix = "/v1/services/";
     const bool isService = text.starts_with(ServicePrefix) && parseName(text.substr(ServicePrefix.size()));
@@ -132,7 +132,7 @@
     return ok();
 }
 
-Result<void> storeDeadline(base::Duration &member, std::string_view text)
+Result<void> parseDeadlineInto(base::Duration &member, std::string_view text)
 {
     BOOST_OUTCOME_TRY(value, parseDuration(text));
     if (value < base::milliseconds{10} || value > base::hours{1}) {
@@ -145,53 +145,53 @@
 const std::array CustomerFields{
     Field<Customer>{"key_digest", "32 hex digits", "Digest of the customer's bearer key; must be given.",
                     [](Customer &it, std::string_view text) {
-                        return storeDigest(it.keyDigest, text);
+                        return parseDigestInto(it.keyDigest, text);
                     }},
     Field<Customer>{"weight", "number above 0", "Share in fair queueing; 1 by default.",
                     [](Customer &it, std::string_view text) -> Result<void> {
-                        BOOST_OUTCOME_TRY(store(it.weight, parseFraction(text)));
+                        BOOST_OUTCOME_TRY(assignResult(it.weight, parseFraction(text)));
                         constexpr double MaxWeight = 1000;
                         return it.weight > 0 && it.weight <= MaxWeight ? Result<void>(ok())
                                                                        : invalid("a weight is above 0 and at most 1000; write 1 for a usual share");
                     }},
     Field<Customer>{"requests_per_second", "number", "Limit over all routers; 0, the default, for none.",
                     [](Customer &it, std::string_view text) {
-                        return store(it.requestsPerSecond, parseFraction(text));
+                        return assignResult(it.requestsPerSecond, parseFraction(text));
                     }},
     Field<Customer>{"concurrency", "number", "Requests at the same time over all routers; 0, the default, for no limit.",
                     [](Customer &it, std::string_view text) {
-                        return storeNumber(it.concurrency, text, 0, UINT32_MAX);
+                        return parseNumberInto(it.concurrency, text, 0, UINT32_MAX);
                     }},
 };
 
 const std::array PoolFields{
     Field<Pool>{"kind", "engine or service", "What stands behind the pool; engine by default.",
                 [](Pool &it, std::string_view text) {
-                    return storeChoice(it.kind, text, "engine", "service", UpstreamKind::Engine, UpstreamKind::Service);
+                    return parseChoiceInto(it.kind, text, "engine", "service", UpstreamKind::Engine, UpstreamKind::Service);
                 }},
     Field<Pool>{"fencing", "checked or ignored", "Whether the upstreams refuse orders with an old fencing number; ignored by default.",
                 [](Pool &it, std::string_view text) {
-                    return storeChoice(it.fencing, text, "checked", "ignored", OrderFencing::Checked, OrderFencing::Ignored);
+                    return parseChoiceInto(it.fencing, text, "checked", "ignored", OrderFencing::Checked, OrderFencing::Ignored);
                 }},
     Field<Pool>{"model", "name", "Model of all members; for engines it must be given.",
                 [](Pool &it, std::string_view text) {
-                    return storeName(it.model, text);
+                    return parseNameInto(it.model, text);
                 }},
     Field<Pool>{"weights_version", "number", "Version of the weights to serve.",
                 [](Pool &it, std::string_view text) {
-                    return storeNumber(it.weightsVersion.value, text, 0, INT64_MAX);
+                    return parseNumberInto(it.weightsVersion.value, text, 0, INT64_MAX);
                 }},
     Field<Pool>{"adapter", "name", "Adapter to serve; none by default.",
                 [](Pool &it, std::string_view text) {
-                    return store(it.adapter, parseName(text));
+                    return assignResult(it.adapter, parseName(text));
                 }},
     Field<Pool>{"block_bytes", "number", "Prompt bytes in one cached block; 4000 by default.",
                 [](Pool &it, std::string_view text) {
-                    return storeNumber(it.blockBytes, text, 16, 1'000'000);
+                    return parseNumberInto(it.blockBytes, text, 16, 1'000'000);
                 }},
     Field<Pool>{"max_loads", "number", "Weight loads at the same time; 2 by default.",
                 [](Pool &it, std::string_view text) {
-                    return storeNumber(it.maxLoads, text, 1, 1'000);
+                    return parseNumberInto(it.maxLoads, text, 1, 1'000);
                 }},
     Field<Pool>{"kv_store", "endpoint", "KV cache store that the members share; none by default.",
                 [](Pool &it, std::string_view text) -> Result<void> {
@@ -201,7 +201,7 @@
                 }},
     Field<Pool>{"member", "ID ADDRESS:PORT FAILURE-DOMAIN", "One upstream; repeat the key for each.",
                 [](Pool &it, std::string_view text) {
-                    return storeMember(it.members, text);
+                    return parseMemberInto(it.members, text);
                 },
                 Repetition::Many},
 };
@@ -209,42 +209,42 @@
 const std::array RouteFields{
     Field<Route>{"customers", "names between commas", "Who may use the route; every customer by default.",
                  [](Route &it, std::string_view text) {
-                     return storeCustomers(it.customers, text);
+                     return parseCustomersInto(it.customers, text);
                  }},
     Field<Route>{"path", "path", "`/v1/completions`, `/v1/chat/completions` or `/v1/services/NAME`; must be given.",
                  [](Route &it, std::string_view text) {
-                     return storePath(it.path, text);
+                     return parsePathInto(it.path, text);
                  }},
     Field<Route>{"model", "name", "Model that requests name; for engines it must be given.",
                  [](Route &it, std::string_view text) {
-                     return storeName(it.model, text);
+                     return parseNameInto(it.model, text);
                  }},
     Field<Route>{"class", "interactive or batch", "Class of the requests; both by default.",
                  [](Route &it, std::string_view text) -> Result<void> {
                      auto value = base::TrafficClass::Interactive;
-                     BOOST_OUTCOME_TRY(storeChoice(value, text, "interactive", "batch", base::TrafficClass::Interactive, base::TrafficClass::Batch));
+                     BOOST_OUTCOME_TRY(parseChoiceInto(value, text, "interactive", "batch", base::TrafficClass::Interactive, base::TrafficClass::Batch));
                      it.trafficClass = value;
                      return ok();
                  }},
     Field<Route>{"pool", "name", "Pool that serves the route; must be given.",
                  [](Route &it, std::string_view text) {
-                     return storeName(it.pool, text);
+                     return parseNameInto(it.pool, text);
                  }},
     Field<Route>{"deadline", "duration", "Longest time for a request; 30s by default.",
                  [](Route &it, std::string_view text) {
-                     return storeDeadline(it.deadline, text);
+                     return parseDeadlineInto(it.deadline, text);
                  }},
     Field<Route>{"idempotency", "idempotent or at-most-once", "Whether a call may be repeated; idempotent by default.",
                  [](Route &it, std::string_view text) {
-                     return storeChoice(it.idempotency, text, "idempotent", "at-most-once", Idempotency::Idempotent, Idempotency::AtMostOnce);
+                     return parseChoiceInto(it.idempotency, text, "idempotent", "at-most-once", Idempotency::Idempotent, Idempotency::AtMostOnce);
                  }},
     Field<Route>{"hedging", "on or off", "Whether a slow request is tried at a second upstream; off by default.",
                  [](Route &it, std::string_view text) {
-                     return storeChoice(it.hedging, text, "on", "off", Hedging::On, Hedging::Off);
+                     return parseChoiceInto(it.hedging, text, "on", "off", Hedging::On, Hedging::Off);
                  }},
     Field<Route>{"max_prompt_bytes", "number", "Longest prompt; 4000000 by default.",
                  [](Route &it, std::string_view text) {
-                     return storeNumber(it.maxPromptBytes, text, 1, MaxPromptBytesLimit);
+                     return parseNumberInto(it.maxPromptBytes, text, 1, MaxPromptBytesLimit);
                  }},
 };
 
@@ -273,7 +273,7 @@
     return summaries;
 }
 
-const std::vector<KindSummary> &kinds()
+const std::vector<KindSummary> &rowKinds()
 {
     static const std::vector<KindSummary> Kinds{{"customer", summarize(CustomerFields)}, {"pool", summarize(PoolFields)}, {"route", summarize(RouteFields)}};
     return Kinds;
@@ -299,12 +299,12 @@
 }
 
 // Checks a row against the kinds and fields that this version knows.
-Result<void> checkKnown(const Row &row, std::string_view fileName)
+Result<void> checkKnownFields(const Row &row, std::string_view fileName)
 {
-    const auto kind = std::find_if(kinds().begin(), kinds().end(), [&](const KindSummary &it) {
+    const auto kind = std::find_if(rowKinds().begin(), rowKinds().end(), [&](const KindSummary &it) {
         return it.kind == row.key.kind;
     });
-    if (kind == kinds().end()) {
+    if (kind == rowKinds().end()) {
         return invalid(location(fileName, row.line) + "unknown kind '" + row.key.kind + "'; write customer, pool or route");
     }
     std::set<std::string> seen;
@@ -327,7 +327,7 @@
 }
 
 template <typename T, typename Fields>
-Result<T> convert(const Row &row, T typed, const Fields &fields, std::string_view fileName)
+Result<T> parseFields(const Row &row, T typed, const Fields &fields, std::string_view fileName)
 {
     for (const auto &field : row.fields) {
         const auto it = std::find_if(fields.begin(), fields.end(), [&](const Field<T> &known) {
@@ -343,7 +343,7 @@
     return typed;
 }
 
-Result<void> needs(const Row &row, bool isGiven, std::string_view key, std::string_view fileName)
+Result<void> requireKey(const Row &row, bool isGiven, std::string_view key, std::string_view fileName)
 {
     if (isGiven) {
         return ok();
@@ -354,20 +354,20 @@
 Result<void> addRow(Tables &tables, const Row &row, std::string_view fileName)
 {
     if (row.key.kind == "customer") {
-        BOOST_OUTCOME_TRY(it, convert(row, Customer{base::CustomerId(row.key.name), {}, 1.0, 0, 0}, CustomerFields, fileName));
-        BOOST_OUTCOME_TRY(needs(row, !it.keyDigest.empty(), "key_digest", fileName));
+        BOOST_OUTCOME_TRY(it, parseFields(row, Customer{base::CustomerId(row.key.name), {}, 1.0, 0, 0}, CustomerFields, fileName));
+        BOOST_OUTCOME_TRY(requireKey(row, !it.keyDigest.empty(), "key_digest", fileName));
         tables.customers.push_back(std::move(it));
     } else if (row.key.kind == "pool") {
         Pool pool;
         pool.name = base::PoolName(row.key.name);
-        BOOST_OUTCOME_TRY(it, convert(row, std::move(pool), PoolFields, fileName));
+        BOOST_OUTCOME_TRY(it, parseFields(row, std::move(pool), PoolFields, fileName));
         tables.pools.push_back(std::move(it));
     } else if (row.key.kind == "route") {
         Route route;
         route.name = base::RouteName(row.key.name);
-        BOOST_OUTCOME_TRY(it, convert(row, std::move(route), RouteFields, fileName));
-        BOOST_OUTCOME_TRY(needs(row, !it.path.empty(), "path", fileName));
-        BOOST_OUTCOME_TRY(needs(row, !it.pool.isEmpty(), "pool", fileName));
+        BOOST_OUTCOME_TRY(it, parseFields(row, std::move(route), RouteFields, fileName));
+        BOOST_OUTCOME_TRY(requireKey(row, !it.path.empty(), "path", fileName));
+        BOOST_OUTCOME_TRY(requireKey(row, !it.pool.isEmpty(), "pool", fileName));
         tables.routes.push_back(std::move(it));
     }
     return ok();
@@ -442,7 +442,7 @@
     for (const auto &section : document.sections) {
         BOOST_OUTCOME_TRY(row, rowFromSection(section, fileName));
         if (reading == TableParsing::Strict) {
-            BOOST_OUTCOME_TRY(checkKnown(row, fileName));
+            BOOST_OUTCOME_TRY(checkKnownFields(row, fileName));
         }
         if (const auto *other = rows.find(row.key); other != nullptr) {
             return invalid(linePrefix(fileName, section.line) + "[" + rowLabel(row.key) + "] stands already in line " + std::to_string(other->line)
@@ -495,7 +495,7 @@
         << "Operators edit customers, pools and routes as INI text and hand it in with `carawaylatchctl apply`. A row is a section\n"
         << "`[KIND NAME]`; names have letters, digits, `.`, `_` and `-`. A row may carry `revision = N`, as `carawaylatchctl get` prints it:\n"
         << "the edit is then refused if someone else changed the row after revision N.\n";
-    for (const auto &kind : kinds()) {
+    for (const auto &kind : rowKinds()) {
         out << "\n## [" << kind.kind << " NAME]\n\n| key | form | meaning |\n|---|---|---|\n";
         for (const auto &it : kind.fields) {
             out << "| `" << it.key << "` | " << it.form << " | " << it.meaning << " |\n";
--- a/carawaylatch/config/testing/distributortest.cpp
+++ b/carawaylatch/config/testing/distributortest.cpp
@@ -62,10 +62,10 @@
     // An operator's edit is accepted; watchers with a platform read it.
     void accept(std::uint64_t id, const std::string &pool)
     {
-        EditCommit acceptance(poolEdit(id, pool, id), {});
-        m_platform.finish(acceptance);
-        CPPUNIT_ASSERT(acceptance.outcome().has_value());
-        m_history[acceptance.outcome().value().revision] = acceptance.outcome().value().rows;
+        EditCommit commit(poolEdit(id, pool, id), {});
+        m_platform.finish(commit);
+        CPPUNIT_ASSERT(commit.outcome().has_value());
+        m_history[commit.outcome().value().revision] = commit.outcome().value().rows;
         for (std::uint32_t n = 0; n < m_size; ++n) {
             if (m_nodes[n]->isWatcher() && !m_withoutPlatform.contains(n % Domains)) {
                 readStored(n);
--- a/carawaylatch/config/testing/editcommittest.cpp
+++ b/carawaylatch/config/testing/editcommittest.cpp
@@ -63,12 +63,12 @@
     std::map<std::uint64_t, ErrorKind> refused;
     std::set<std::uint64_t> accepted;
 
-    void add(std::uint64_t id, const EditCommit &acceptance)
+    void add(std::uint64_t id, const EditCommit &commit)
     {
-        if (acceptance.outcome()) {
+        if (commit.outcome()) {
             accepted.insert(id);
         } else {
-            refused[id] = acceptance.outcome().error().kind;
+            refused[id] = commit.outcome().error().kind;
         }
     }
 };
@@ -76,9 +76,9 @@
 void applyEdits(FaultyPlatform &platform, Outcomes &outcomes, std::uint64_t firstId, int count, const std::string &pool)
 {
     for (int i = 0; i < count; ++i) {
-        EditCommit acceptance(poolEdit(firstId + i, pool, firstId + i), Small);
-        platform.finish(acceptance);
-        outcomes.add(firstId + i, acceptance);
+        EditCommit commit(poolEdit(firstId + i, pool, firstId + i), Small);
+        platform.finish(commit);
+        outcomes.add(firstId + i, commit);
     }
 }
 
@@ -134,21 +134,21 @@
             FaultyPlatform platform;
             Outcomes outcomes;
             applyEdits(platform, outcomes, 1, 2, "a");
-            EditCommit acceptance(poolEdit(50, "b", 7), Small);
+            EditCommit commit(poolEdit(50, "b", 7), Small);
             std::optional<StoreRequest> late;
-            for (int calls = 0; acceptance.request() != nullptr; ++calls) {
-                if (acceptance.step() == CommitStep::WriteHead && !late) {
-                    late = *acceptance.request();
+            for (int calls = 0; commit.request() != nullptr; ++calls) {
+                if (commit.step() == CommitStep::WriteHead && !late) {
+                    late = *commit.request();
                     calls = 0;
-                    acceptance.onWritten(base::fail(ErrorKind::Unclear, "no answer"));
+                    commit.onWritten(base::fail(ErrorKind::Unclear, "no answer"));
                 }
                 if (late && calls == lateBy) {
                     (void)platform.memory.write(late->name, late->value, late->expected);
                 }
-                platform.step(acceptance, StoreFault::None);
+                platform.step(commit, StoreFault::None);
             }
             (void)platform.memory.write(late->name, late->value, late->expected);
-            outcomes.add(50, acceptance);
+            outcomes.add(50, commit);
             CPPUNIT_ASSERT(outcomes.accepted.contains(50));
             checkHistory(platform, outcomes.refused, outcomes.accepted, "late by " + std::to_string(lateBy));
         }
@@ -239,11 +239,11 @@
                     running.emplace_back(id, EditCommit(poolEdit(id, std::string(1, static_cast<char>('a' + random.below(3))), id), Small));
                 }
                 const auto n = random.below(running.size());
-                auto &[id, acceptance] = running[n];
+                auto &[id, commit] = running[n];
                 const auto fault = random.below(5) == 0 ? store::AllStoreFaults[random.below(4)] : StoreFault::None;
-                platform.step(acceptance, fault);
-                if (acceptance.request() == nullptr) {
-                    outcomes.add(id, acceptance);
+                platform.step(commit, fault);
+                if (commit.request() == nullptr) {
+                    outcomes.add(id, commit);
                     running.erase(running.begin() + static_cast<std::ptrdiff_t>(n));
                 }
                 const auto head = platform.memory.read(HeadName);
@@ -251,9 +251,9 @@
                 CPPUNIT_ASSERT_MESSAGE("the revision went back", revision >= lastRevision);
                 lastRevision = revision;
             }
-            for (auto &[id, acceptance] : running) {
-                platform.finish(acceptance);
-                outcomes.add(id, acceptance);
+            for (auto &[id, commit] : running) {
+                platform.finish(commit);
+                outcomes.add(id, commit);
             }
             CPPUNIT_ASSERT(outcomes.accepted.size() > 20);
             checkHistory(platform, outcomes.refused, outcomes.accepted, "round " + std::to_string(round));
@@ -304,14 +304,14 @@
         // 9 edits leave a snapshot, and a head that is compacted by the next edit.
         const bool isCompacting = step >= CommitStep::WriteSnapshot && step != CommitStep::WriteHead;
         applyEdits(platform, outcomes, 1, isCompacting ? 10 : 9, "a");
-        EditCommit acceptance(poolEdit(50, "b", 7), Small);
+        EditCommit commit(poolEdit(50, "b", 7), Small);
         int left = fault.calls;
         bool isMet = false;
-        while (acceptance.request() != nullptr) {
-            provoke(platform, acceptance, step, outcomes);
-            isMet = isMet || acceptance.step() == step;
+        while (commit.request() != nullptr) {
+            provoke(platform, commit, step, outcomes);
+            isMet = isMet || commit.step() == step;
             const bool fails = isMet && left > 0;
-            platform.step(acceptance, fails ? fault.fault : StoreFault::None);
+            platform.step(commit, fails ? fault.fault : StoreFault::None);
             if (fails && left-- == fault.calls) {
                 applyEdits(platform, outcomes, 100, fault.otherEdits, "c");
             }
@@ -319,21 +319,21 @@
         if (isMet) {
             met.insert(step);
         }
-        outcomes.add(50, acceptance);
+        outcomes.add(50, commit);
         checkHistory(platform, outcomes.refused, outcomes.accepted, label.str());
         return isMet;
     }
 
     // Loses the head's answer where the wanted step comes only after that.
-    static void provoke(FaultyPlatform &platform, EditCommit &acceptance, CommitStep step, Outcomes &outcomes)
+    static void provoke(FaultyPlatform &platform, EditCommit &commit, CommitStep step, Outcomes &outcomes)
     {
         const bool isAfterLoss = step == CommitStep::ReadBack || step == CommitStep::ReadHistory;
-        if (isAfterLoss && acceptance.step() == CommitStep::WriteHead) {
-            platform.step(acceptance, StoreFault::ResponseLost);
+        if (isAfterLoss && commit.step() == CommitStep::WriteHead) {
+            platform.step(commit, StoreFault::ResponseLost);
             applyEdits(platform, outcomes, 200, step == CommitStep::ReadHistory ? 14 : 0, "d");
         }
-        while (step == CommitStep::ReadHistory && acceptance.step() == CommitStep::ReadBack) {
-            platform.step(acceptance, StoreFault::None);
+        while (step == CommitStep::ReadHistory && commit.step() == CommitStep::ReadBack) {
+            platform.step(commit, StoreFault::None);
         }
     }
 
--- a/carawaylatch/config/testing/faultyplatform.h
+++ b/carawaylatch/config/testing/faultyplatform.h
@@ -18,25 +18,25 @@
     store::FaultyStore faulty{memory};
 
     // Executes the next step of an acceptance under a fault.
-    void step(EditCommit &acceptance, store::StoreFault fault)
+    void step(EditCommit &commit, store::StoreFault fault)
     {
-        const StoreRequest request = *acceptance.request();
+        const StoreRequest request = *commit.request();
         faulty.inject(fault, fault == store::StoreFault::None ? 0 : 1);
         if (request.kind == StoreRequest::Kind::Read) {
-            acceptance.onRead(faulty.read(request.name));
+            commit.onRead(faulty.read(request.name));
         } else if (request.kind == StoreRequest::Kind::Write) {
-            acceptance.onWritten(faulty.write(request.name, request.value, request.expected));
+            commit.onWritten(faulty.write(request.name, request.value, request.expected));
         } else {
             const auto removed = faulty.remove(request.name, request.expected);
-            acceptance.onWritten(removed ? base::Result<store::Version>(store::Version{}) : base::Result<store::Version>(removed.error()));
+            commit.onWritten(removed ? base::Result<store::Version>(store::Version{}) : base::Result<store::Version>(removed.error()));
         }
         faulty.inject(store::StoreFault::None, 0);
     }
 
-    void finish(EditCommit &acceptance)
+    void finish(EditCommit &commit)
     {
-        while (acceptance.request() != nullptr) {
-            step(acceptance, store::StoreFault::None);
+        while (commit.request() != nullptr) {
+            step(commit, store::StoreFault::None);
         }
     }
 };
--- a/carawaylatch/store/faultystore.cpp
+++ b/carawaylatch/store/faultystore.cpp
@@ -56,7 +56,7 @@
 {
     const std::lock_guard lock(m_mutex);
     m_fault = fault;
-    m_left = calls;
+    m_remaining = calls;
     m_skip = skip;
 }
 
@@ -74,10 +74,10 @@
         --m_skip;
         return StoreFault::None;
     }
-    if (m_left == 0) {
+    if (m_remaining == 0) {
         return StoreFault::None;
     }
-    --m_left;
+    --m_remaining;
     return m_fault;
 }
 
--- a/carawaylatch/store/faultystore.h
+++ b/carawaylatch/store/faultystore.h
@@ -47,7 +47,7 @@
     // All below are guarded by m_mutex.
     StoreFault m_fault = StoreFault::None;
     std::uint64_t m_skip = 0;
-    std::uint64_t m_left = 0;
+    std::uint64_t m_remaining = 0;
     std::uint64_t m_calls = 0;
 };
 
--- a/carawaylatch/store/httpobjectstore.cpp
+++ b/carawaylatch/store/httpobjectstore.cpp
@@ -35,11 +35,11 @@
 
 base::Error transportError(httplib::Error error, CallKind kind)
 {
-    const std::string why = httplib::to_string(error);
+    const std::string reason = httplib::to_string(error);
     if (kind == CallKind::Read || error == httplib::Error::Connection) {
-        return base::fail(base::ErrorKind::Unavailable, "the platform was not reached (" + why + "); check [platform] address and port", RetryLater);
+        return base::fail(base::ErrorKind::Unavailable, "the platform was not reached (" + reason + "); check [platform] address and port", RetryLater);
     }
-    return base::fail(base::ErrorKind::Unclear, "the platform's answer was lost (" + why + "); read back to learn whether the write took effect");
+    return base::fail(base::ErrorKind::Unclear, "the platform's answer was lost (" + reason + "); read back to learn whether the write took effect");
 }
 
 base::Error statusError(int status, std::string_view name)
@@ -72,7 +72,7 @@
 
 // An answer that can't be understood says as little as a lost one.
 template <typename T>
-base::Result<T> decodedWrite(base::Result<T> decoded)
+base::Result<T> unclearIfUndecodable(base::Result<T> decoded)
 {
     if (!decoded) {
         return base::fail(base::ErrorKind::Unclear, decoded.error().message + "; read back to learn whether the write took effect");
@@ -100,10 +100,10 @@
 
 } // namespace
 
-class HttpObjectStore::Connections
+class HttpObjectStore::ConnectionPool
 {
 public:
-    Connections(base::Endpoint endpoint, base::FailureDomain domain, base::Duration timeout)
+    ConnectionPool(base::Endpoint endpoint, base::FailureDomain domain, base::Duration timeout)
         : m_endpoint(std::move(endpoint))
         , m_domain(std::move(domain))
         , m_timeout(timeout)
@@ -114,15 +114,15 @@
     template <typename Call>
     base::Result<std::string> run(CallKind kind, std::string_view name, base::Duration extraTime, Call call)
     {
-        auto client = take();
+        auto client = acquire();
         if (!client) {
             return base::fail(base::ErrorKind::Unavailable, "the connection to the platform is closed; the process is stopping");
         }
         client->set_read_timeout(std::chrono::duration_cast<base::microseconds>(m_timeout + extraTime));
-        auto answer = bodyOf(call(*client), kind, name);
-        m_failures += !answer && isOutage(answer.error().kind) ? 1 : 0;
-        give(std::move(client));
-        return answer;
+        auto response = bodyOf(call(*client), kind, name);
+        m_failures += !response && isOutage(response.error().kind) ? 1 : 0;
+        release(std::move(client));
+        return response;
     }
 
     [[nodiscard]] std::uint64_t failures() const
@@ -140,7 +140,7 @@
     }
 
 private:
-    std::unique_ptr<httplib::Client> take()
+    std::unique_ptr<httplib::Client> acquire()
     {
         const std::lock_guard lock(m_mutex);
         if (m_isStopped) {
@@ -161,7 +161,7 @@
         return client;
     }
 
-    void give(std::unique_ptr<httplib::Client> client)
+    void release(std::unique_ptr<httplib::Client> client)
     {
         const std::lock_guard lock(m_mutex);
         m_busy.erase(client.get());
@@ -184,7 +184,7 @@
 };
 
 HttpObjectStore::HttpObjectStore(base::Endpoint endpoint, base::FailureDomain domain, base::Duration timeout)
-    : m_connections(std::make_unique<Connections>(std::move(endpoint), std::move(domain), timeout))
+    : m_connections(std::make_unique<ConnectionPool>(std::move(endpoint), std::move(domain), timeout))
 {
 }
 
@@ -205,7 +205,7 @@
     BOOST_OUTCOME_TRY(body, m_connections->run(CallKind::Write, name, {}, [&](httplib::Client &client) {
         return client.Put(objectPath(name), condition(expected), value.data(), value.size(), "application/octet-stream");
     }));
-    return decodedWrite(decodeVersion(body));
+    return unclearIfUndecodable(decodeVersion(body));
 }
 
 base::Result<void> HttpObjectStore::remove(std::string_view name, Version expected)
--- a/carawaylatch/store/httpobjectstore.h
+++ b/carawaylatch/store/httpobjectstore.h
@@ -41,9 +41,9 @@
     [[nodiscard]] PlatformCallCounts calls() const;
 
 private:
-    class Connections;
+    class ConnectionPool;
 
-    std::unique_ptr<Connections> m_connections;
+    std::unique_ptr<ConnectionPool> m_connections;
     std::atomic<std::uint64_t> m_reads = 0;
     std::atomic<std::uint64_t> m_writes = 0;
 };
--- a/carawaylatch/store/memorystore.cpp
+++ b/carawaylatch/store/memorystore.cpp
@@ -77,8 +77,8 @@
         changes = changesSince(prefix, since);
         return !changes.written.empty() || !changes.removed.empty();
     });
-    if (since < m_forgotten) {
-        return base::fail(base::ErrorKind::StaleState, "the history before version " + std::to_string(m_forgotten.value) + " is gone; list again");
+    if (since < m_compactedVersion) {
+        return base::fail(base::ErrorKind::StaleState, "the history before version " + std::to_string(m_compactedVersion.value) + " is gone; list again");
     }
     return changes;
 }
@@ -123,7 +123,7 @@
     ++m_version.value;
     m_tombstones.emplace(m_version, name);
     if (m_tombstones.size() > MaxTombstones) {
-        m_forgotten = m_tombstones.begin()->first;
+        m_compactedVersion = m_tombstones.begin()->first;
         m_tombstones.erase(m_tombstones.begin());
     }
 }
--- a/carawaylatch/store/memorystore.h
+++ b/carawaylatch/store/memorystore.h
@@ -44,7 +44,7 @@
     std::map<std::string, Object, std::less<>> m_objects;
     std::map<Version, std::string> m_tombstones; // by version of the removal
     Version m_version; // of the last write or removal
-    Version m_forgotten; // removals up to here are no longer known
+    Version m_compactedVersion; // removals up to here are no longer known
     std::vector<VmRecord> m_vms;
 };
 
--- a/carawaylatch/store/objectjson.cpp
+++ b/carawaylatch/store/objectjson.cpp
@@ -42,12 +42,12 @@
     return {{"name", object.name}, {"version", object.version.value}, {"value", toBase64(object.value)}};
 }
 
-Object objectFrom(const Json &json)
+Object parseObject(const Json &json)
 {
     return {json.at("name").get<std::string>(), fromBase64(json.at("value").get<std::string>()), Version{json.at("version").get<std::uint64_t>()}};
 }
 
-VmRecord vmFrom(const Json &json)
+VmRecord parseVm(const Json &json)
 {
     VmRecord vm;
     vm.name = json.at("name").get<std::string>();
@@ -63,8 +63,8 @@
 {
     try {
         return reader(Json::parse(text));
-    } catch (const std::exception &ec) {
-        return base::fail(base::ErrorKind::InvalidArgument, std::string("not an answer of the object API: ") + ec.what());
+    } catch (const std::exception &error) {
+        return base::fail(base::ErrorKind::InvalidArgument, std::string("not an answer of the object API: ") + error.what());
     }
 }
 
@@ -105,7 +105,7 @@
 
 base::Result<Object> decodeObject(std::string_view text)
 {
-    return decode<Object>(text, objectFrom);
+    return decode<Object>(text, parseObject);
 }
 
 base::Result<ObjectChanges> decodeChanges(std::string_view text)
@@ -114,7 +114,7 @@
         ObjectChanges changes;
         changes.upTo = Version{json.at("version").get<std::uint64_t>()};
         for (const auto &it : json.at("items")) {
-            changes.written.push_back(objectFrom(it));
+            changes.written.push_back(parseObject(it));
         }
         if (json.contains("removed")) {
             changes.removed = json.at("removed").get<std::vector<std::string>>();
@@ -135,7 +135,7 @@
     return decode<std::vector<VmRecord>>(text, [](const Json &json) {
         std::vector<VmRecord> vms;
         for (const auto &it : json.at("items")) {
-            vms.push_back(vmFrom(it));
+            vms.push_back(parseVm(it));
         }
         return vms;
     });
