--- a/carawaylatch/config/tablecheck.cpp
+++ b/carawaylatch/config/tablecheck.cpp
@@ -23,9 +23,9 @@
 
 constexpr std::string_view ServicePrefix = "/v1/services/";
 
-base::Error inconsistency(const std::string &where, const std::string &message)
+base::Error inconsistency(const std::string &location, const std::string &message)
 {
-    return base::fail(base::ErrorKind::InvalidArgument, where + message);
+    return base::fail(base::ErrorKind::InvalidArgument, location + message);
 }
 
 RowKey routeKey(const Route &route)
@@ -51,13 +51,14 @@
     return ok();
 }
 
-Result<void> checkPool(const Pool &pool, const std::string &where)
+Result<void> checkPool(const Pool &pool, const std::string &location)
 {
     if (pool.kind == UpstreamKind::Engine && pool.model.isEmpty()) {
-        return inconsistency(where, "pool " + pool.name.value() + " of engines has no model; write model = NAME");
+        return inconsistency(location, "pool " + pool.name.value() + " of engines has no model; write model = NAME");
     }
     if (pool.kind == UpstreamKind::Service && (!pool.model.isEmpty() || pool.weightsVersion.value != 0 || !pool.adapter.empty())) {
-        return inconsistency(where, "pool " + pool.name.value() + " of services has a model, weights version or adapter; remove these or write kind = engine");
+        return inconsistency(location,
+                             "pool " + pool.name.value() + " of services has a model, weights version or adapter; remove these or write kind = engine");
     }
     return ok();
 }
@@ -67,60 +68,60 @@
     std::map<base::UpstreamId, std::pair<const Pool *, const PoolMember *>> byId;
     std::map<base::Endpoint, base::UpstreamId> byEndpoint;
     for (const auto &pool : tables.pools) {
-        const auto where = locate(poolKey(pool));
+        const auto location = locate(poolKey(pool));
         std::set<base::UpstreamId> inPool;
         for (const auto &it : pool.members) {
             if (!inPool.insert(it.id).second) {
-                return inconsistency(where, "pool " + pool.name.value() + " has member " + it.id.value() + " twice; remove one");
+                return inconsistency(location, "pool " + pool.name.value() + " has member " + it.id.value() + " twice; remove one");
             }
             const auto &[otherPool, other] = byId.try_emplace(it.id, &pool, &it).first->second;
             if (other->endpoint != it.endpoint || other->domain != it.domain) {
-                return inconsistency(where, "member " + it.id.value() + " has another endpoint or failure domain in pool " + otherPool->name.value()
-                                                + "; write the same in both or rename one");
+                return inconsistency(location, "member " + it.id.value() + " has another endpoint or failure domain in pool " + otherPool->name.value()
+                                                   + "; write the same in both or rename one");
             }
             if (otherPool->model != pool.model) {
-                return inconsistency(where,
+                return inconsistency(location,
                                      "member " + it.id.value() + " serves another model in pool " + otherPool->name.value() + "; an upstream has one model");
             }
             if (const auto owner = byEndpoint.try_emplace(it.endpoint, it.id).first->second; owner != it.id) {
-                return inconsistency(where, "members " + it.id.value() + " and " + owner.value() + " have the endpoint " + formatEndpoint(it.endpoint)
-                                                + "; give each its own");
+                return inconsistency(location, "members " + it.id.value() + " and " + owner.value() + " have the endpoint " + formatEndpoint(it.endpoint)
+                                                   + "; give each its own");
             }
         }
     }
     return ok();
 }
 
-Result<void> checkRoute(const Route &route, const Tables &tables, const std::string &where)
+Result<void> checkRoute(const Route &route, const Tables &tables, const std::string &location)
 {
     const auto pool = std::find_if(tables.pools.begin(), tables.pools.end(), [&](const Pool &it) {
         return it.name == route.pool;
     });
     const std::string label = "route " + route.name.value();
     if (pool == tables.pools.end()) {
-        return inconsistency(where,
+        return inconsistency(location,
                              label + " goes to pool '" + route.pool.value() + "', which doesn't exist; add [pool " + route.pool.value() + "] or name another");
     }
     const bool isServicePath = route.path.starts_with(ServicePrefix);
     if (isServicePath != (pool->kind == UpstreamKind::Service)) {
-        return inconsistency(where, label + " has path " + route.path + " but pool " + pool->name.value()
-                                        + " is of another kind; write /v1/services/NAME for services, /v1/completions or /v1/chat/completions for engines");
+        return inconsistency(location, label + " has path " + route.path + " but pool " + pool->name.value()
+                                           + " is of another kind; write /v1/services/NAME for services, /v1/completions or /v1/chat/completions for engines");
     }
     if (route.model != pool->model) {
-        return inconsistency(where, label + " names model '" + route.model.value() + "' but pool " + pool->name.value() + " serves '" + pool->model.value()
-                                        + "'; write the same in both");
+        return inconsistency(location, label + " names model '" + route.model.value() + "' but pool " + pool->name.value() + " serves '" + pool->model.value()
+                                           + "'; write the same in both");
     }
     for (const auto &it : route.customers) {
         const bool isKnown = std::any_of(tables.customers.begin(), tables.customers.end(), [&](const Customer &customer) {
             return customer.id == it;
         });
         if (!isKnown) {
-            return inconsistency(where,
+            return inconsistency(location,
                                  label + " names customer '" + it.value() + "', who doesn't exist; add [customer " + it.value() + "] or remove the name");
         }
     }
     if (route.idempotency == Idempotency::AtMostOnce && route.hedging == Hedging::On) {
-        return inconsistency(where, label + " hedges calls that may run at most once; write hedging = off");
+        return inconsistency(location, label + " hedges calls that may run at most once; write hedging = off");
     }
     return ok();
 }
--- a/carawaylatch/config/testing/distributortest.cpp
+++ b/carawaylatch/config/testing/distributortest.cpp
@@ -55,19 +55,19 @@
     void restart(std::uint32_t n)
     {
         m_nodes[n] = std::make_unique<Distributor>(options(n));
-        m_greatest[n] = {};
+        m_lastRevisions[n] = {};
         m_nodes[n]->onMembers(m_members);
-        act(n);
+        executeActions(n);
     }
     // An operator's edit is accepted; watchers with a platform read it.
-    void accept(std::uint64_t id, const std::string &pool)
+    void commitEdit(std::uint64_t id, const std::string &pool)
     {
         EditCommit commit(poolEdit(id, pool, id), {});
-        m_platform.finish(commit);
+        m_platform.executeAll(commit);
         CPPUNIT_ASSERT(commit.outcome().has_value());
         m_history[commit.outcome().value().revision] = commit.outcome().value().rows;
         for (std::uint32_t n = 0; n < m_size; ++n) {
-            if (m_nodes[n]->isWatcher() && !m_withoutPlatform.contains(n % Domains)) {
+            if (m_nodes[n]->isWatcher() && !m_disconnectedDomains.contains(n % Domains)) {
                 readStored(n);
             }
         }
@@ -76,11 +76,11 @@
     {
         const auto stored = ConfigStore(m_platform.memory).load();
         m_nodes[n]->onStoredConfig(stored.value().head, stored.value().rows);
-        act(n);
+        executeActions(n);
     }
-    void takePlatformFrom(std::uint32_t domain)
+    void disconnectPlatform(std::uint32_t domain)
     {
-        m_withoutPlatform.insert(domain);
+        m_disconnectedDomains.insert(domain);
     }
     ::carawaylatch::testing::VirtualNetwork &network()
     {
@@ -96,9 +96,9 @@
             return it->revision().value == revision;
         }));
     }
-    std::uint64_t updates() const
+    std::uint64_t updateCount() const
     {
-        return m_updates;
+        return m_updateCount;
     }
 
 private:
@@ -121,33 +121,33 @@
         const auto revision = m_nodes[n]->revision();
         m_network.send(n % Domains, to % Domains, [this, n, to, revision] {
             m_nodes[to]->onPeerRevision(idOf(n), revision, m_network.now());
-            act(to);
+            executeActions(to);
             m_network.send(to % Domains, n % Domains, [this, n, to, answered = m_nodes[to]->revision()] {
                 m_nodes[n]->onPeerRevision(idOf(to), answered, m_network.now());
-                act(n);
+                executeActions(n);
             });
         });
         m_network.at(m_network.now() + milliseconds{500}, [this, n] {
             heartbeat(n);
         });
     }
-    void act(std::uint32_t n)
+    void executeActions(std::uint32_t n)
     {
         for (auto &it : m_nodes[n]->takeActions()) {
             if (const auto *update = std::get_if<SendUpdate>(&it)) {
-                ++m_updates;
+                ++m_updateCount;
                 m_network.send(n % Domains, numberOf(update->to) % Domains, [this, n, to = numberOf(update->to), sent = update->update] {
                     m_nodes[to]->onUpdate(idOf(n), sent, m_network.now());
-                    act(to);
+                    executeActions(to);
                 });
             } else if (const auto *request = std::get_if<SendRequest>(&it)) {
                 m_network.send(n % Domains, numberOf(request->to) % Domains, [this, n, to = numberOf(request->to), sent = request->request] {
                     m_nodes[to]->onRequest(idOf(n), sent);
-                    act(to);
+                    executeActions(to);
                 });
             } else if (const auto *inForce = std::get_if<ConfigInForce>(&it)) {
-                CPPUNIT_ASSERT_MESSAGE("a revision came back", inForce->revision > m_greatest[n]);
-                m_greatest[n] = inForce->revision;
+                CPPUNIT_ASSERT_MESSAGE("a revision came back", inForce->revision > m_lastRevisions[n]);
+                m_lastRevisions[n] = inForce->revision;
                 CPPUNIT_ASSERT_MESSAGE("rows differ from the history", *inForce->rows == m_history.at(inForce->revision));
                 CPPUNIT_ASSERT(inForce->tables != nullptr && inForce->tables->revision == inForce->revision);
             }
@@ -160,10 +160,10 @@
     std::uint32_t m_size;
     std::vector<DistributionPeer> m_members;
     std::vector<std::unique_ptr<Distributor>> m_nodes;
-    std::map<std::uint32_t, base::Revision> m_greatest;
+    std::map<std::uint32_t, base::Revision> m_lastRevisions;
     std::map<base::Revision, RowSet> m_history;
-    std::set<std::uint32_t> m_withoutPlatform;
-    std::uint64_t m_updates = 0;
+    std::set<std::uint32_t> m_disconnectedDomains;
+    std::uint64_t m_updateCount = 0;
 };
 
 } // namespace
@@ -171,17 +171,17 @@
 class DistributorTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(DistributorTest);
-    CPPUNIT_TEST(testFewWatchAndAllGetEdits);
-    CPPUNIT_TEST(testLossesAndDoublesAreRepaired);
+    CPPUNIT_TEST(testEditReachesAllRoutersFromFewWatchers);
+    CPPUNIT_TEST(testLostAndDuplicatedMessages);
     CPPUNIT_TEST(testDomainWithoutPlatform);
-    CPPUNIT_TEST(testCutAndHeal);
-    CPPUNIT_TEST(testRestartTakesTheWhole);
-    CPPUNIT_TEST(testOldAndForeignUpdatesChangeNothing);
-    CPPUNIT_TEST(testUnreadableTablesKeepTheOldOnes);
+    CPPUNIT_TEST(testPartitionAndRecovery);
+    CPPUNIT_TEST(testRestartedRouterGetsFullSnapshot);
+    CPPUNIT_TEST(testStaleUpdatesAndGapsAreNotApplied);
+    CPPUNIT_TEST(testUnreadableRevisionIsReportedWithoutTables);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testFewWatchAndAllGetEdits()
+    void testEditReachesAllRoutersFromFewWatchers()
     {
         Fleet fleet(30);
         int watchers = 0;
@@ -189,17 +189,17 @@
             watchers += fleet.node(n).isWatcher() ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(6, watchers);
-        fleet.accept(1, "a");
+        fleet.commitEdit(1, "a");
         fleet.network().runFor(milliseconds{100});
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, fleet.countAt(1));
-        CPPUNIT_ASSERT_MESSAGE("an edit is sent about once to each", fleet.updates() <= 40);
+        CPPUNIT_ASSERT_MESSAGE("an edit is sent about once to each", fleet.updateCount() <= 40);
     }
 
-    void testLossesAndDoublesAreRepaired()
+    void testLostAndDuplicatedMessages()
     {
         Fleet fleet(30, {0.3, 0.2, milliseconds{1}, milliseconds{80}});
         for (std::uint64_t i = 1; i <= 40; ++i) {
-            fleet.accept(i, std::string(1, static_cast<char>('a' + i % 3)));
+            fleet.commitEdit(i, std::string(1, static_cast<char>('a' + i % 3)));
             fleet.network().runFor(milliseconds{100});
         }
         // A round of 500 ms repairs a router with a chance of about a third.
@@ -210,22 +210,22 @@
     void testDomainWithoutPlatform()
     {
         Fleet fleet(12);
-        fleet.takePlatformFrom(1);
-        fleet.accept(1, "a");
+        fleet.disconnectPlatform(1);
+        fleet.commitEdit(1, "a");
         fleet.network().runFor(seconds{3});
         CPPUNIT_ASSERT_EQUAL(std::size_t{12}, fleet.countAt(1));
     }
 
-    void testCutAndHeal()
+    void testPartitionAndRecovery()
     {
         Fleet fleet(12);
-        fleet.accept(1, "a");
+        fleet.commitEdit(1, "a");
         fleet.network().runFor(seconds{1});
-        fleet.takePlatformFrom(2);
+        fleet.disconnectPlatform(2);
         fleet.network().cut(2, 0);
         fleet.network().cut(2, 1);
         for (std::uint64_t i = 2; i <= 5 + KeptEdits; ++i) {
-            fleet.accept(i, "b");
+            fleet.commitEdit(i, "b");
             fleet.network().runFor(milliseconds{200});
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, fleet.countAt(1));
@@ -234,11 +234,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{12}, fleet.countAt(5 + KeptEdits));
     }
 
-    void testRestartTakesTheWhole()
+    void testRestartedRouterGetsFullSnapshot()
     {
         Fleet fleet(12);
         for (std::uint64_t i = 1; i <= 3 * KeptEdits; ++i) {
-            fleet.accept(i, "a");
+            fleet.commitEdit(i, "a");
             fleet.network().runFor(milliseconds{50});
         }
         fleet.restart(4);
@@ -247,7 +247,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{12}, fleet.countAt(3 * KeptEdits));
     }
 
-    void testOldAndForeignUpdatesChangeNothing()
+    void testStaleUpdatesAndGapsAreNotApplied()
     {
         Distributor distributor({base::RouterId("r"), base::FailureDomain("d"), 2, 8, 8, milliseconds{300}});
         const base::TimePoint now{base::hours{1}};
@@ -270,7 +270,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, distributor.takeActions().size());
     }
 
-    void testUnreadableTablesKeepTheOldOnes()
+    void testUnreadableRevisionIsReportedWithoutTables()
     {
         Distributor distributor({base::RouterId("r"), base::FailureDomain("d"), 2, 8, 8, milliseconds{300}});
         auto rows = std::make_shared<RowSet>();
--- a/carawaylatch/config/testing/editcommittest.cpp
+++ b/carawaylatch/config/testing/editcommittest.cpp
@@ -24,7 +24,7 @@
 namespace
 {
 
-constexpr CommitOptions Small{DryRun::Off, 64, 8, 6, 2};
+constexpr CommitOptions SmallLimits{DryRun::Off, 64, 8, 6, 2};
 constexpr std::size_t AllEdits = 100'000;
 
 // Holds the stored history against the outcomes that operators were given.
@@ -53,8 +53,8 @@
         CPPUNIT_ASSERT_EQUAL_MESSAGE(label + ": an accepted edit is not in force once", 1, counts[it]);
     }
     for (const auto &[id, kind] : refused) {
-        const bool isHonest = kind == ErrorKind::Unclear ? counts[id] <= 1 : counts[id] == 0;
-        CPPUNIT_ASSERT_MESSAGE(label + ": a refused edit is in force, " + std::string(base::errorKindName(kind)), isHonest);
+        const bool isConsistent = kind == ErrorKind::Unclear ? counts[id] <= 1 : counts[id] == 0;
+        CPPUNIT_ASSERT_MESSAGE(label + ": a refused edit is in force, " + std::string(base::errorKindName(kind)), isConsistent);
     }
 }
 
@@ -76,8 +76,8 @@
 void applyEdits(FaultyPlatform &platform, Outcomes &outcomes, std::uint64_t firstId, int count, const std::string &pool)
 {
     for (int i = 0; i < count; ++i) {
-        EditCommit commit(poolEdit(firstId + i, pool, firstId + i), Small);
-        platform.finish(commit);
+        EditCommit commit(poolEdit(firstId + i, pool, firstId + i), SmallLimits);
+        platform.executeAll(commit);
         outcomes.add(firstId + i, commit);
     }
 }
@@ -102,59 +102,59 @@
 {
     CPPUNIT_TEST_SUITE(EditCommitTest);
     CPPUNIT_TEST(testEveryFaultAtEveryStep);
-    CPPUNIT_TEST(testLateWrite);
-    CPPUNIT_TEST(testSameRowIsRefusedNamingBothRevisions);
-    CPPUNIT_TEST(testRouteAndPoolAreCheckedTogether);
+    CPPUNIT_TEST(testDelayedHeadWrite);
+    CPPUNIT_TEST(testConflictOnSameRowNamesBothRevisions);
+    CPPUNIT_TEST(testConcurrentPoolRemovalAndRouteAreExclusive);
     CPPUNIT_TEST(testRepeatedEditIsAcceptedOnce);
-    CPPUNIT_TEST(testUnchangedTablesMakeNoRevision);
-    CPPUNIT_TEST(testInterleavingsOfTwoOperators);
-    CPPUNIT_TEST(testRacingOperators);
-    CPPUNIT_TEST(testFieldsOfNewerVersionSurviveEditsAndCompaction);
-    CPPUNIT_TEST(testStoredTextsAreBounded);
+    CPPUNIT_TEST(testNoOpEditCreatesNoRevision);
+    CPPUNIT_TEST(testInterleavingsOfTwoEdits);
+    CPPUNIT_TEST(testConcurrentEditsWithRandomFaults);
+    CPPUNIT_TEST(testUnknownFieldsSurviveEditsAndCompaction);
+    CPPUNIT_TEST(testOversizedAndMultilineEditsAreRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testEveryFaultAtEveryStep()
     {
-        std::set<CommitStep> met;
+        std::set<CommitStep> reached;
         int cases = 0;
         for (const auto step : AllCommitSteps) {
             for (const auto &it : FaultCases) {
-                cases += runFaultCase(step, it, met) ? 1 : 0;
+                cases += runFaultCase(step, it, reached) ? 1 : 0;
             }
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("a step was never met", std::size(AllCommitSteps), met.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("a step was never met", std::size(AllCommitSteps), reached.size());
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(std::size(AllCommitSteps) * std::size(FaultCases)), cases);
     }
 
     // A write that was said to be unclear takes effect only after others were accepted.
-    void testLateWrite()
+    void testDelayedHeadWrite()
     {
-        for (int lateBy = 0; lateBy < 6; ++lateBy) {
+        for (int delaySteps = 0; delaySteps < 6; ++delaySteps) {
             FaultyPlatform platform;
             Outcomes outcomes;
             applyEdits(platform, outcomes, 1, 2, "a");
-            EditCommit commit(poolEdit(50, "b", 7), Small);
-            std::optional<StoreRequest> late;
+            EditCommit commit(poolEdit(50, "b", 7), SmallLimits);
+            std::optional<StoreRequest> delayed;
             for (int calls = 0; commit.request() != nullptr; ++calls) {
-                if (commit.step() == CommitStep::WriteHead && !late) {
-                    late = *commit.request();
+                if (commit.step() == CommitStep::WriteHead && !delayed) {
+                    delayed = *commit.request();
                     calls = 0;
                     commit.onWritten(base::fail(ErrorKind::Unclear, "no answer"));
                 }
-                if (late && calls == lateBy) {
-                    (void)platform.memory.write(late->name, late->value, late->expected);
+                if (delayed && calls == delaySteps) {
+                    (void)platform.memory.write(delayed->name, delayed->value, delayed->expected);
                 }
-                platform.step(commit, StoreFault::None);
+                platform.executeStep(commit, StoreFault::None);
             }
-            (void)platform.memory.write(late->name, late->value, late->expected);
+            (void)platform.memory.write(delayed->name, delayed->value, delayed->expected);
             outcomes.add(50, commit);
             CPPUNIT_ASSERT(outcomes.accepted.contains(50));
-            checkHistory(platform, outcomes.refused, outcomes.accepted, "late by " + std::to_string(lateBy));
+            checkHistory(platform, outcomes.refused, outcomes.accepted, "late by " + std::to_string(delaySteps));
         }
     }
 
-    void testSameRowIsRefusedNamingBothRevisions()
+    void testConflictOnSameRowNamesBothRevisions()
     {
         FaultyPlatform platform;
         ConfigStore store(platform.memory);
@@ -169,20 +169,20 @@
     }
 
     // One operator removes a pool while another adds a route to it: only one may win.
-    void testRouteAndPoolAreCheckedTogether()
+    void testConcurrentPoolRemovalAndRouteAreExclusive()
     {
         FaultyPlatform platform;
         ConfigStore store(platform.memory);
         CPPUNIT_ASSERT(store.apply(poolEdit(1, "a", 1)));
         const Row route{{"route", "r"}, {}, {{"path", "/v1/completions", 0}, {"model", "m", 0}, {"pool", "a", 0}}, 0};
-        EditCommit adds({{2}, "alice", 1, {}, {{RowChange::Kind::Put, route, {}}}}, Small);
-        EditCommit removes({{3}, "bob", 1, {}, {{RowChange::Kind::Remove, Row{{"pool", "a"}, {}, {}, 0}, {}}}}, Small);
-        platform.step(adds, StoreFault::None);
-        platform.step(removes, StoreFault::None);
-        platform.finish(adds);
-        platform.finish(removes);
-        CPPUNIT_ASSERT(adds.outcome());
-        CPPUNIT_ASSERT(!removes.outcome() && removes.outcome().error().message.find("goes to pool 'a', which doesn't exist") != std::string::npos);
+        EditCommit addRoute({{2}, "alice", 1, {}, {{RowChange::Kind::Put, route, {}}}}, SmallLimits);
+        EditCommit removePool({{3}, "bob", 1, {}, {{RowChange::Kind::Remove, Row{{"pool", "a"}, {}, {}, 0}, {}}}}, SmallLimits);
+        platform.executeStep(addRoute, StoreFault::None);
+        platform.executeStep(removePool, StoreFault::None);
+        platform.executeAll(addRoute);
+        platform.executeAll(removePool);
+        CPPUNIT_ASSERT(addRoute.outcome());
+        CPPUNIT_ASSERT(!removePool.outcome() && removePool.outcome().error().message.find("goes to pool 'a', which doesn't exist") != std::string::npos);
     }
 
     void testRepeatedEditIsAcceptedOnce()
@@ -195,7 +195,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, store.load().value().rows.revision.value);
     }
 
-    void testUnchangedTablesMakeNoRevision()
+    void testNoOpEditCreatesNoRevision()
     {
         FaultyPlatform platform;
         ConfigStore store(platform.memory);
@@ -209,7 +209,7 @@
 
     // All orders of the first steps of two operators, each with every fault at each of
     // its first steps; then both run to their ends.
-    void testInterleavingsOfTwoOperators()
+    void testInterleavingsOfTwoEdits()
     {
         constexpr unsigned Depth = 8;
         constexpr unsigned FaultSteps = 5;
@@ -224,7 +224,7 @@
         }
     }
 
-    void testRacingOperators()
+    void testConcurrentEditsWithRandomFaults()
     {
         base::Random random(::carawaylatch::testing::seed());
         for (int round = 0; round < 40; ++round) {
@@ -236,12 +236,12 @@
             for (int i = 0; i < 400; ++i) {
                 if (running.size() < 4) {
                     const auto id = nextId++;
-                    running.emplace_back(id, EditCommit(poolEdit(id, std::string(1, static_cast<char>('a' + random.below(3))), id), Small));
+                    running.emplace_back(id, EditCommit(poolEdit(id, std::string(1, static_cast<char>('a' + random.below(3))), id), SmallLimits));
                 }
                 const auto n = random.below(running.size());
                 auto &[id, commit] = running[n];
                 const auto fault = random.below(5) == 0 ? store::AllStoreFaults[random.below(4)] : StoreFault::None;
-                platform.step(commit, fault);
+                platform.executeStep(commit, fault);
                 if (commit.request() == nullptr) {
                     outcomes.add(id, commit);
                     running.erase(running.begin() + static_cast<std::ptrdiff_t>(n));
@@ -252,7 +252,7 @@
                 lastRevision = revision;
             }
             for (auto &[id, commit] : running) {
-                platform.finish(commit);
+                platform.executeAll(commit);
                 outcomes.add(id, commit);
             }
             CPPUNIT_ASSERT(outcomes.accepted.size() > 20);
@@ -260,14 +260,14 @@
         }
     }
 
-    void testFieldsOfNewerVersionSurviveEditsAndCompaction()
+    void testUnknownFieldsSurviveEditsAndCompaction()
     {
         FaultyPlatform platform;
         auto newer = poolEdit(1, "new", 1);
         newer.changes[0].row.fields.push_back({"colour", "green and blue", 0});
         newer.changes.push_back({RowChange::Kind::Put, Row{{"quota", "q"}, {}, {{"share", "3", 0}}, 0}, {}});
-        EditCommit first(newer, Small);
-        platform.finish(first);
+        EditCommit first(newer, SmallLimits);
+        platform.executeAll(first);
         Outcomes outcomes;
         applyEdits(platform, outcomes, 10, 20, "a");
         ConfigStore store(platform.memory);
@@ -278,24 +278,24 @@
         CPPUNIT_ASSERT(stored.rows.find({"quota", "q"}) != nullptr);
     }
 
-    void testStoredTextsAreBounded()
+    void testOversizedAndMultilineEditsAreRejected()
     {
         FaultyPlatform platform;
-        auto wide = poolEdit(1, "a", 1);
+        auto oversized = poolEdit(1, "a", 1);
         for (int i = 0; i < 30'000; ++i) {
-            wide.changes[0].row.fields.push_back({"member", "engine-" + std::to_string(i) + " 10.0.0.1:8000 dakar-a", 0});
+            oversized.changes[0].row.fields.push_back({"member", "engine-" + std::to_string(i) + " 10.0.0.1:8000 dakar-a", 0});
         }
         ConfigStore store(platform.memory);
-        CPPUNIT_ASSERT(!store.apply(wide));
-        auto odd = poolEdit(2, "a", 1);
-        odd.author = "two\nlines";
-        CPPUNIT_ASSERT(!store.apply(odd));
+        CPPUNIT_ASSERT(!store.apply(oversized));
+        auto multiline = poolEdit(2, "a", 1);
+        multiline.author = "two\nlines";
+        CPPUNIT_ASSERT(!store.apply(multiline));
         CPPUNIT_ASSERT(!platform.memory.read(HeadName));
     }
 
 private:
     // Brings an acceptance to a step, lets the fault happen there, and judges.
-    bool runFaultCase(CommitStep step, const FaultCase &fault, std::set<CommitStep> &met)
+    bool runFaultCase(CommitStep step, const FaultCase &fault, std::set<CommitStep> &reached)
     {
         std::ostringstream label;
         label << "step " << static_cast<int>(step) << " fault " << static_cast<int>(fault.fault) << " calls " << fault.calls << " others " << fault.otherEdits;
@@ -304,36 +304,36 @@
         // 9 edits leave a snapshot, and a head that is compacted by the next edit.
         const bool isCompacting = step >= CommitStep::WriteSnapshot && step != CommitStep::WriteHead;
         applyEdits(platform, outcomes, 1, isCompacting ? 10 : 9, "a");
-        EditCommit commit(poolEdit(50, "b", 7), Small);
+        EditCommit commit(poolEdit(50, "b", 7), SmallLimits);
         int left = fault.calls;
-        bool isMet = false;
+        bool isReached = false;
         while (commit.request() != nullptr) {
-            provoke(platform, commit, step, outcomes);
-            isMet = isMet || commit.step() == step;
-            const bool fails = isMet && left > 0;
-            platform.step(commit, fails ? fault.fault : StoreFault::None);
+            loseHeadResponse(platform, commit, step, outcomes);
+            isReached = isReached || commit.step() == step;
+            const bool fails = isReached && left > 0;
+            platform.executeStep(commit, fails ? fault.fault : StoreFault::None);
             if (fails && left-- == fault.calls) {
                 applyEdits(platform, outcomes, 100, fault.otherEdits, "c");
             }
         }
-        if (isMet) {
-            met.insert(step);
+        if (isReached) {
+            reached.insert(step);
         }
         outcomes.add(50, commit);
         checkHistory(platform, outcomes.refused, outcomes.accepted, label.str());
-        return isMet;
+        return isReached;
     }
 
     // Loses the head's answer where the wanted step comes only after that.
-    static void provoke(FaultyPlatform &platform, EditCommit &commit, CommitStep step, Outcomes &outcomes)
+    static void loseHeadResponse(FaultyPlatform &platform, EditCommit &commit, CommitStep step, Outcomes &outcomes)
     {
-        const bool isAfterLoss = step == CommitStep::ReadBack || step == CommitStep::ReadHistory;
-        if (isAfterLoss && commit.step() == CommitStep::WriteHead) {
-            platform.step(commit, StoreFault::ResponseLost);
+        const bool needsLostResponse = step == CommitStep::ReadBack || step == CommitStep::ReadHistory;
+        if (needsLostResponse && commit.step() == CommitStep::WriteHead) {
+            platform.executeStep(commit, StoreFault::ResponseLost);
             applyEdits(platform, outcomes, 200, step == CommitStep::ReadHistory ? 14 : 0, "d");
         }
         while (step == CommitStep::ReadHistory && commit.step() == CommitStep::ReadBack) {
-            platform.step(commit, StoreFault::None);
+            platform.executeStep(commit, StoreFault::None);
         }
     }
 
@@ -342,18 +342,18 @@
         FaultyPlatform platform;
         Outcomes outcomes;
         applyEdits(platform, outcomes, 1, 1, "a");
-        EditCommit operators[] = {EditCommit(poolEdit(50, "a", 50), Small), EditCommit(poolEdit(51, secondPool, 51), Small)};
+        EditCommit commits[] = {EditCommit(poolEdit(50, "a", 50), SmallLimits), EditCommit(poolEdit(51, secondPool, 51), SmallLimits)};
         unsigned firstSteps = 0;
         for (unsigned i = 0; i < depth; ++i) {
             const unsigned n = (order >> i) & 1U;
-            if (operators[n].request() != nullptr) {
+            if (commits[n].request() != nullptr) {
                 const bool fails = n == 0 && firstSteps++ == faultStep;
-                platform.step(operators[n], fails ? fault : StoreFault::None);
+                platform.executeStep(commits[n], fails ? fault : StoreFault::None);
             }
         }
         for (unsigned n = 0; n < 2; ++n) {
-            platform.finish(operators[n]);
-            outcomes.add(50 + n, operators[n]);
+            platform.executeAll(commits[n]);
+            outcomes.add(50 + n, commits[n]);
         }
         std::ostringstream label;
         label << "order " << order << " fault " << static_cast<int>(fault) << " at " << faultStep << " pool " << secondPool;
--- a/carawaylatch/config/testing/faultyplatform.h
+++ b/carawaylatch/config/testing/faultyplatform.h
@@ -18,7 +18,7 @@
     store::FaultyStore faulty{memory};
 
     // Executes the next step of an acceptance under a fault.
-    void step(EditCommit &commit, store::StoreFault fault)
+    void executeStep(EditCommit &commit, store::StoreFault fault)
     {
         const StoreRequest request = *commit.request();
         faulty.inject(fault, fault == store::StoreFault::None ? 0 : 1);
@@ -33,10 +33,10 @@
         faulty.inject(store::StoreFault::None, 0);
     }
 
-    void finish(EditCommit &commit)
+    void executeAll(EditCommit &commit)
     {
         while (commit.request() != nullptr) {
-            step(commit, store::StoreFault::None);
+            executeStep(commit, store::StoreFault::None);
         }
     }
 };
--- a/carawaylatch/config/testing/settingstest.cpp
+++ b/carawaylatch/config/testing/settingstest.cpp
@@ -15,15 +15,15 @@
 namespace
 {
 
-constexpr std::string_view Least = "[router]\nid = r1\nfailure_domain = dakar-a\n[peers]\nkey = 0123456789abcdef\n[platform]\nport = 9000\n";
+constexpr std::string_view MinimalSettings = "[router]\nid = r1\nfailure_domain = dakar-a\n[peers]\nkey = 0123456789abcdef\n[platform]\nport = 9000\n";
 
-struct Mistake
+struct InvalidInput
 {
     std::string_view text; // after the least settings, which have 7 lines
     std::string_view message;
 };
 
-constexpr Mistake Mistakes[] = {
+constexpr InvalidInput InvalidInputs[] = {
     {"[nonsense]\n", "s.ini:8: unknown section [nonsense]; write one of router, callers"},
     {"[callers]\nprot = 1\n", "s.ini:9: unknown key 'prot' in [callers]; write one of address, port"},
     {"[callers]\nport = 1\nport = 2\n", "s.ini:10: key 'port' stands twice in [callers]; remove one"},
@@ -57,18 +57,18 @@
 {
     CPPUNIT_TEST_SUITE(SettingsTest);
     CPPUNIT_TEST(testValues);
-    CPPUNIT_TEST(testMistakes);
+    CPPUNIT_TEST(testInvalidInputs);
     CPPUNIT_TEST(testMissingKeys);
     CPPUNIT_TEST(testUnreadableFile);
     CPPUNIT_TEST(testPageMatchesTable);
-    CPPUNIT_TEST(testDurationsSurviveFormatting);
-    CPPUNIT_TEST(testGeneratedTextsEndInValueOrError);
+    CPPUNIT_TEST(testDurationsRoundTrip);
+    CPPUNIT_TEST(testRandomTextIsRejectedWithFileName);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testValues()
     {
-        const auto parsed = parseSettings(std::string("# comment\n") + std::string(Least)
+        const auto parsed = parseSettings(std::string("# comment\n") + std::string(MinimalSettings)
                                               + "[callers]\nport = 0\n[timings]\nheartbeat = 250ms\n[logs]\nlevel = error\n"
                                                 "[routing]\nstrategy = rendezvous ; inline\n",
                                           "s.ini");
@@ -88,10 +88,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string("::1"), seeds.value().peers.seeds[1].address);
     }
 
-    void testMistakes()
+    void testInvalidInputs()
     {
-        for (const auto &it : Mistakes) {
-            const auto message = errorOf(std::string(Least) + std::string(it.text));
+        for (const auto &it : InvalidInputs) {
+            const auto message = errorOf(std::string(MinimalSettings) + std::string(it.text));
             CPPUNIT_ASSERT_MESSAGE(std::string(it.text) + " gave: " + message, message.find(it.message) != std::string::npos);
         }
         CPPUNIT_ASSERT(errorOf("port = 1\n").find("s.ini:1: the key 'port' stands before any section") == 0);
@@ -119,7 +119,7 @@
         CPPUNIT_ASSERT_EQUAL(renderSettingsPage(), (std::string{std::istreambuf_iterator<char>(in), {}}));
     }
 
-    void testDurationsSurviveFormatting()
+    void testDurationsRoundTrip()
     {
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 1'000; ++i) {
@@ -128,15 +128,15 @@
         }
     }
 
-    void testGeneratedTextsEndInValueOrError()
+    void testRandomTextIsRejectedWithFileName()
     {
-        constexpr std::string_view Parts[] = {"[",    "]",       "\n",        "=",  ";", "#",  " ",  "router", "id",
-                                              "port", "timings", "heartbeat", "5s", ",", "\t", "\r", "\xff"};
+        constexpr std::string_view Fragments[] = {"[",    "]",       "\n",        "=",  ";", "#",  " ",  "router", "id",
+                                                  "port", "timings", "heartbeat", "5s", ",", "\t", "\r", "\xff"};
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 20'000; ++i) {
             std::string text;
             for (auto n = random.below(40); n > 0; --n) {
-                text += Parts[random.below(std::size(Parts))];
+                text += Fragments[random.below(std::size(Fragments))];
             }
             if (random.below(8) == 0) {
                 text += '\0';
--- a/carawaylatch/config/testing/tablefiletest.cpp
+++ b/carawaylatch/config/testing/tablefiletest.cpp
@@ -15,19 +15,19 @@
 {
 
 // 18 lines; mistakes are appended or replace a part.
-const std::string Good = "[customer acme]\nkey_digest = 0123456789abcdef0123456789abcdef\n"
-                         "[pool readers]\nmodel = clause-7b\nweights_version = 3\nmember = e1 10.0.0.1:8000 dakar-a\nmember = e2 10.0.0.2:8000 dakar-b\n"
-                         "[pool desk]\nkind = service\nmember = s1 10.0.0.3:8000 dakar-a\n"
-                         "[route contracts]\npath = /v1/completions\nmodel = clause-7b\npool = readers\n"
-                         "[route booking]\npath = /v1/services/booking\npool = desk\nidempotency = at-most-once\n";
+const std::string ValidTables = "[customer acme]\nkey_digest = 0123456789abcdef0123456789abcdef\n"
+                                "[pool readers]\nmodel = clause-7b\nweights_version = 3\nmember = e1 10.0.0.1:8000 dakar-a\nmember = e2 10.0.0.2:8000 dakar-b\n"
+                                "[pool desk]\nkind = service\nmember = s1 10.0.0.3:8000 dakar-a\n"
+                                "[route contracts]\npath = /v1/completions\nmodel = clause-7b\npool = readers\n"
+                                "[route booking]\npath = /v1/services/booking\npool = desk\nidempotency = at-most-once\n";
 
-struct Mistake
+struct InvalidInput
 {
     std::string_view text;
     std::string_view message;
 };
 
-constexpr Mistake Mistakes[] = {
+constexpr InvalidInput InvalidInputs[] = {
     {"[shelf a]\n", "t.ini:19: unknown kind 'shelf'; write customer, pool or route"},
     {"[pool]\n", "t.ini:19: [pool] is not a row"},
     {"[pool a/b]\n", "'a/b' is not a name"},
@@ -76,20 +76,20 @@
 {
     CPPUNIT_TEST_SUITE(TableFileTest);
     CPPUNIT_TEST(testValues);
-    CPPUNIT_TEST(testMistakes);
-    CPPUNIT_TEST(testPreciseRoutesMayStandBesideOpenOnes);
-    CPPUNIT_TEST(testFieldsOfNewerVersionAreKept);
-    CPPUNIT_TEST(testGeneratedRowsSurviveFormatting);
+    CPPUNIT_TEST(testInvalidInputs);
+    CPPUNIT_TEST(testSpecificRouteMayOverlapGeneralRoute);
+    CPPUNIT_TEST(testUnknownFieldsArePreserved);
+    CPPUNIT_TEST(testRandomRowsRoundTrip);
     CPPUNIT_TEST(testPageMatchesTable);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testValues()
     {
-        const auto rows = parseRows(Good, "t.ini");
+        const auto rows = parseRows(ValidTables, "t.ini");
         CPPUNIT_ASSERT(rows.has_value());
         const auto tables = toTables(rows.value());
-        CPPUNIT_ASSERT_MESSAGE(errorOf(Good), tables.has_value());
+        CPPUNIT_ASSERT_MESSAGE(errorOf(ValidTables), tables.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, tables.value().pools.size());
         const auto &pool = tables.value().pools[1];
         CPPUNIT_ASSERT_EQUAL(base::PoolName("readers"), pool.name);
@@ -98,23 +98,23 @@
         CPPUNIT_ASSERT(tables.value().routes[0].idempotency == Idempotency::AtMostOnce);
     }
 
-    void testMistakes()
+    void testInvalidInputs()
     {
-        for (const auto &it : Mistakes) {
-            const auto message = errorOf(Good + std::string(it.text));
+        for (const auto &it : InvalidInputs) {
+            const auto message = errorOf(ValidTables + std::string(it.text));
             CPPUNIT_ASSERT_MESSAGE(std::string(it.text) + " gave: " + message, message.find(it.message) != std::string::npos);
         }
     }
 
-    void testPreciseRoutesMayStandBesideOpenOnes()
+    void testSpecificRouteMayOverlapGeneralRoute()
     {
-        CPPUNIT_ASSERT_EQUAL(std::string{}, errorOf(Good + "[route r]\npath = /v1/services/booking\npool = desk\ncustomers = acme\n"));
-        CPPUNIT_ASSERT_EQUAL(std::string{}, errorOf(Good + "[route r]\npath = /v1/completions\nmodel = clause-7b\npool = readers\nclass = batch\n"));
+        CPPUNIT_ASSERT_EQUAL(std::string{}, errorOf(ValidTables + "[route r]\npath = /v1/services/booking\npool = desk\ncustomers = acme\n"));
+        CPPUNIT_ASSERT_EQUAL(std::string{}, errorOf(ValidTables + "[route r]\npath = /v1/completions\nmodel = clause-7b\npool = readers\nclass = batch\n"));
     }
 
-    void testFieldsOfNewerVersionAreKept()
+    void testUnknownFieldsArePreserved()
     {
-        const std::string newer = Good + "\n[pool newer]\nrevision = 7\nmodel = m\ncolour = green\ncolour = blue\n\n[quota q]\nshare = 3\n";
+        const std::string newer = ValidTables + "\n[pool newer]\nrevision = 7\nmodel = m\ncolour = green\ncolour = blue\n\n[quota q]\nshare = 3\n";
         CPPUNIT_ASSERT(!parseRows(newer, "t.ini"));
         const auto rows = parseRows(newer, "t.ini", TableParsing::Lenient);
         CPPUNIT_ASSERT(rows.has_value() && toTables(rows.value()).has_value());
@@ -124,11 +124,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, again.value().find({"pool", "newer"})->fields.size());
     }
 
-    void testGeneratedRowsSurviveFormatting()
+    void testRandomRowsRoundTrip()
     {
         base::Random random(::carawaylatch::testing::seed());
         constexpr std::string_view Letters = "ab.;#[]=:,/ ";
-        int kept = 0;
+        int accepted = 0;
         for (int i = 0; i < 5'000; ++i) {
             std::string value;
             for (auto n = random.below(random.below(10) == 0 ? 400 : 12); n > 0; --n) {
@@ -136,19 +136,19 @@
             }
             const auto rows = parseRows("[pool a]\nlist =" + value.substr(0, 180) + "\n", "t.ini", TableParsing::Lenient);
             if (rows) {
-                ++kept;
+                ++accepted;
                 const auto again = parseRows(formatRows(rows.value()), "t.ini", TableParsing::Lenient);
                 CPPUNIT_ASSERT_MESSAGE(value + (again ? "" : " gave: " + again.error().message), again && again.value() == rows.value());
             }
         }
-        CPPUNIT_ASSERT(kept > 500);
-        RowSet wide;
+        CPPUNIT_ASSERT(accepted > 500);
+        RowSet longList;
         std::string names = "name-0";
         for (int i = 1; i < 200; ++i) {
             names += ", name-" + std::to_string(i);
         }
-        wide.put({{"route", "a"}, {}, {{"customers", names}}});
-        CPPUNIT_ASSERT(parseRows(formatRows(wide), "t.ini").value() == wide);
+        longList.put({{"route", "a"}, {}, {{"customers", names}}});
+        CPPUNIT_ASSERT(parseRows(formatRows(longList), "t.ini").value() == longList);
     }
 
     // After a change to the table: carawaylatchctl tables > docs/TABLES.md
--- a/carawaylatch/store/testing/objectstoretest.cpp
+++ b/carawaylatch/store/testing/objectstoretest.cpp
@@ -17,7 +17,7 @@
 
 constexpr base::Duration CallTimeout = base::seconds{20};
 
-class MemorySubject
+class MemoryStoreFixture
 {
 public:
     ObjectStore &store()
@@ -29,10 +29,10 @@
     MemoryStore m_store;
 };
 
-class HttpSubject
+class HttpStoreFixture
 {
 public:
-    HttpSubject()
+    HttpStoreFixture()
         : m_platform({})
     {
         CPPUNIT_ASSERT(m_platform.start());
@@ -48,21 +48,21 @@
     std::unique_ptr<HttpObjectStore> m_client;
 };
 
-template <typename Subject>
+template <typename Fixture>
 class ObjectStoreContract : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(ObjectStoreContract);
     CPPUNIT_TEST(testConditionalWrites);
-    CPPUNIT_TEST(testKeepsAnyBytes);
-    CPPUNIT_TEST(testListsInOrderOfName);
+    CPPUNIT_TEST(testValuesAreBinarySafe);
+    CPPUNIT_TEST(testListIsSortedByName);
     CPPUNIT_TEST(testWatchWakesOnWriteAndRemoval);
-    CPPUNIT_TEST(testRefusesLargeValues);
+    CPPUNIT_TEST(testOversizedValueIsRejected);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testConditionalWrites()
     {
-        auto &store = m_subject.store();
+        auto &store = m_fixture.store();
         CPPUNIT_ASSERT(store.read("a").error().kind == ErrorKind::NotFound);
         const auto first = store.write("a", "1", {}).value();
         CPPUNIT_ASSERT(store.write("a", "2", {}).error().kind == ErrorKind::Conflict);
@@ -75,22 +75,22 @@
         CPPUNIT_ASSERT(store.remove("a", second).error().kind == ErrorKind::NotFound);
     }
 
-    void testKeepsAnyBytes()
+    void testValuesAreBinarySafe()
     {
         std::string bytes;
         for (int i = 0; i < 256; ++i) {
             bytes += static_cast<char>(i);
-            static_cast<void>(m_subject.store().write("b/" + std::to_string(i), bytes, {}).value());
-            CPPUNIT_ASSERT(m_subject.store().read("b/" + std::to_string(i)).value().value == bytes);
+            static_cast<void>(m_fixture.store().write("b/" + std::to_string(i), bytes, {}).value());
+            CPPUNIT_ASSERT(m_fixture.store().read("b/" + std::to_string(i)).value().value == bytes);
         }
     }
 
-    void testListsInOrderOfName()
+    void testListIsSortedByName()
     {
         for (const char *it : {"p/2", "q/1", "p/1"}) {
-            static_cast<void>(m_subject.store().write(it, it, {}).value());
+            static_cast<void>(m_fixture.store().write(it, it, {}).value());
         }
-        const auto items = m_subject.store().list("p/").value().written;
+        const auto items = m_fixture.store().list("p/").value().written;
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, items.size());
         CPPUNIT_ASSERT_EQUAL(std::string("p/1"), items[0].name);
         CPPUNIT_ASSERT_EQUAL(std::string("p/2"), items[1].value);
@@ -98,7 +98,7 @@
 
     void testWatchWakesOnWriteAndRemoval()
     {
-        auto &store = m_subject.store();
+        auto &store = m_fixture.store();
         const auto before = store.list("w/").value().upTo;
         std::jthread writer([&store] {
             static_cast<void>(store.write("other", "x", {}));
@@ -113,19 +113,19 @@
         CPPUNIT_ASSERT(quiet.written.empty() && quiet.removed.empty());
     }
 
-    void testRefusesLargeValues()
+    void testOversizedValueIsRejected()
     {
         const std::string large(MaxValueBytes + 1, 'x');
-        CPPUNIT_ASSERT(m_subject.store().write("large", large, {}).error().kind == ErrorKind::InvalidArgument);
-        CPPUNIT_ASSERT(m_subject.store().read("large").error().kind == ErrorKind::NotFound);
+        CPPUNIT_ASSERT(m_fixture.store().write("large", large, {}).error().kind == ErrorKind::InvalidArgument);
+        CPPUNIT_ASSERT(m_fixture.store().read("large").error().kind == ErrorKind::NotFound);
     }
 
 private:
-    Subject m_subject;
+    Fixture m_fixture;
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ObjectStoreContract<MemorySubject>);
-CPPUNIT_TEST_SUITE_REGISTRATION(ObjectStoreContract<HttpSubject>);
+CPPUNIT_TEST_SUITE_REGISTRATION(ObjectStoreContract<MemoryStoreFixture>);
+CPPUNIT_TEST_SUITE_REGISTRATION(ObjectStoreContract<HttpStoreFixture>);
 
 struct FaultCase
 {
@@ -147,9 +147,9 @@
     CPPUNIT_TEST_SUITE(ObjectStoreFaultTest);
     CPPUNIT_TEST(testFaultyStore);
     CPPUNIT_TEST(testHttpStore);
-    CPPUNIT_TEST(testCutOffDomain);
-    CPPUNIT_TEST(testNobodyListens);
-    CPPUNIT_TEST(testDecodersRefuseOtherText);
+    CPPUNIT_TEST(testPartitionedFailureDomain);
+    CPPUNIT_TEST(testConnectionRefused);
+    CPPUNIT_TEST(testDecodersRejectInvalidText);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -182,20 +182,20 @@
         }
     }
 
-    void testCutOffDomain()
+    void testPartitionedFailureDomain()
     {
         standin::Platform platform({});
         CPPUNIT_ASSERT(platform.start());
-        HttpObjectStore cutOff(platform.endpoint(), base::FailureDomain("dakar-a"), CallTimeout);
+        HttpObjectStore partitioned(platform.endpoint(), base::FailureDomain("dakar-a"), CallTimeout);
         HttpObjectStore connected(platform.endpoint(), base::FailureDomain("dakar-b"), CallTimeout);
         platform.injectFault({"down", 0, "dakar-a", {}, 0});
-        CPPUNIT_ASSERT(cutOff.write("x", "1", {}).error().kind == ErrorKind::Unavailable);
+        CPPUNIT_ASSERT(partitioned.write("x", "1", {}).error().kind == ErrorKind::Unavailable);
         CPPUNIT_ASSERT(connected.write("x", "1", {}).has_value());
         platform.injectFault({"up", 0, "dakar-a", {}, 0});
-        CPPUNIT_ASSERT_EQUAL(std::string("1"), cutOff.read("x").value().value);
+        CPPUNIT_ASSERT_EQUAL(std::string("1"), partitioned.read("x").value().value);
     }
 
-    void testNobodyListens()
+    void testConnectionRefused()
     {
         standin::Platform platform({});
         CPPUNIT_ASSERT(platform.start());
@@ -206,7 +206,7 @@
         CPPUNIT_ASSERT(store.read("x").error().kind == ErrorKind::Unavailable);
     }
 
-    void testDecodersRefuseOtherText()
+    void testDecodersRejectInvalidText()
     {
         for (const char *it :
              {"", "{", "[]", "{}", R"({"name":1,"version":2,"value":""})", R"({"name":"a","version":2,"value":"*"})", R"({"items":[{}],"version":1})"}) {
