--- a/carawaylatch/config/configstore.cpp
+++ b/carawaylatch/config/configstore.cpp
@@ -1,7 +1,8 @@
-// Drives the acceptance against an object store.
+// Executes commits against an object store.
 //
-// A pause follows whatever failed or lost a race, growing to MaxPause, so that
-// racing operators don't keep colliding and an outage is not hammered.
+// After a failed operation or a conflict it waits with exponential backoff up to
+// MaxPause, so that concurrent operators don't keep conflicting and a platform
+// outage doesn't cause a retry storm.
 #include "carawaylatch/config/configstore.h"
 
 #include <algorithm>
--- a/carawaylatch/config/configstore.h
+++ b/carawaylatch/config/configstore.h
@@ -1,10 +1,11 @@
-// The stored configuration: what operators and routers call.
+// Reads and edits the stored configuration: head, snapshots and history.
 //
 //     ConfigStore store(objects);
 //     BOOST_OUTCOME_TRY(loaded, store.load());
 //     store.apply({id, "alice", now, {}, changes});
 //
-// Blocking; called from one platform thread or tool at a time, never from the control thread.
+// Calls block. Not thread-safe: use one instance per platform thread or tool, and
+// never call it from the control thread.
 #pragma once
 
 #include <functional>
@@ -22,22 +23,22 @@
 namespace carawaylatch::config
 {
 
-// What the platform holds.
+// The configuration as read from the platform.
 struct StoredConfig
 {
     Head head;
-    store::Version version; // of the head object, to watch from
+    store::Version version; // of the head object; start a watch from here
     RowSet rows;
 };
 
-// Which rows of the present tables a file replaces.
+// Which rows of the present configuration a file replaces.
 enum class FileScope {
-    NamedRows, // only those it names
-    AllRows, // all: rows that it doesn't name are removed
+    NamedRows, // only the rows in the file
+    AllRows, // all rows: those missing from the file are removed
 };
 
-// Returns the changes that make `current` equal to `wanted`; rows that are equal don't count.
-// A row of `wanted` with a revision is expected to be at that revision.
+// Returns the changes that make `current` equal to `wanted`; equal rows are left out.
+// A row of `wanted` with a nonzero revision expects the stored row to be at that revision.
 [[nodiscard]] std::vector<RowChange> changesBetween(const RowSet &current, const RowSet &wanted, FileScope scope);
 
 // Returns an id for a new edit; `random` must be seeded differently in every process.
@@ -46,19 +47,19 @@
 class ConfigStore
 {
 public:
-    // Pauses between repeated tries; tests pass one that returns at once.
+    // Waits between retries; tests pass a function that returns at once.
     using Pause = std::function<void(base::Duration)>;
 
     // `objects` must outlive this.
     explicit ConfigStore(store::ObjectStore &objects, CommitOptions options = {}, Pause pause = {});
 
-    // Accepts an edit or says why not; see Acceptance::outcome() for what an error means.
+    // Commits an edit; see EditCommit::outcome() for the errors.
     [[nodiscard]] base::Result<CommitResult> apply(Edit edit);
     // Checks an edit against the present configuration and writes nothing.
     [[nodiscard]] base::Result<CommitResult> dryRun(Edit edit);
-    // Reads head and snapshot; an empty configuration of revision zero if there is none yet.
+    // Reads head and snapshot; returns an empty configuration of revision zero if none is stored.
     [[nodiscard]] base::Result<StoredConfig> load();
-    // Returns accepted edits, newest first, at most `limit`.
+    // Returns the committed edits that are still stored, newest first, at most `limit`.
     [[nodiscard]] base::Result<std::vector<Edit>> history(std::size_t limit);
 
 private:
@@ -69,7 +70,7 @@
     store::ObjectStore &m_objects;
     CommitOptions m_options;
     Pause m_pause;
-    std::string m_snapshotName; // whose content m_snapshot is; a name never means two contents
+    std::string m_snapshotName; // of the cached m_snapshot; the content of a name never changes
     RowSet m_snapshot;
 };
 
--- a/carawaylatch/config/distributor.cpp
+++ b/carawaylatch/config/distributor.cpp
@@ -1,14 +1,14 @@
-// Watchers, tree and gaps.
+// Choice of the watchers, forwarding tree and repair of gaps.
 //
-// Routers of one failure domain are ordered by rendezvous weight for the duty's
-// name, the same on every router with the same list of members. The first few
-// watch the platform. Position i sends edits to positions f*i+1 to f*i+f, a heap
-// of fan-out f, so that n routers are reached in log_f(n) steps with n - 1
-// messages. Routers with different lists may send an edit twice or leave one out;
-// what is doubled is dropped by its revision, what is left out shows in the next
-// heartbeat from anyone, of any domain, and is asked for. So the tree needs no
-// repair protocol of its own, and a domain without the platform gets its edits
-// through the heartbeats that cross domains.
+// Routers of one failure domain are ranked by rendezvous weight for RankingKey,
+// with the same result on every router that has the same member list. The first
+// few watch the platform. The router of rank i forwards edits to ranks f*i+1 to
+// f*i+f, a heap of fan-out f, so that an edit reaches n routers in log_f(n) steps
+// with n - 1 messages. Routers with different member lists may forward an edit
+// twice or skip a router. A duplicate is dropped by its revision; a missing edit is
+// detected by the next heartbeat from any router of any domain and requested from
+// it. The tree therefore needs no repair protocol of its own, and a domain that
+// can't reach the platform gets its edits through heartbeats between domains.
 #include "carawaylatch/config/distributor.h"
 
 #include <algorithm>
@@ -137,7 +137,7 @@
     return m_children;
 }
 
-// Applies the edits that are next; false if none is, or if there is a gap before them.
+// Applies the edits that follow the present revision; returns false if there are none.
 bool Distributor::applyNextEdits(std::span<const Edit> edits)
 {
     const auto next = std::find_if(edits.begin(), edits.end(), [this](const Edit &it) {
@@ -181,7 +181,8 @@
     m_actions.emplace_back(std::move(inForce));
 }
 
-// Sends on what is newer than `after`, but never a whole configuration unasked.
+// Forwards the edits newer than `after`, except to `from`. Full snapshots are sent on
+// request only.
 void Distributor::forwardToChildren(base::Revision after, const base::RouterId *from)
 {
     const auto update = updateAfter(after);
--- a/carawaylatch/config/distributor.h
+++ b/carawaylatch/config/distributor.h
@@ -1,15 +1,16 @@
-// Distribution of accepted configurations to every router, one machine a router.
+// Distribution of committed configurations to every router. Each router runs one
+// Distributor, a state machine without I/O that belongs to the control thread.
 //
-// The control thread owns it. Only greater revisions are ever applied, so nothing
-// reverts, whatever order edits come in and from whom:
+// Only greater revisions are applied, so a configuration never reverts, in whatever
+// order and from whichever peer updates arrive:
 //
-//   - A few routers of each failure domain, the first by rank, hold the watch on
-//     the platform's head object (StartWatch, StopWatch).
-//   - Edits go on along a tree by rank within the domain (SendEdits).
-//   - Heartbeats carry revisions; a router that sees a greater one asks its sender
-//     for the edits between (SendRequest). So losses, cuts and dead inner nodes of
-//     the tree cost time, not edits.
-//   - A gap too old for the edits kept is filled with the whole configuration.
+//   - The first few routers of each failure domain, by rank, watch the platform's
+//     head object (StartWatch, StopWatch).
+//   - Edits are forwarded along a tree by rank within the domain (SendUpdate).
+//   - Heartbeats carry revisions; a router that receives a greater one requests the
+//     missing edits from the sender (SendRequest). Lost messages, network partitions
+//     and dead inner nodes of the tree therefore delay edits but don't lose them.
+//   - A gap that starts before the oldest edit kept is filled with a full snapshot.
 #pragma once
 
 #include <cstdint>
@@ -36,11 +37,11 @@
     base::FailureDomain domain;
     std::uint32_t watchers = 2; // of each failure domain
     std::uint32_t fanOut = 8; // children of a node of the tree
-    std::size_t maxEdits = 512; // kept for peers; older gaps are filled with the whole
-    base::Duration requestInterval = base::milliseconds{300}; // between requests for the same gap
+    std::size_t maxEdits = 512; // kept for peers; older gaps are filled with a snapshot
+    base::Duration requestInterval = base::milliseconds{300}; // minimum time between requests for the same gap
 };
 
-// A router that may serve as watcher or as parent in the tree.
+// A router that may be a watcher or a node of the tree.
 struct DistributionPeer
 {
     base::RouterId id;
@@ -49,14 +50,14 @@
     bool operator==(const DistributionPeer &) const = default;
 };
 
-// Edits with contiguous revisions, or a whole configuration where these are gone.
+// Edits with contiguous revisions, or a full configuration if the edits are no longer kept.
 struct ConfigUpdate
 {
     std::vector<Edit> edits;
-    std::shared_ptr<const RowSet> snapshot; // nullptr for edits
+    std::shared_ptr<const RowSet> snapshot; // nullptr if the update carries edits
 };
 
-// Asks a peer for all that is newer.
+// Requests everything newer than a revision from a peer.
 struct ConfigRequest
 {
     base::Revision after;
@@ -74,7 +75,7 @@
     ConfigRequest request;
 };
 
-// Read and watch the head object, and report with onStoredConfig() and onWatchFailed().
+// Read and watch the head object, and report each configuration with onStoredConfig().
 struct StartWatch
 {
 };
@@ -83,8 +84,8 @@
 {
 };
 
-// A greater revision is in force. `tables` is nullptr if this version can't read it,
-// with the reason in `problem`; the tables before stay in force then.
+// A greater revision is in force. If this version can't parse its rows, `tables` is
+// nullptr and `problem` is the reason; the previous tables then stay in force.
 struct ConfigInForce
 {
     base::Revision revision;
@@ -100,23 +101,24 @@
 public:
     explicit Distributor(DistributorOptions options);
 
-    // The live routers, this one included, whenever they change.
+    // Sets the live routers, this one included. Call whenever they change.
     void onMembers(std::span<const DistributionPeer> members);
-    // Head and rows as read from the platform.
+    // Reports the configuration as read from the platform.
     void onStoredConfig(const Head &head, const RowSet &rows);
-    // An update from a peer.
+    // Handles an update from a peer.
     void onUpdate(const base::RouterId &from, const ConfigUpdate &update, base::TimePoint now);
-    // A peer asks for what is newer than its revision.
+    // Handles a peer's request for everything newer than its revision.
     void onRequest(const base::RouterId &from, const ConfigRequest &request);
-    // A heartbeat or any message showed a peer's revision.
+    // Reports a peer's revision, from a heartbeat or any other message.
     void onPeerRevision(const base::RouterId &peer, base::Revision revision, base::TimePoint now);
 
+    // Returns the actions since the last call, in the order to execute them.
     [[nodiscard]] std::vector<DistributorAction> takeActions();
-    // The revision in force, zero before the first.
+    // Returns the revision in force, zero before the first.
     [[nodiscard]] base::Revision revision() const;
     [[nodiscard]] std::shared_ptr<const RowSet> rows() const;
     [[nodiscard]] bool isWatcher() const;
-    // Routers that get edits from this one.
+    // Returns the routers to which this one forwards edits.
     [[nodiscard]] std::span<const base::RouterId> children() const;
 
 private:
@@ -127,12 +129,12 @@
     [[nodiscard]] std::optional<ConfigUpdate> updateAfter(base::Revision revision) const;
 
     DistributorOptions m_options;
-    std::shared_ptr<const RowSet> m_rows; // never nullptr; its revision only grows
+    std::shared_ptr<const RowSet> m_rows; // never nullptr; its revision only increases
     std::shared_ptr<const Tables> m_tables; // nullptr before the first
-    std::deque<Edit> m_edits; // of contiguous revisions that end at m_rows->revision
+    std::deque<Edit> m_edits; // contiguous revisions, the last is m_rows->revision
     std::vector<base::RouterId> m_children;
     bool m_isWatcher = false;
-    base::Revision m_requestedRevision; // the greatest revision asked for
+    base::Revision m_requestedRevision; // the greatest revision requested so far
     base::TimePoint m_requestedAt;
     std::vector<DistributorAction> m_actions;
 };
--- a/carawaylatch/config/editcommit.cpp
+++ b/carawaylatch/config/editcommit.cpp
@@ -1,20 +1,23 @@
-// Decisions of the acceptance of one edit.
+// State transitions of the commit of one edit.
 //
-// The head's version is the lock-free serialisation point: an edit is computed
-// against one version and written only over that version. So an edit that was
-// tried has exactly one revision that it can have, the one after the head it was
-// computed from, and whether it is in force can be read off later: either the
-// edit at that revision has its id, or it will never be in force in that form.
-// Two cases need care. A write whose answer was lost may still be on its way; it
-// is written again over the same version, so that whichever copy arrives first
-// wins and the other meets a conflict. And a head may have been compacted since;
-// then the history object that covers the revision is read.
+// The conditional write of the head serialises all edits: an edit is computed from
+// one version of the head and written only over that version. An attempt therefore
+// has exactly one possible revision, the one after that head, and its result can
+// be determined later: either the edit at that revision has its id, or the attempt
+// will never take effect. Two cases need care:
 //
-// Compaction writes the snapshot and the history before the head that names them,
-// never after, so that a head never names what doesn't exist. Their content
-// follows from the total order of edits, so two writers of one name agree, and
-// "exists already" counts as written. What a compaction replaces is removed after
-// the head is written; a reader that still has the old head reads it again.
+//   - A write whose response was lost may still be in transit. It is repeated over
+//     the same version, so that the first copy to arrive takes effect and the other
+//     gets a conflict.
+//   - The head may have been compacted since the attempt. Then the history object
+//     that covers the revision is read.
+//
+// A compaction writes the snapshot and the history object before the head that
+// refers to them, so that no head refers to a missing object. Their content is
+// determined by the total order of edits, so two writers of the same name write the
+// same content, and a conflict on creation counts as written. Objects that the
+// compaction replaces are removed after the head is written; a reader that still
+// has the old head and misses its snapshot reads the head again.
 #include "carawaylatch/config/editcommit.h"
 
 #include <algorithm>
@@ -310,7 +313,7 @@
 {
     const bool isWritten = result || result.error().kind == ErrorKind::Conflict;
     if (!isWritten) {
-        m_nextHead = m_head; // the next edit will compact
+        m_nextHead = m_head; // commits without compaction; the next edit tries it again
         m_replaced.clear();
         writeHead();
     } else if (m_step == CommitStep::WriteSnapshot) {
@@ -357,17 +360,17 @@
     } else if (consumeRetry()) {
         restart();
     } else {
-        finish(base::fail(ErrorKind::Conflict, "other edits kept coming first; nothing was changed, try again", RetryAfter));
+        finish(base::fail(ErrorKind::Conflict, "concurrent edits won every retry; nothing was changed, try again", RetryAfter));
     }
 }
 
 void EditCommit::retryReadBack(const base::Error &error)
 {
     if (++m_readBacks <= m_options.maxReadBacks) {
-        return; // the same request again
+        return; // repeats the same request
     }
     finish(base::fail(ErrorKind::Unclear,
-                      "the edit may be in force: its write was not answered and can't be read back (" + error.message
+                      "the edit may be in force: its write got no response and can't be read back (" + error.message
                           + "); repeat it with the same id, or look for its id in the history",
                       RetryAfter));
 }
@@ -390,7 +393,7 @@
     resolveUnclearWrite(head.value());
 }
 
-// Decides by a head read after the unclear write.
+// Determines the result of an unclear write from a head that was read after it.
 void EditCommit::resolveUnclearWrite(const Head &head)
 {
     const auto revision = m_edit.revision;
@@ -399,7 +402,7 @@
             write(CommitStep::WriteHead, std::string(HeadName), formatHead(m_nextHead), m_headVersion);
         } else {
             m_readBacks = m_options.maxReadBacks;
-            retryReadBack(base::fail(ErrorKind::Unclear, "no write is answered"));
+            retryReadBack(base::fail(ErrorKind::Unclear, "no write got a response"));
         }
         return;
     }
@@ -412,7 +415,7 @@
     });
     if (segment == head.history.end()) {
         m_readBacks = m_options.maxReadBacks;
-        retryReadBack(base::fail(ErrorKind::NotFound, "the history doesn't reach back to it"));
+        retryReadBack(base::fail(ErrorKind::NotFound, "its revision is older than the stored history"));
         return;
     }
     read(CommitStep::ReadHistory, historyName(*segment));
@@ -433,7 +436,7 @@
     resolveByStoredEdit(edits.value()[m_edit.revision.value - edits.value().front().revision.value]);
 }
 
-// Decides by the edit that has the revision which this one would have.
+// Determines the result of an unclear write from the committed edit at its revision.
 void EditCommit::resolveByStoredEdit(const Edit &edit)
 {
     if (edit.id == m_edit.id) {
@@ -444,7 +447,7 @@
     if (consumeRetry()) {
         restart();
     } else {
-        finish(base::fail(ErrorKind::Conflict, "other edits kept coming first; nothing was changed, try again", RetryAfter));
+        finish(base::fail(ErrorKind::Conflict, "concurrent edits won every retry; nothing was changed, try again", RetryAfter));
     }
 }
 
--- a/carawaylatch/config/editcommit.h
+++ b/carawaylatch/config/editcommit.h
@@ -1,18 +1,19 @@
-// Acceptance of one edit, as a state machine without I/O.
+// Commit of one edit under optimistic concurrency, as a state machine without I/O.
 //
-// The driver executes what request() asks for and reports the result:
+// The driver executes the store operation in request() and reports its result:
 //
-//     Acceptance acceptance(edit, CommitOptions{});
-//     while (const auto *request = acceptance.request()) {
-//         ... read, write or remove; then acceptance.onRead(...) or onWritten(...)
+//     EditCommit commit(edit, CommitOptions{});
+//     while (const auto *request = commit.request()) {
+//         ... read, write or remove; then commit.onRead(...) or onWritten(...)
 //     }
-//     acceptance.outcome()
+//     commit.outcome()
 //
-// The conditional write of the head is the only point of acceptance. A race lost
-// to an edit of other rows is tried again on top of it and checked again; one of
-// the same row is a Conflict that names both revisions. A write whose answer was
-// lost is settled by reading back: the edit is in force if and only if the edit
-// at its revision has its id. The head is compacted before it grows too large.
+// The conditional write of the head commits the edit; no other write does. After
+// a concurrent edit of other rows the edit is rebased on it, checked again and
+// retried; a concurrent edit of the same row is a Conflict that names both
+// revisions. A write whose response was lost is resolved by reading back: the edit
+// is in force if and only if the edit at its revision has its id. The head is
+// compacted before it exceeds the store's size limit.
 #pragma once
 
 #include <optional>
@@ -28,16 +29,16 @@
 enum class CommitStep {
     ReadHead,
     ReadSnapshot,
-    WriteSnapshot, // of a compaction; the edit goes on if it fails
+    WriteSnapshot, // of a compaction; if it fails, the edit is committed without compaction
     WriteHistory, // of a compaction
     WriteHead,
-    ReadBack, // the write's answer was lost
-    ReadHistory, // the edit may have left the head since
-    RemoveReplaced, // what a compaction replaced; may fail
+    ReadBack, // after a head write whose response was lost
+    ReadHistory, // if the edit's revision was compacted out of the head
+    RemoveReplaced, // objects that a compaction replaced; failures are ignored
     Done,
 };
 
-// All steps that talk to the store, for fault tables.
+// All steps with a store operation, for tests that inject a fault at each.
 constexpr CommitStep AllCommitSteps[] = {
     CommitStep::ReadHead,  CommitStep::ReadSnapshot, CommitStep::WriteSnapshot, CommitStep::WriteHistory,
     CommitStep::WriteHead, CommitStep::ReadBack,     CommitStep::ReadHistory,   CommitStep::RemoveReplaced,
@@ -64,17 +65,17 @@
 struct CommitOptions
 {
     DryRun dryRun = DryRun::Off;
-    std::uint32_t maxRetries = 64; // lost races and unclear writes until Conflict or Unclear
-    std::uint32_t maxReadBacks = 8; // failed reads back until Unclear
-    std::size_t compactAfter = 128; // edits in the head
-    std::size_t keepEdits = 32; // edits that stay in the head at a compaction
+    std::uint32_t maxRetries = 64; // after concurrent edits and unclear writes; then Conflict or Unclear
+    std::uint32_t maxReadBacks = 8; // failed reads after an unclear write; then Unclear
+    std::size_t compactAfter = 128; // number of edits in the head that triggers a compaction
+    std::size_t keepEdits = 32; // number of edits that stay in the head after a compaction
 };
 
 struct CommitResult
 {
-    base::Revision revision; // of the edit; of the configuration found if nothing changed
-    RowSet rows; // the configuration with the edit
-    std::size_t changedRows = 0; // zero if the tables already were as asked
+    base::Revision revision; // of the edit, or of the present configuration if the edit changes nothing
+    RowSet rows; // the configuration with the edit applied
+    std::size_t changedRows = 0; // zero if the edit changes nothing
 };
 
 class EditCommit
@@ -82,15 +83,17 @@
 public:
     EditCommit(Edit edit, CommitOptions options);
 
-    // Returns what to do next, or nullptr once done.
+    // Returns the next store operation, or nullptr once the commit is finished.
     [[nodiscard]] const StoreRequest *request() const;
     [[nodiscard]] CommitStep step() const;
     // Reports the result of a Read.
     void onRead(const base::Result<store::Object> &result);
-    // Reports the result of a Write or Remove; of a Remove the version is ignored.
+    // Reports the result of a Write or Remove; the version is ignored after a Remove.
     void onWritten(const base::Result<store::Version> &result);
-    // Returns the result once done. Unavailable: the edit is not in force and was not
-    // accepted. Unclear: it may be; ask the history for its id.
+    // Returns the result; valid only once request() returns nullptr. Errors: Conflict
+    // and InvalidArgument (the edit was rejected), Unavailable (the platform could not
+    // be reached) and Internal (a stored object can't be read) mean that the edit is
+    // not in force. Unclear means that it may be; look for its id in the history.
     [[nodiscard]] const base::Result<CommitResult> &outcome() const;
 
 private:
@@ -120,14 +123,14 @@
     CommitOptions m_options;
     CommitStep m_step = CommitStep::ReadHead;
     std::optional<StoreRequest> m_request;
-    std::optional<base::Result<CommitResult>> m_outcome; // set before RemoveReplaced already
+    std::optional<base::Result<CommitResult>> m_outcome; // set before RemoveReplaced runs
 
-    Head m_head; // as read last
+    Head m_head; // as last read
     store::Version m_headVersion; // of m_head in the store
-    RowSet m_snapshot; // of m_head.snapshotName
-    std::string m_snapshotName; // whose content m_snapshot is
-    RowSet m_nextRows; // the configuration with the edit
-    Head m_nextHead; // what is written
+    RowSet m_snapshot; // content of the object m_snapshotName
+    std::string m_snapshotName;
+    RowSet m_nextRows; // the configuration with the edit applied
+    Head m_nextHead; // the head to write
     std::vector<std::string> m_replaced; // objects that a compaction replaced
     bool m_areExpectationsResolved = false;
     bool m_mayBeWritten = false; // a write of the head with an unknown result
--- a/carawaylatch/config/head.cpp
+++ b/carawaylatch/config/head.cpp
@@ -1,10 +1,10 @@
-// Stored form of the configuration: INI text, like the tables themselves, so that
-// operators can read what the platform holds.
+// Storage format of the configuration: INI text, like the table files, so that
+// operators can read the stored objects.
 //
-// The head is a section [head], then each edit as [edit ID] followed by the rows
-// that it changes. What an edit says of a row besides its fields stands in keys
-// that begin with '@', which no field's name can. A snapshot is a section
-// [configuration] followed by all rows.
+// The head is a section [head], then for each edit a section [edit ID] followed by
+// the rows that it changes. Attributes of a change other than the row's fields have
+// keys that begin with '@', which is not allowed in field names. A snapshot is a
+// section [configuration] followed by all rows.
 #include "carawaylatch/config/head.h"
 
 #include <algorithm>
@@ -38,7 +38,7 @@
 
 base::Error unreadableObject(std::string_view objectName, const std::string &reason)
 {
-    return base::fail(base::ErrorKind::Internal, std::string(objectName) + " can't be read: " + reason + "; look at the object with the platform's own tools");
+    return base::fail(base::ErrorKind::Internal, std::string(objectName) + " can't be read: " + reason + "; inspect the object with the platform's tools");
 }
 
 const std::string *findValue(const IniSection &section, std::string_view key)
@@ -107,7 +107,7 @@
     const auto hex = std::string_view(section.name).substr(EditSection.size());
     const auto [end, ec] = std::from_chars(hex.data(), hex.data() + hex.size(), edit.id.value, 16);
     if (ec != std::errc{} || end != hex.data() + hex.size()) {
-        return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] has no id");
+        return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] has no valid id");
     }
     BOOST_OUTCOME_TRY(revision, requiredNumber(section, "revision"));
     BOOST_OUTCOME_TRY(madeAt, requiredNumber(section, "made_at"));
@@ -130,7 +130,7 @@
             }
             edits.push_back(std::move(edit));
         } else if (edits.empty()) {
-            return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] stands before any edit");
+            return base::fail(base::ErrorKind::InvalidArgument, "[" + section.name + "] appears before any edit");
         } else {
             BOOST_OUTCOME_TRY(change, parseChange(section));
             edits.back().changes.push_back(std::move(change));
@@ -177,7 +177,7 @@
     const bool isContiguous = head.edits.empty() ? head.revision == head.snapshotRevision
                                                  : head.edits.front().revision.value == snapshotRevision + 1 && head.edits.back().revision == head.revision;
     if (!isContiguous) {
-        return base::fail(base::ErrorKind::InvalidArgument, "its edits don't reach from its snapshot to its revision");
+        return base::fail(base::ErrorKind::InvalidArgument, "its edits don't cover all revisions after its snapshot");
     }
     return head;
 }
--- a/carawaylatch/config/head.h
+++ b/carawaylatch/config/head.h
@@ -1,12 +1,11 @@
-// The head of the configuration: the one object whose conditional update accepts
-// an edit.
+// The head of the configuration: the object whose conditional write commits an edit.
 //
-// An edit changes one or more rows together and is accepted as a whole. Every
-// accepted edit raises the revision by one, so revisions give all edits one
-// order. The head object holds the revision, the name of a base snapshot and the
-// edits since; the configuration is the snapshot with these edits applied.
-// Everything here is plain values and functions on them; acceptance.h decides,
-// headstore.h talks to the platform.
+// An edit changes one or more rows atomically. Every committed edit increments the
+// revision by one, so revisions order all edits totally. The head object holds the
+// revision, the name of a base snapshot and the edits since that snapshot; the
+// configuration is the snapshot with these edits applied. This file has only
+// values and pure functions; editcommit.h commits an edit and configstore.h does
+// the I/O.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +27,8 @@
 constexpr std::string_view SnapshotPrefix = "config/snapshot/";
 constexpr std::string_view HistoryPrefix = "config/history/";
 
-// Names one edit for all time; chosen by who makes it, so that a lost answer can be settled.
+// Unique id of an edit, chosen before the first write, so that the result of a write
+// whose response was lost can be looked up.
 using EditId = base::Number<struct EditTag>;
 
 struct RowChange
@@ -38,9 +38,9 @@
         Remove,
     };
     Kind kind = Kind::Put;
-    Row row; // of a removal only the key counts
-    // The row's revision when the edit was made, zero for "did not exist". Nothing
-    // stands for the revision that is found when the edit is first tried.
+    Row row; // only the key is used for Remove
+    // The row's revision that the edit is based on, zero if the row did not exist. If
+    // unset, the revision found by the first attempt to commit is used.
     std::optional<base::Revision> expected;
 
     bool operator==(const RowChange &) const = default;
@@ -50,14 +50,15 @@
 {
     EditId id;
     std::string author;
-    std::int64_t madeAt = 0; // milliseconds since 1970, for people only
-    base::Revision revision; // zero until accepted
+    std::int64_t madeAt = 0; // milliseconds since 1970, for display only
+    base::Revision revision; // zero until committed
     std::vector<RowChange> changes;
 
     bool operator==(const Edit &) const = default;
 };
 
-// A part of the history that left the head.
+// Revisions of the edits in one history object, written when a compaction removes them
+// from the head.
 struct HistorySegment
 {
     base::Revision first;
@@ -72,7 +73,7 @@
     std::string snapshotName; // empty: the empty configuration
     base::Revision snapshotRevision;
     std::vector<Edit> edits; // of revisions snapshotRevision + 1 to revision, in order
-    std::vector<HistorySegment> history; // oldest first; at most MaxHistorySegments, older ones are dropped
+    std::vector<HistorySegment> history; // oldest first; beyond MaxHistorySegments the oldest are dropped
 
     bool operator==(const Head &) const = default;
 };
@@ -82,22 +83,24 @@
 [[nodiscard]] std::string formatHead(const Head &head);
 [[nodiscard]] base::Result<Head> parseHead(std::string_view text);
 
-// Edits as text, as history objects and peers carry them. Fields of newer versions are kept.
+// Edits as text, the format of history objects and of updates between peers. Row fields
+// unknown to this version are kept.
 [[nodiscard]] std::string formatEdits(std::span<const Edit> edits);
 [[nodiscard]] base::Result<std::vector<Edit>> parseEdits(std::string_view text);
 
-// A whole configuration as text, revision included.
+// A full configuration as text, including its revision.
 [[nodiscard]] std::string formatSnapshot(const RowSet &rows);
 [[nodiscard]] base::Result<RowSet> parseSnapshot(std::string_view text);
 
-// Returns the object's name of a snapshot: revision and content, so that a name never means two contents.
+// Returns the object name of a snapshot. It contains the revision and a hash of the text,
+// so the content of a name never changes.
 [[nodiscard]] std::string snapshotName(base::Revision revision, std::string_view text);
 [[nodiscard]] std::string historyName(const HistorySegment &segment);
 
-// Applies an accepted edit, whose revision must be the next one of the rows.
+// Applies a committed edit, whose revision must follow that of the rows.
 void applyEdit(RowSet &rows, const Edit &edit);
 
-// Returns the configuration of a head over its base snapshot.
+// Returns the configuration of a head: its base snapshot with the head's edits applied.
 [[nodiscard]] RowSet materialize(RowSet snapshot, const Head &head);
 
 } // namespace carawaylatch::config
--- a/carawaylatch/config/inidocument.cpp
+++ b/carawaylatch/config/inidocument.cpp
@@ -1,11 +1,12 @@
-// INI text through libinih.
+// INI parser on top of libinih.
 //
-// The library reads line by line through a callback. This reader counts the
-// lines, which the library's handler doesn't pass on, notes each section header,
-// which the library reports only with its first key, and refuses what the
-// library would cut silently: long lines, long section names and NUL bytes.
-// The library calls the handler again with the same key for a continuation
-// line; the reader knows from the line's first character which case it is.
+// The library reads lines through a callback. The callback here adds what the
+// library lacks: it counts lines, which the library doesn't pass to its handler; it
+// records each section header, which the library reports only with the first key;
+// and it rejects input that the library would truncate silently: long lines, long
+// section names and NUL bytes. For a continuation line the library calls the
+// handler again with the same key; the callback detects this case by the
+// indentation of the line.
 #include "carawaylatch/config/inidocument.h"
 
 #include <ini.h>
@@ -27,7 +28,7 @@
     std::string_view fileName;
     int line = 0;
     bool isContinuation = false;
-    std::string problem; // of the first line that is refused
+    std::string problem; // of the first invalid line; empty if there is none
     IniDocument document;
 };
 
@@ -91,7 +92,7 @@
     auto &reader = *static_cast<IniReader *>(user);
     auto &sections = reader.document.sections;
     if (sections.empty() || sections.back().name != section) {
-        setProblem(reader, "the key '" + std::string(name) + "' stands before any section; put it below a [SECTION] line");
+        setProblem(reader, "the key '" + std::string(name) + "' appears before any section; put it below a [SECTION] line");
         return 0;
     }
     auto &entries = sections.back().entries;
@@ -134,7 +135,7 @@
         return base::fail(base::ErrorKind::InvalidArgument, "a value has control characters; write it on one line of plain text");
     }
     if (!value.empty() && (value.front() == ' ' || value.back() == ' ' || value.find("  ") != std::string_view::npos)) {
-        return base::fail(base::ErrorKind::InvalidArgument, "a value has spaces at an end or doubled; leave one between words");
+        return base::fail(base::ErrorKind::InvalidArgument, "a value has leading, trailing or repeated spaces; write one space between words");
     }
     if (value.find(" ;") != std::string_view::npos || value.starts_with(';')) {
         return base::fail(base::ErrorKind::InvalidArgument, "a value has ';' at the start of a word, which begins a comment; leave it out");
@@ -146,7 +147,7 @@
             return base::fail(base::ErrorKind::InvalidArgument, "a value has a word of more than 120 bytes; shorten it");
         }
         if (start > 0 && value[start] == '#') {
-            return base::fail(base::ErrorKind::InvalidArgument, "a value has a word that begins with '#'; write it otherwise");
+            return base::fail(base::ErrorKind::InvalidArgument, "a value has a word that begins with '#'; reword it");
         }
         start = end + 1;
     }
--- a/carawaylatch/config/inidocument.h
+++ b/carawaylatch/config/inidocument.h
@@ -1,9 +1,9 @@
 // INI text as a list of sections with line numbers.
 //
-// The form of settings, tables and the stored configuration. Sections and keys
-// keep their order and may repeat; what a repetition means is decided by the
-// reader of the document. A value that is too long for one line goes on in lines
-// that begin with a space; the parts are joined with one space.
+// Settings, tables and the stored configuration use this format. Sections and keys
+// keep their order and may repeat; the caller decides what a repetition means. A
+// value that is too long for one line continues on lines that begin with a space;
+// the lines are joined with one space.
 #pragma once
 
 #include <string>
@@ -15,9 +15,9 @@
 namespace carawaylatch::config
 {
 
-// Longest line in bytes without its end.
+// Longest line in bytes, without the line end.
 constexpr std::size_t MaxIniLineBytes = 190;
-// Longest name of a section in bytes.
+// Longest section name in bytes.
 constexpr std::size_t MaxIniSectionBytes = 49;
 
 struct IniEntry
@@ -43,17 +43,18 @@
     std::vector<IniSection> sections;
 };
 
-// Returns the sections of a text. `fileName` stands in error messages.
+// Parses a text; InvalidArgument names the first invalid line. `fileName` is used in
+// error messages only.
 [[nodiscard]] base::Result<IniDocument> parseIni(std::string_view text, std::string_view fileName);
 
-// Appends `key = value` to a text, broken between words where the line would be too long.
+// Appends `key = value` to a text, wrapped between words at MaxIniLineBytes.
 // The value must pass checkIniValue().
 void appendIniEntry(std::string &text, std::string_view key, std::string_view value);
 
-// Returns an error if a value would not survive being written and read back.
+// Returns InvalidArgument if a value would change when written and parsed again.
 [[nodiscard]] base::Result<void> checkIniValue(std::string_view value);
 
-// Returns "FILE:LINE: ", the start of every message about a line.
+// Returns "FILE:LINE: ", the prefix of every message about a line.
 [[nodiscard]] std::string linePrefix(std::string_view fileName, int line);
 
 } // namespace carawaylatch::config
--- a/carawaylatch/config/keydigest.cpp
+++ b/carawaylatch/config/keydigest.cpp
@@ -1,4 +1,4 @@
-// SHA-256 by libcrypto. Keys are long and random, so that no salt is needed.
+// Key digests with SHA-256 from libcrypto. Keys are long and random, so no salt is needed.
 #include "carawaylatch/config/keydigest.h"
 
 #include <openssl/sha.h>
--- a/carawaylatch/config/keydigest.h
+++ b/carawaylatch/config/keydigest.h
@@ -1,4 +1,4 @@
-// Digests of bearer keys, so that tables and logs never hold a key.
+// Digests of bearer keys. Tables and logs contain digests, never the keys.
 #pragma once
 
 #include <string>
--- a/carawaylatch/config/settings.cpp
+++ b/carawaylatch/config/settings.cpp
@@ -1,10 +1,10 @@
-// The table of settings and the parser driven by it.
+// The table of settings keys and the parser based on it.
 //
-// A row binds a section and a key to a member of Settings through two functions
-// made from member pointers: one parses text into the member, one formats it.
-// Defaults are those of a default-constructed Settings, so that they stand once.
-// A value out of range is checked in the member's own unit (durations in
-// nanoseconds), and the bounds are rendered in the form an operator writes.
+// Each entry binds a section and a key to a member of Settings through two functions
+// instantiated from member pointers: one parses text into the member, the other
+// formats it. The defaults are those of a default-constructed Settings. Ranges are
+// checked in the member's own unit (durations in nanoseconds); messages and the
+// page show the bounds in the operators' format.
 #include "carawaylatch/config/settings.h"
 
 #include <algorithm>
@@ -31,18 +31,18 @@
 enum class Presence {
     Optional,
     Required,
-    Secret, // required and never shown
+    Secret, // required; the value is never printed
 };
 
 struct Bounds
 {
     std::int64_t minimum = 0;
     std::int64_t maximum = std::numeric_limits<std::int64_t>::max();
-    std::string_view choices; // allowed words, "a|b|c"
+    std::string_view choices; // allowed words as "a|b|c"; empty for any value
 };
 
-// Forms of a member's type: parse returns the value, format its text, count its
-// size for the bounds. One overload for each type that occurs in Settings.
+// Text conversion of a member type. parse() returns the value, format() its text and
+// count() the number to compare with the bounds. Specialised for each type in Settings.
 template <typename T>
 struct ValueTraits;
 
@@ -282,19 +282,19 @@
     describeKey<&S::router, &S::Router::id>("router", "id", Required, AnyName, "Name of this router, unique in the fleet."),
     describeKey<&S::router, &S::Router::failureDomain>("router", "failure_domain", Required, AnyName, "Failure domain that this VM is in."),
     describeKey<&S::router, &S::Router::versionLabel>("router", "version_label", Optional, AnyText, "Version shown on the operators' port and in the log."),
-    describeKey<&S::callers, &S::Callers::address>("callers", "address", Optional, AnyAddress, "IP number that callers reach."),
+    describeKey<&S::callers, &S::Callers::address>("callers", "address", Optional, AnyAddress, "IP address that callers reach."),
     describeKey<&S::callers, &S::Callers::port>("callers", "port", Optional, AnyPort, "Port that callers reach; 0 lets the system choose."),
     describeKey<&S::callers, &S::Callers::maxStreams>("callers", "max_streams", Optional, {1, 10'000, {}},
                                                       "Requests served at the same time, one thread each."),
     describeKey<&S::callers, &S::Callers::maxBodyBytes>("callers", "max_body_bytes", Optional, {1'000, 100'000'000, {}}, "Longest request body in bytes."),
-    describeKey<&S::operators, &S::Operators::address>("operators", "address", Optional, AnyAddress, "IP number of the operators' port."),
+    describeKey<&S::operators, &S::Operators::address>("operators", "address", Optional, AnyAddress, "IP address of the operators' port."),
     describeKey<&S::operators, &S::Operators::port>("operators", "port", Optional, AnyPort, "Port of status, metrics and readiness; 0 lets the system choose."),
-    describeKey<&S::peers, &S::Peers::address>("peers", "address", Optional, AnyAddress, "IP number that other routers reach."),
+    describeKey<&S::peers, &S::Peers::address>("peers", "address", Optional, AnyAddress, "IP address that other routers reach."),
     describeKey<&S::peers, &S::Peers::port>("peers", "port", Optional, AnyPort, "Port for other routers; 0 lets the system choose."),
     describeKey<&S::peers, &S::Peers::key>("peers", "key", Presence::Secret, {16, MaxTextBytes, {}}, "Secret that all routers of the fleet share."),
     describeKey<&S::peers, &S::Peers::seeds>("peers", "seeds", Optional, {0, 64, {}}, "Peer ports of routers to ask first, beside the platform's list."),
     describeKey<&S::peers, &S::Peers::maxConnections>("peers", "max_connections", Optional, {4, 1'000, {}}, "Connections to other routers kept open."),
-    describeKey<&S::platform, &S::Platform::address>("platform", "address", Optional, AnyAddress, "IP number of the platform's object API."),
+    describeKey<&S::platform, &S::Platform::address>("platform", "address", Optional, AnyAddress, "IP address of the platform's object API."),
     describeKey<&S::platform, &S::Platform::port>("platform", "port", Required, {1, MaxPort, {}}, "Port of the platform's object API."),
     describeKey<&S::platform, &S::Platform::timeout>("platform", "timeout", Optional, {10 * Millisecond, Minute, {}}, "Longest wait for one call."),
     describeKey<&S::platform, &S::Platform::watchWait>("platform", "watch_wait", Optional, {100 * Millisecond, 5 * Minute, {}}, "Longest wait of one watch."),
@@ -318,7 +318,7 @@
                                                     "Time between stored snapshots for warm starts."),
     describeKey<&S::timings, &S::Timings::warmStart>("timings", "warm_start", Optional, {0, Minute, {}}, "Longest wait for other routers at a start."),
     describeKey<&S::timings, &S::Timings::upstreamTimeout>("timings", "upstream_timeout", Optional, {50 * Millisecond, 10 * Minute, {}},
-                                                           "Longest wait for an upstream's answer that doesn't stream."),
+                                                           "Longest wait for an upstream's response that isn't streamed."),
     describeKey<&S::logs, &S::Logs::directory>("logs", "directory", Optional, AnyText, "Folder of log files; empty for standard error."),
     describeKey<&S::logs, &S::Logs::level>("logs", "level", Optional, {}, "Least level that is logged: info, warning or error."),
 };
@@ -351,7 +351,7 @@
     });
 }
 
-// Returns the names in a row that fit, "a, b, c": sections, or the keys of one.
+// Returns "a, b, c": the keys of a section, or all sections if `section` is empty.
 std::string listNames(std::string_view section)
 {
     std::string text;
@@ -366,7 +366,7 @@
     return text;
 }
 
-// Values that must fit each other, checked once all keys are read.
+// Checks addresses and values that depend on other keys, once all keys are parsed.
 Result<void> checkConsistency(const Settings &settings, std::string_view fileName)
 {
     for (const auto *address : {&settings.callers.address, &settings.operators.address, &settings.peers.address, &settings.platform.address}) {
@@ -413,7 +413,7 @@
     std::ostringstream out;
     out << "# Settings\n\nRendered from carawaylatch/config/settings.cpp; a test compares the two.\n\n"
         << "One INI file for each router. Durations carry a unit (`us`, `ms`, `s`, `m`, `h`). Lines that begin with `#` or `;` are\n"
-        << "comments. A long value goes on in the next line, which then begins with a space. Unknown, repeated or wrong keys stop\n"
+        << "comments. A long value continues on the next line, which begins with a space. Unknown, repeated or wrong keys stop\n"
         << "the start with exit code 2 and a message that names file, line and key.\n";
     std::string_view section;
     for (const auto &it : KeyTable) {
@@ -438,12 +438,12 @@
             return lineError(fileName, section.line, "unknown section [" + section.name + "]; write one of " + listNames({}));
         }
         if (!seen.insert(section.name).second) {
-            return lineError(fileName, section.line, "section [" + section.name + "] stands twice; keep one and put all its keys there");
+            return lineError(fileName, section.line, "section [" + section.name + "] appears twice; keep one and put all its keys there");
         }
         for (const auto &entry : section.entries) {
             BOOST_OUTCOME_TRY(applyEntry(settings, section, entry, fileName));
             if (!seen.insert(section.name + '.' + entry.key).second) {
-                return lineError(fileName, entry.line, "key '" + entry.key + "' stands twice in [" + section.name + "]; remove one");
+                return lineError(fileName, entry.line, "key '" + entry.key + "' appears twice in [" + section.name + "]; remove one");
             }
         }
     }
@@ -463,7 +463,7 @@
     std::error_code ec;
     std::ifstream in(path, std::ios::binary);
     if (!in.is_open() || std::filesystem::is_directory(path, ec)) {
-        return base::fail(base::ErrorKind::NotFound, path + ": the file can't be read; check its path and rights");
+        return base::fail(base::ErrorKind::NotFound, path + ": the file can't be read; check its path and permissions");
     }
     return parseSettings(std::string{std::istreambuf_iterator<char>(in), {}}, path);
 }
--- a/carawaylatch/config/tablecheck.cpp
+++ b/carawaylatch/config/tablecheck.cpp
@@ -1,9 +1,10 @@
-// Joins of the tables: routes to pools and customers, upstreams between pools.
+// Checks of references: from routes to pools and customers, and of upstreams that
+// are members of several pools.
 //
-// Two routes are ambiguous if one request could match both equally well: same
-// path, model and class, and a customer in common or both open to all. A route
-// that names customers or a class goes before one that doesn't, so these may
-// stand side by side.
+// Two routes are ambiguous if a request could match both with equal precedence:
+// they have the same path, model and class, and share a customer or are both open
+// to all customers. A route that names customers or a class takes precedence over
+// one that doesn't, so these may overlap.
 #include "carawaylatch/config/tablecheck.h"
 
 #include <algorithm>
@@ -117,7 +118,7 @@
         });
         if (!isKnown) {
             return inconsistency(location,
-                                 label + " names customer '" + it.value() + "', who doesn't exist; add [customer " + it.value() + "] or remove the name");
+                                 label + " names customer '" + it.value() + "', which doesn't exist; add [customer " + it.value() + "] or remove the name");
         }
     }
     if (route.idempotency == Idempotency::AtMostOnce && route.hedging == Hedging::On) {
--- a/carawaylatch/config/tablecheck.h
+++ b/carawaylatch/config/tablecheck.h
@@ -1,4 +1,4 @@
-// Checks between rows: what no single row can show.
+// Consistency checks across rows, such as references from routes to pools.
 #pragma once
 
 #include <functional>
@@ -10,10 +10,10 @@
 namespace carawaylatch::config
 {
 
-// Returns the start of a message about a row, "FILE:LINE: " where the line is known.
+// Returns the prefix of a message about a row: "FILE:LINE: ", or "FILE: " if the line is unknown.
 using RowLocator = std::function<std::string(const RowKey &key)>;
 
-// Returns the first conflict between the rows of tables that are right one by one.
+// Returns InvalidArgument for the first inconsistency between rows that are each valid.
 [[nodiscard]] base::Result<void> checkTables(const Tables &tables, const RowLocator &locate);
 
 } // namespace carawaylatch::config
--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -1,10 +1,9 @@
-// Rows from INI text and typed tables from rows.
+// Parsing of rows from INI text and of typed tables from rows.
 //
 // Each kind of row has a table of fields: key, form, meaning and a function that
-// parses a value into the typed row. The strict reader, the conversion and the
-// page docs/TABLES.md are driven by these tables. Conversion walks a row's
-// fields once; a field without an entry belongs to a newer version and is passed
-// over, while the raw row that holds it stays as it is.
+// parses a value into the typed row. The strict parser, the conversion to typed rows
+// and the page docs/TABLES.md are generated from these tables. The conversion skips
+// a field without an entry, which belongs to a newer version; the row itself keeps it.
 #include "carawaylatch/config/tablefile.h"
 
 #include <algorithm>
@@ -165,11 +164,11 @@
 };
 
 const std::array PoolFields{
-    Field<Pool>{"kind", "engine or service", "What stands behind the pool; engine by default.",
+    Field<Pool>{"kind", "engine or service", "Kind of the upstreams; engine by default.",
                 [](Pool &it, std::string_view text) {
                     return parseChoiceInto(it.kind, text, "engine", "service", UpstreamKind::Engine, UpstreamKind::Service);
                 }},
-    Field<Pool>{"fencing", "checked or ignored", "Whether the upstreams refuse orders with an old fencing number; ignored by default.",
+    Field<Pool>{"fencing", "checked or ignored", "Whether the upstreams reject orders with an old fencing token; ignored by default.",
                 [](Pool &it, std::string_view text) {
                     return parseChoiceInto(it.fencing, text, "checked", "ignored", OrderFencing::Checked, OrderFencing::Ignored);
                 }},
@@ -298,7 +297,7 @@
     return RowKey{kind.value(), name.value()};
 }
 
-// Checks a row against the kinds and fields that this version knows.
+// Rejects kinds and fields that are unknown to this version, and repeated keys.
 Result<void> checkKnownFields(const Row &row, std::string_view fileName)
 {
     const auto kind = std::find_if(rowKinds().begin(), rowKinds().end(), [&](const KindSummary &it) {
@@ -320,7 +319,7 @@
             return invalid(location(fileName, field.line) + "unknown key '" + field.key + "' in [" + rowLabel(row.key) + "]; write one of " + names);
         }
         if (!seen.insert(field.key).second && it->repetition == Repetition::Once) {
-            return invalid(location(fileName, field.line) + "key '" + field.key + "' stands twice in [" + rowLabel(row.key) + "]; remove one");
+            return invalid(location(fileName, field.line) + "key '" + field.key + "' appears twice in [" + rowLabel(row.key) + "]; remove one");
         }
     }
     return ok();
@@ -445,8 +444,8 @@
             BOOST_OUTCOME_TRY(checkKnownFields(row, fileName));
         }
         if (const auto *other = rows.find(row.key); other != nullptr) {
-            return invalid(linePrefix(fileName, section.line) + "[" + rowLabel(row.key) + "] stands already in line " + std::to_string(other->line)
-                           + "; join the two or rename one");
+            return invalid(linePrefix(fileName, section.line) + "[" + rowLabel(row.key) + "] is already defined in line " + std::to_string(other->line)
+                           + "; merge the two or rename one");
         }
         rows.put(std::move(row));
     }
@@ -492,7 +491,7 @@
 {
     std::ostringstream out;
     out << "# Tables\n\nRendered from carawaylatch/config/tablefile.cpp; a test compares the two.\n\n"
-        << "Operators edit customers, pools and routes as INI text and hand it in with `carawaylatchctl apply`. A row is a section\n"
+        << "Operators edit customers, pools and routes as INI text and submit it with `carawaylatchctl apply`. A row is a section\n"
         << "`[KIND NAME]`; names have letters, digits, `.`, `_` and `-`. A row may carry `revision = N`, as `carawaylatchctl get` prints it:\n"
         << "the edit is then refused if someone else changed the row after revision N.\n";
     for (const auto &kind : rowKinds()) {
--- a/carawaylatch/config/tablefile.h
+++ b/carawaylatch/config/tablefile.h
@@ -13,10 +13,10 @@
 //     model = clause-7b
 //     pool = readers
 //
-// Rows keep every field as it was written, also those that this version doesn't
-// know, so that a configuration made by a newer version passes through whole.
-// Typed values are made from rows by toTables(). What operators hand in is read
-// strictly: an unknown kind or field is an error there.
+// Rows keep every field as written, including fields unknown to this version, so
+// that a configuration from a newer version is stored and forwarded unchanged.
+// toTables() converts rows to typed values. Input from operators is parsed
+// strictly: an unknown kind or field is an error.
 #pragma once
 
 #include <string>
@@ -33,7 +33,7 @@
 {
     std::string key;
     std::string value;
-    int line = 0; // in the file it came from, zero for none; not part of the value
+    int line = 0; // in the source file, zero if unknown; ignored by comparisons
 
     bool operator==(const RowField &other) const
     {
@@ -41,7 +41,7 @@
     }
 };
 
-// Names a row: kind is "customer", "pool", "route" or one of a newer version.
+// Identifies a row. The kind is "customer", "pool", "route" or one of a newer version.
 struct RowKey
 {
     std::string kind;
@@ -51,15 +51,15 @@
     bool operator==(const RowKey &) const = default;
 };
 
-// Returns "route contracts".
+// Returns kind and name, such as "route contracts".
 [[nodiscard]] std::string rowLabel(const RowKey &key);
 
 struct Row
 {
     RowKey key;
-    base::Revision revision; // that last changed the row; zero for a row not yet accepted
-    std::vector<RowField> fields; // in order; a key may repeat
-    int line = 0; // as in RowField
+    base::Revision revision; // of the last edit of the row; zero for a row that is not committed
+    std::vector<RowField> fields; // in the order of the text; a key may repeat
+    int line = 0; // as RowField::line
 
     bool operator==(const Row &other) const
     {
@@ -75,28 +75,28 @@
 
     // Returns the row, or nullptr.
     [[nodiscard]] const Row *find(const RowKey &key) const;
-    // Adds a row or replaces the one of its key.
+    // Adds a row or replaces the row with the same key.
     void put(Row row);
     void remove(const RowKey &key);
 
     bool operator==(const RowSet &) const = default;
 };
 
-// How unknown kinds and fields are taken.
+// How unknown kinds and fields are handled.
 enum class TableParsing {
-    Strict, // as errors: what operators hand in
-    Lenient, // kept: what was accepted before
+    Strict, // rejected; for input from operators
+    Lenient, // kept; for the stored configuration, which a newer version may have written
 };
 
-// Reads rows. A field `revision = N` in a row says on which revision the row was edited.
+// Parses rows. A field `revision = N` in a row is the revision that the edit is based on.
 [[nodiscard]] base::Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing reading = TableParsing::Strict);
 
-// Returns the text of rows, which parseRows() reads back.
+// Formats rows as text; parseRows() returns the same rows.
 [[nodiscard]] std::string formatRows(const RowSet &rows);
 
-// Returns the typed tables, or the first thing that is wrong with a row or between rows:
-// a route without its pool, a model that differs, a name or key that stands twice.
-// Fields that this version doesn't know are passed over.
+// Returns the typed tables, or InvalidArgument for the first invalid row or inconsistency
+// between rows, such as a route without its pool, different models in route and pool, or a
+// key digest used twice. Kinds and fields unknown to this version are ignored.
 [[nodiscard]] base::Result<Tables> toTables(const RowSet &rows, std::string_view fileName = "tables");
 
 // Returns the page docs/TABLES.md.
--- a/carawaylatch/config/tables.h
+++ b/carawaylatch/config/tables.h
@@ -1,7 +1,7 @@
-// The operators' tables: routes say what traffic goes where, pools say which
-// upstreams stand behind a name, customers say whose keys and limits apply.
-// Routes and pools are joined by name. These are plain validated values; how
-// they are written, checked and distributed is in tablefile.h and head.h.
+// The operators' tables. A route selects the pool for a request, a pool is a named
+// set of upstreams, and a customer has a key and limits. Routes refer to pools by
+// name. These are plain validated values; tablefile.h parses and checks them,
+// head.h stores them.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +30,8 @@
 };
 
 enum class OrderFencing {
-    Checked, // the upstream refuses an order that carries an old fencing number
-    Ignored, // the upstream obeys any order
+    Checked, // the upstream rejects an order with an old fencing token
+    Ignored, // the upstream executes any order
 };
 
 struct PoolMember
@@ -47,10 +47,10 @@
     UpstreamKind kind = UpstreamKind::Engine;
     OrderFencing fencing = OrderFencing::Ignored;
     base::ModelId model; // empty for services
-    base::WeightsVersion weightsVersion; // the version to serve; zero for services
+    base::WeightsVersion weightsVersion; // version of the weights to serve; zero for services
     std::string adapter;
     std::uint32_t blockBytes = 4000; // prompt bytes in one cached block
-    std::uint32_t maxLoads = 2; // weight loads at the same time
+    std::uint32_t maxLoads = 2; // members that load weights at the same time
     std::optional<base::Endpoint> kvStore;
     std::vector<PoolMember> members;
 };
@@ -71,7 +71,7 @@
     std::vector<base::CustomerId> customers; // empty for every customer
     std::string path; // "/v1/completions", or "/v1/services/NAME" for services
     base::ModelId model; // empty for services
-    std::optional<base::TrafficClass> trafficClass; // nothing matches both
+    std::optional<base::TrafficClass> trafficClass; // unset matches both classes
     base::PoolName pool;
     base::Duration deadline = base::seconds{30};
     Idempotency idempotency = Idempotency::Idempotent;
@@ -79,7 +79,7 @@
     std::uint32_t maxPromptBytes = 4'000'000;
 };
 
-// One accepted configuration. Rows are ordered by name and names are unique.
+// One committed configuration. Rows are ordered by name and names are unique.
 struct Tables
 {
     base::Revision revision;
--- a/carawaylatch/config/testing/distributortest.cpp
+++ b/carawaylatch/config/testing/distributortest.cpp
@@ -1,8 +1,9 @@
-// Distribution in virtual time: losses, doubles, cuts, outages and restarts.
+// Distribution in virtual time with lost and duplicated messages, network
+// partitions, platform outages and restarts.
 //
-// Invariants at every step: a router's revision never falls, and its rows are
-// those of the accepted history at its revision. Heartbeats to random
-// routers, answered, stand in for the member list.
+// Invariants at every step: a router's revision never decreases, and its rows equal
+// the committed configuration of that revision. Heartbeats to random routers, with
+// a reply, replace those of the membership protocol.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -59,7 +60,7 @@
         m_nodes[n]->onMembers(m_members);
         executeActions(n);
     }
-    // An operator's edit is accepted; watchers with a platform read it.
+    // Commits an operator's edit; all watchers that can reach the platform read it.
     void commitEdit(std::uint64_t id, const std::string &pool)
     {
         EditCommit commit(poolEdit(id, pool, id), {});
@@ -146,9 +147,9 @@
                     executeActions(to);
                 });
             } else if (const auto *inForce = std::get_if<ConfigInForce>(&it)) {
-                CPPUNIT_ASSERT_MESSAGE("a revision came back", inForce->revision > m_lastRevisions[n]);
+                CPPUNIT_ASSERT_MESSAGE("a revision was repeated or decreased", inForce->revision > m_lastRevisions[n]);
                 m_lastRevisions[n] = inForce->revision;
-                CPPUNIT_ASSERT_MESSAGE("rows differ from the history", *inForce->rows == m_history.at(inForce->revision));
+                CPPUNIT_ASSERT_MESSAGE("the rows differ from the committed ones", *inForce->rows == m_history.at(inForce->revision));
                 CPPUNIT_ASSERT(inForce->tables != nullptr && inForce->tables->revision == inForce->revision);
             }
         }
@@ -192,7 +193,7 @@
         fleet.commitEdit(1, "a");
         fleet.network().runFor(milliseconds{100});
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, fleet.countAt(1));
-        CPPUNIT_ASSERT_MESSAGE("an edit is sent about once to each", fleet.updateCount() <= 40);
+        CPPUNIT_ASSERT_MESSAGE("too many updates were sent for one edit", fleet.updateCount() <= 40);
     }
 
     void testLostAndDuplicatedMessages()
@@ -202,7 +203,7 @@
             fleet.commitEdit(i, std::string(1, static_cast<char>('a' + i % 3)));
             fleet.network().runFor(milliseconds{100});
         }
-        // A round of 500 ms repairs a router with a chance of about a third.
+        // Each heartbeat round of 500 ms repairs a router with a probability of about 1/3.
         fleet.network().runFor(seconds{15});
         CPPUNIT_ASSERT_EQUAL(std::size_t{30}, fleet.countAt(40));
     }
--- a/carawaylatch/config/testing/editcommittest.cpp
+++ b/carawaylatch/config/testing/editcommittest.cpp
@@ -1,8 +1,8 @@
-// Acceptance of edits under faults at every step, races and lost answers.
+// Commits of edits with faults at every step, concurrent edits and lost responses.
 //
-// The judge is the stored history, read without faults: an edit that was said to
-// be accepted is there once, one that was refused is not there, and the history
-// replayed from nothing gives the stored configuration.
+// The tests compare the reported outcomes with the stored history, read without
+// faults: an accepted edit is in it exactly once, a refused edit is not in it, and
+// replaying the history from an empty configuration gives the stored one.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -27,7 +27,7 @@
 constexpr CommitOptions SmallLimits{DryRun::Off, 64, 8, 6, 2};
 constexpr std::size_t AllEdits = 100'000;
 
-// Holds the stored history against the outcomes that operators were given.
+// Checks the stored history against the outcomes reported to operators.
 void checkHistory(FaultyPlatform &platform, const std::map<std::uint64_t, ErrorKind> &refused, const std::set<std::uint64_t> &accepted,
                   const std::string &label)
 {
@@ -42,15 +42,15 @@
         CPPUNIT_ASSERT_EQUAL_MESSAGE(label, replayed.revision.value + 1, it->revision.value);
         for (const auto &change : it->changes) {
             const auto *row = replayed.find(change.row.key);
-            CPPUNIT_ASSERT_MESSAGE(label + ": an edit went over one that it did not know",
+            CPPUNIT_ASSERT_MESSAGE(label + ": an edit overwrote a revision that it was not based on",
                                    change.expected == (row != nullptr ? row->revision : base::Revision{}));
         }
         applyEdit(replayed, *it);
         CPPUNIT_ASSERT_MESSAGE(label, toTables(replayed).has_value());
     }
-    CPPUNIT_ASSERT_MESSAGE(label + ": the history replayed is not the configuration", replayed == stored.value().rows);
+    CPPUNIT_ASSERT_MESSAGE(label + ": the replayed history differs from the stored configuration", replayed == stored.value().rows);
     for (const auto it : accepted) {
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(label + ": an accepted edit is not in force once", 1, counts[it]);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(label + ": an accepted edit is not in the history exactly once", 1, counts[it]);
     }
     for (const auto &[id, kind] : refused) {
         const bool isConsistent = kind == ErrorKind::Unclear ? counts[id] <= 1 : counts[id] == 0;
@@ -82,12 +82,12 @@
     }
 }
 
-// How a fault goes on, and what others do while it lasts.
+// A fault, its duration, and concurrent edits while it lasts.
 struct FaultCase
 {
     StoreFault fault;
-    int calls; // that fail from the step on
-    int otherEdits; // by others right after the fault
+    int calls; // number of consecutive calls that fail
+    int otherEdits; // committed by others right after the first failed call
 };
 
 constexpr FaultCase FaultCases[] = {
@@ -123,11 +123,12 @@
                 cases += runFaultCase(step, it, reached) ? 1 : 0;
             }
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("a step was never met", std::size(AllCommitSteps), reached.size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("a step was never reached", std::size(AllCommitSteps), reached.size());
         CPPUNIT_ASSERT_EQUAL(static_cast<int>(std::size(AllCommitSteps) * std::size(FaultCases)), cases);
     }
 
-    // A write that was said to be unclear takes effect only after others were accepted.
+    // A head write without a response takes effect 0 to 5 steps later, when the commit may
+    // already have repeated it. The edit must be applied exactly once.
     void testDelayedHeadWrite()
     {
         for (int delaySteps = 0; delaySteps < 6; ++delaySteps) {
@@ -140,7 +141,7 @@
                 if (commit.step() == CommitStep::WriteHead && !delayed) {
                     delayed = *commit.request();
                     calls = 0;
-                    commit.onWritten(base::fail(ErrorKind::Unclear, "no answer"));
+                    commit.onWritten(base::fail(ErrorKind::Unclear, "no response"));
                 }
                 if (delayed && calls == delaySteps) {
                     (void)platform.memory.write(delayed->name, delayed->value, delayed->expected);
@@ -150,7 +151,7 @@
             (void)platform.memory.write(delayed->name, delayed->value, delayed->expected);
             outcomes.add(50, commit);
             CPPUNIT_ASSERT(outcomes.accepted.contains(50));
-            checkHistory(platform, outcomes.refused, outcomes.accepted, "late by " + std::to_string(delaySteps));
+            checkHistory(platform, outcomes.refused, outcomes.accepted, "delay " + std::to_string(delaySteps));
         }
     }
 
@@ -168,7 +169,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, store.load().value().rows.revision.value);
     }
 
-    // One operator removes a pool while another adds a route to it: only one may win.
+    // One operator removes a pool while another adds a route to it: only one edit may succeed.
     void testConcurrentPoolRemovalAndRouteAreExclusive()
     {
         FaultyPlatform platform;
@@ -207,8 +208,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store.history(AllEdits).value().size());
     }
 
-    // All orders of the first steps of two operators, each with every fault at each of
-    // its first steps; then both run to their ends.
+    // All interleavings of the first 8 steps of two commits, each with every fault at each
+    // of the first 5 steps of the first commit; then both run to completion.
     void testInterleavingsOfTwoEdits()
     {
         constexpr unsigned Depth = 8;
@@ -248,7 +249,7 @@
                 }
                 const auto head = platform.memory.read(HeadName);
                 const auto revision = head ? parseHead(head.value().value).value().revision.value : 0;
-                CPPUNIT_ASSERT_MESSAGE("the revision went back", revision >= lastRevision);
+                CPPUNIT_ASSERT_MESSAGE("the revision decreased", revision >= lastRevision);
                 lastRevision = revision;
             }
             for (auto &[id, commit] : running) {
@@ -294,7 +295,8 @@
     }
 
 private:
-    // Brings an acceptance to a step, lets the fault happen there, and judges.
+    // Runs a commit with the fault from `step` on and checks the history. Returns whether
+    // the commit reached the step.
     bool runFaultCase(CommitStep step, const FaultCase &fault, std::set<CommitStep> &reached)
     {
         std::ostringstream label;
@@ -324,7 +326,7 @@
         return isReached;
     }
 
-    // Loses the head's answer where the wanted step comes only after that.
+    // Loses the response of the head write if `step` is reached only after that.
     static void loseHeadResponse(FaultyPlatform &platform, EditCommit &commit, CommitStep step, Outcomes &outcomes)
     {
         const bool needsLostResponse = step == CommitStep::ReadBack || step == CommitStep::ReadHistory;
--- a/carawaylatch/config/testing/faultyplatform.h
+++ b/carawaylatch/config/testing/faultyplatform.h
@@ -1,4 +1,4 @@
-// Executes an acceptance step by step against a store, with a fault at chosen steps.
+// Executes a commit step by step against an in-memory store, with injected faults.
 #pragma once
 
 #include <optional>
@@ -11,13 +11,13 @@
 namespace carawaylatch::config::testing
 {
 
-// A platform whose every call may be made to fail.
+// An in-memory platform with fault injection for each call.
 struct FaultyPlatform
 {
     store::MemoryStore memory;
     store::FaultyStore faulty{memory};
 
-    // Executes the next step of an acceptance under a fault.
+    // Executes the next step of a commit with a fault.
     void executeStep(EditCommit &commit, store::StoreFault fault)
     {
         const StoreRequest request = *commit.request();
@@ -33,6 +33,7 @@
         faulty.inject(store::StoreFault::None, 0);
     }
 
+    // Executes all remaining steps without faults.
     void executeAll(EditCommit &commit)
     {
         while (commit.request() != nullptr) {
@@ -41,7 +42,7 @@
     }
 };
 
-// Returns an edit of one pool, whose weights version tells edits apart.
+// Returns an edit of one pool; a different weights version makes the edits distinguishable.
 inline Edit poolEdit(std::uint64_t id, const std::string &pool, std::uint64_t weights, std::optional<base::Revision> expected = {})
 {
     Row row{{"pool", pool}, {}, {{"model", "m", 0}, {"weights_version", std::to_string(weights), 0}}, 0};
--- a/carawaylatch/config/testing/settingstest.cpp
+++ b/carawaylatch/config/testing/settingstest.cpp
@@ -1,4 +1,5 @@
-// Settings: each kind of mistake in a table, the page, and generated texts.
+// Parsing of settings: valid values, a table of invalid inputs with their messages,
+// the generated page, and random texts.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -19,20 +20,20 @@
 
 struct InvalidInput
 {
-    std::string_view text; // after the least settings, which have 7 lines
+    std::string_view text; // appended to MinimalSettings, which has 7 lines
     std::string_view message;
 };
 
 constexpr InvalidInput InvalidInputs[] = {
     {"[nonsense]\n", "s.ini:8: unknown section [nonsense]; write one of router, callers"},
     {"[callers]\nprot = 1\n", "s.ini:9: unknown key 'prot' in [callers]; write one of address, port"},
-    {"[callers]\nport = 1\nport = 2\n", "s.ini:10: key 'port' stands twice in [callers]; remove one"},
-    {"[callers]\n[operators]\n[callers]\n", "s.ini:10: section [callers] stands twice"},
+    {"[callers]\nport = 1\nport = 2\n", "s.ini:10: key 'port' appears twice in [callers]; remove one"},
+    {"[callers]\n[operators]\n[callers]\n", "s.ini:10: section [callers] appears twice"},
     {"[callers]\nport = x\n", "s.ini:9: key 'port': 'x' is not a whole number"},
     {"[callers]\nport = 65536\n", "s.ini:9: key 'port': '65536' is too large; write at most 65535"},
     {"[callers]\nmax_streams = 0\n", "s.ini:9: key 'max_streams': the value is out of range; write one from 1 to 10000"},
     {"[callers]\nport = -1\n", "'-1' is not a whole number"},
-    {"[callers]\naddress = localhost\n", "'localhost' is not an IP number"},
+    {"[callers]\naddress = localhost\n", "'localhost' is not an IP address"},
     {"[timings]\nheartbeat = 5\n", "s.ini:9: key 'heartbeat': '5' is not a duration; write a whole number and a unit"},
     {"[timings]\nheartbeat = 5 s\n", "'5 s' is not a duration"},
     {"[timings]\nheartbeat = 1ms\n", "out of range; write one from 50ms to 1m"},
@@ -42,7 +43,7 @@
     {"[logs]\nlevel = loud\n", "write info, warning or error"},
     {"[callers]\nport\n", "s.ini:9: neither a section nor a key"},
     {"[callers\n", "s.ini:8: the section header has no ']'"},
-    {"[peers]\n", "section [peers] stands twice"},
+    {"[peers]\n", "section [peers] appears twice"},
 };
 
 std::string errorOf(std::string_view text)
@@ -94,7 +95,7 @@
             const auto message = errorOf(std::string(MinimalSettings) + std::string(it.text));
             CPPUNIT_ASSERT_MESSAGE(std::string(it.text) + " gave: " + message, message.find(it.message) != std::string::npos);
         }
-        CPPUNIT_ASSERT(errorOf("port = 1\n").find("s.ini:1: the key 'port' stands before any section") == 0);
+        CPPUNIT_ASSERT(errorOf("port = 1\n").find("s.ini:1: the key 'port' appears before any section") == 0);
         CPPUNIT_ASSERT(errorOf("[router]\nid = " + std::string(300, 'x')).find("s.ini:2: the line is longer than 190 bytes") == 0);
         CPPUNIT_ASSERT(errorOf("[" + std::string(60, 'x') + "]").find("s.ini:1: a section name has 1 to 49 bytes") == 0);
     }
@@ -112,7 +113,7 @@
         CPPUNIT_ASSERT(!loadSettings("/"));
     }
 
-    // After a change to the table: carawaylatchctl settings > docs/SETTINGS.md
+    // After a change of the table, run: carawaylatchctl settings > docs/SETTINGS.md
     void testPageMatchesTable()
     {
         std::ifstream in(CARAWAYLATCH_SOURCE_DIR "/docs/SETTINGS.md");
--- a/carawaylatch/config/testing/tablefiletest.cpp
+++ b/carawaylatch/config/testing/tablefiletest.cpp
@@ -1,4 +1,5 @@
-// Tables: each rule in a table of mistakes, kept fields, generated rows.
+// Parsing of tables: a table of invalid inputs with one for each rule, unknown
+// fields, the generated page, and random rows.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -14,7 +15,7 @@
 namespace
 {
 
-// 18 lines; mistakes are appended or replace a part.
+// Has 18 lines; the invalid inputs are appended to it.
 const std::string ValidTables = "[customer acme]\nkey_digest = 0123456789abcdef0123456789abcdef\n"
                                 "[pool readers]\nmodel = clause-7b\nweights_version = 3\nmember = e1 10.0.0.1:8000 dakar-a\nmember = e2 10.0.0.2:8000 dakar-b\n"
                                 "[pool desk]\nkind = service\nmember = s1 10.0.0.3:8000 dakar-a\n"
@@ -31,9 +32,9 @@
     {"[shelf a]\n", "t.ini:19: unknown kind 'shelf'; write customer, pool or route"},
     {"[pool]\n", "t.ini:19: [pool] is not a row"},
     {"[pool a/b]\n", "'a/b' is not a name"},
-    {"[pool readers]\n", "t.ini:19: [pool readers] stands already in line 3"},
+    {"[pool readers]\n", "t.ini:19: [pool readers] is already defined in line 3"},
     {"[pool a]\nmodle = x\n", "t.ini:20: unknown key 'modle' in [pool a]; write one of kind"},
-    {"[pool a]\nmodel = x\nmodel = y\n", "t.ini:21: key 'model' stands twice"},
+    {"[pool a]\nmodel = x\nmodel = y\n", "t.ini:21: key 'model' appears twice"},
     {"[pool a]\n", "t.ini:19: pool a of engines has no model"},
     {"[pool a]\nkind = service\nmodel = x\n", "pool a of services has a model"},
     {"[pool a]\nmodel = m\nmember = e1 10.0.0.9:8000 dakar-a\n", "member e1 has another endpoint"},
@@ -53,7 +54,7 @@
     {"[route r]\npath = /v1/completions\npool = desk\n", "is of another kind"},
     {"[route r]\npath = /v1/x\npool = desk\n", "is not a path"},
     {"[route r]\npool = desk\n", "has no key 'path'"},
-    {"[route r]\npath = /v1/services/b\npool = desk\ncustomers = acme, zoe\n", "names customer 'zoe', who doesn't exist"},
+    {"[route r]\npath = /v1/services/b\npool = desk\ncustomers = acme, zoe\n", "names customer 'zoe', which doesn't exist"},
     {"[route r]\npath = /v1/services/booking\npool = desk\n", "routes booking and r match the same requests"},
     {"[route r]\npath = /v1/services/b\npool = desk\nidempotency = at-most-once\nhedging = on\n", "write hedging = off"},
     {"[route r]\npath = /v1/services/b\npool = desk\ndeadline = 2h\n", "from 10ms to 1h"},
@@ -151,7 +152,7 @@
         CPPUNIT_ASSERT(parseRows(formatRows(longList), "t.ini").value() == longList);
     }
 
-    // After a change to the table: carawaylatchctl tables > docs/TABLES.md
+    // After a change of the table, run: carawaylatchctl tables > docs/TABLES.md
     void testPageMatchesTable()
     {
         std::ifstream in(CARAWAYLATCH_SOURCE_DIR "/docs/TABLES.md");
--- a/carawaylatch/config/valuetext.cpp
+++ b/carawaylatch/config/valuetext.cpp
@@ -1,5 +1,5 @@
-// Parsing and formatting of single values, by std::from_chars throughout: the
-// same in every locale, and nothing behind the number passes unnoticed.
+// Parsing and formatting of single values. Numbers use std::from_chars, which doesn't
+// depend on the locale; trailing characters are an error.
 #include "carawaylatch/config/valuetext.h"
 
 #include <arpa/inet.h>
@@ -27,7 +27,7 @@
     Duration length;
 };
 
-// Longest units first, so that a formatted duration takes the greatest that fits.
+// In descending order, so that formatDuration() uses the largest unit that divides the value.
 constexpr std::array DurationUnits{
     DurationUnit{"h", base::hours{1}},         DurationUnit{"m", base::minutes{1}},       DurationUnit{"s", base::seconds{1}},
     DurationUnit{"ms", base::milliseconds{1}}, DurationUnit{"us", base::microseconds{1}},
@@ -136,7 +136,7 @@
     std::array<unsigned char, sizeof(in6_addr)> buf{};
     const std::string address(text);
     if (inet_pton(AF_INET, address.c_str(), buf.data()) != 1 && inet_pton(AF_INET6, address.c_str(), buf.data()) != 1) {
-        return invalid("'" + address + "' is not an IP number; write one such as 10.0.0.1");
+        return invalid("'" + address + "' is not an IP address; write one such as 10.0.0.1");
     }
     return address;
 }
@@ -148,12 +148,12 @@
     if (address.size() > 2 && address.front() == '[' && address.back() == ']') {
         address = address.substr(1, address.size() - 2);
     } else if (address.find(':') != std::string_view::npos) {
-        return invalid("'" + std::string(text) + "' is not an endpoint; write an IP number of version 6 in brackets, such as [::1]:8080");
+        return invalid("'" + std::string(text) + "' is not an endpoint; write an IPv6 address in brackets, such as [::1]:8080");
     }
     const auto port = colon == std::string_view::npos ? Result<std::uint64_t>(std::uint64_t{0}) : parseNumber(text.substr(colon + 1));
     const auto checked = parseAddress(address);
     if (!port || !checked || port.value() == 0 || port.value() > UINT16_MAX) {
-        return invalid("'" + std::string(text) + "' is not an endpoint; write IP number and port, such as 10.0.0.1:8080");
+        return invalid("'" + std::string(text) + "' is not an endpoint; write IP address and port, such as 10.0.0.1:8080");
     }
     return base::Endpoint{checked.value(), static_cast<std::uint16_t>(port.value())};
 }
--- a/carawaylatch/config/valuetext.h
+++ b/carawaylatch/config/valuetext.h
@@ -1,7 +1,8 @@
-// Text forms of the values in settings and tables.
+// Parsers and formatters for the values in settings and tables.
 //
-// Parsers return an error whose message says what to write; the caller adds file,
-// line and key in front. Formatters give the shortest text that parses back.
+// Parsers return InvalidArgument with a message that describes the valid form; the
+// caller prepends file, line and key. Formatters return text that parses back to
+// the same value.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 namespace carawaylatch::config
 {
 
-// "250ms", "3s", "2m", "1h"; a unit is needed, also for zero.
+// "250ms", "3s", "2m", "1h"; the unit is required, also for zero.
 [[nodiscard]] base::Result<base::Duration> parseDuration(std::string_view text);
 [[nodiscard]] std::string formatDuration(base::Duration duration);
 
@@ -27,20 +28,21 @@
 [[nodiscard]] base::Result<double> parseFraction(std::string_view text);
 [[nodiscard]] std::string formatFraction(double value);
 
-// "10.0.0.1:8080" or "[::1]:8080"; the address is an IP number.
+// "10.0.0.1:8080" or "[::1]:8080"; host names are not resolved.
 [[nodiscard]] base::Result<base::Endpoint> parseEndpoint(std::string_view text);
 [[nodiscard]] std::string formatEndpoint(const base::Endpoint &endpoint);
 
-// An IP number, version 4 or 6.
+// An IPv4 or IPv6 address.
 [[nodiscard]] base::Result<std::string> parseAddress(std::string_view text);
 
 // A name: letters, digits, '.', '_' and '-', at most 40 bytes.
 [[nodiscard]] base::Result<std::string> parseName(std::string_view text);
 
-// Parts between commas without blanks around them; nothing for an empty text.
+// Returns the items between commas, trimmed; none for an empty text.
 [[nodiscard]] std::vector<std::string_view> splitList(std::string_view text);
-// Parts between blanks.
+// Returns the words between spaces and tabs.
 [[nodiscard]] std::vector<std::string_view> splitWords(std::string_view text);
+// Returns the text without leading and trailing spaces and tabs.
 [[nodiscard]] std::string_view trimmed(std::string_view text);
 
 } // namespace carawaylatch::config
--- a/carawaylatch/store/faultystore.cpp
+++ b/carawaylatch/store/faultystore.cpp
@@ -1,6 +1,6 @@
-// Faults around a store. Reads have no effect to lose, so that for them every
-// fault is an outage; for writes the lost request and the lost answer look the
-// same to the caller, which is what makes them hard.
+// Fault injection around a store. Reads have no effect, so every fault makes them
+// fail with Unavailable. For writes a lost request and a lost response both return
+// Unclear, because a caller can't distinguish them.
 #include "carawaylatch/store/faultystore.h"
 
 namespace carawaylatch::store
@@ -16,7 +16,7 @@
 
 base::Error unclear()
 {
-    return base::fail(base::ErrorKind::Unclear, "the platform's answer was lost; read back to learn whether the write took effect");
+    return base::fail(base::ErrorKind::Unclear, "the platform's response was lost; read back to learn whether the write took effect");
 }
 
 template <typename Read>
--- a/carawaylatch/store/faultystore.h
+++ b/carawaylatch/store/faultystore.h
@@ -1,7 +1,7 @@
-// An ObjectStore that fails on demand, around another one.
+// An ObjectStore decorator that injects faults, for tests.
 //
-// Each fault is what a caller of the platform can meet; tests set one and count
-// calls. Safe for use from any thread.
+// The faults are those that a caller of the platform can observe. The decorator
+// also counts the calls. Thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 
 enum class StoreFault {
     None,
-    Down, // nothing reaches the store
-    ResponseLost, // the call takes effect, its answer is lost
-    RequestLost, // the call takes no effect, and the caller can't tell
+    Down, // the store can't be reached; the call takes no effect
+    ResponseLost, // the call takes effect, but its response is lost
+    RequestLost, // the call takes no effect, but the caller sees the same error as for ResponseLost
 };
 
-// All faults, for tables of cases.
+// All faults, for parametrised tests.
 constexpr StoreFault AllStoreFaults[] = {StoreFault::None, StoreFault::Down, StoreFault::ResponseLost, StoreFault::RequestLost};
 
 class FaultyStore : public ObjectStore
@@ -28,7 +28,7 @@
     // `inner` must outlive this store.
     explicit FaultyStore(ObjectStore &inner);
 
-    // The next `calls` calls after `skip` unharmed ones meet the fault.
+    // Lets `skip` calls pass, then injects the fault into the next `calls` calls.
     void inject(StoreFault fault, std::uint64_t calls = UINT64_MAX, std::uint64_t skip = 0);
     [[nodiscard]] std::uint64_t callCount() const;
 
--- a/carawaylatch/store/httpobjectstore.cpp
+++ b/carawaylatch/store/httpobjectstore.cpp
@@ -1,9 +1,9 @@
-// A pool of httplib clients, one call each at a time.
+// HTTP client with a pool of httplib clients, each used by one call at a time.
 //
-// What a failed call means depends on how far it came. A connection that was
-// never made carried nothing: Unavailable. Anything later may have reached the
-// platform; for a write that is Unclear. A 503 is the platform's own word that
-// nothing took effect.
+// The error of a failed write depends on how far the call got. If no connection was
+// established, nothing was sent: Unavailable. After that the write may have taken
+// effect: Unclear. With status 503 the platform states that nothing took effect:
+// Unavailable.
 #include "carawaylatch/store/httpobjectstore.h"
 
 #include <httplib.h>
@@ -39,7 +39,7 @@
     if (kind == CallKind::Read || error == httplib::Error::Connection) {
         return base::fail(base::ErrorKind::Unavailable, "the platform was not reached (" + reason + "); check [platform] address and port", RetryLater);
     }
-    return base::fail(base::ErrorKind::Unclear, "the platform's answer was lost (" + reason + "); read back to learn whether the write took effect");
+    return base::fail(base::ErrorKind::Unclear, "the platform's response was lost (" + reason + "); read back to learn whether the write took effect");
 }
 
 base::Error statusError(int status, std::string_view name)
@@ -51,11 +51,11 @@
     case StatusGone:
         return base::fail(base::ErrorKind::StaleState, "the platform no longer holds that history; list again");
     case StatusPreconditionFailed:
-        return base::fail(base::ErrorKind::Conflict, object + " was changed by another writer; read it and decide again");
+        return base::fail(base::ErrorKind::Conflict, object + " was changed by another writer; read it again and repeat the change");
     case StatusTooLarge:
         return base::fail(base::ErrorKind::InvalidArgument, object + " is over the platform's limit for a value; split it");
     default:
-        return base::fail(base::ErrorKind::Unavailable, "the platform answered status " + std::to_string(status) + "; try again later", RetryLater);
+        return base::fail(base::ErrorKind::Unavailable, "the platform responded with status " + std::to_string(status) + "; try again later", RetryLater);
     }
 }
 
@@ -70,7 +70,7 @@
     return result->body;
 }
 
-// An answer that can't be understood says as little as a lost one.
+// A response that can't be decoded leaves the result of the write as unknown as a lost one.
 template <typename T>
 base::Result<T> unclearIfUndecodable(base::Result<T> decoded)
 {
@@ -110,7 +110,8 @@
     {
     }
 
-    // Runs one call on a connection of its own.
+    // Runs one call on a connection that no other call uses meanwhile. `extraTime` is
+    // added to the read timeout.
     template <typename Call>
     base::Result<std::string> run(CallKind kind, std::string_view name, base::Duration extraTime, Call call)
     {
--- a/carawaylatch/store/httpobjectstore.h
+++ b/carawaylatch/store/httpobjectstore.h
@@ -1,8 +1,8 @@
-// The platform's object API over HTTP (docs/design/wire.md).
+// Client of the platform's object API over HTTP (docs/design/wire.md).
 //
-// Connections are kept and reused; each call takes one, so that a waiting watch
-// never holds up a write. Nothing is retried here: an unclear write is reported
-// as Unclear and settled by its caller. Safe for use from any thread.
+// Connections are pooled. Each call uses its own connection, so a waiting watch
+// doesn't block a write. Calls are not retried: a write whose result is unknown
+// returns Unclear, and the caller must read back. Thread-safe.
 #pragma once
 
 #include <atomic>
@@ -14,18 +14,18 @@
 namespace carawaylatch::store
 {
 
-// Calls made since the start, for the metrics of what control costs.
+// Number of calls since the start, for the metrics of control traffic.
 struct PlatformCallCounts
 {
-    std::uint64_t reads = 0; // watches and lists included
-    std::uint64_t writes = 0;
-    std::uint64_t failures = 0;
+    std::uint64_t reads = 0; // includes watches and lists
+    std::uint64_t writes = 0; // includes removals
+    std::uint64_t failures = 0; // calls without a response or with an unexpected status
 };
 
 class HttpObjectStore : public ObjectStore
 {
 public:
-    // `timeout` bounds each call but a watch, which may take its own wait longer.
+    // `timeout` limits each call; a watch may take its wait time longer.
     HttpObjectStore(base::Endpoint endpoint, base::FailureDomain domain, base::Duration timeout);
     ~HttpObjectStore() override;
 
@@ -36,7 +36,8 @@
     [[nodiscard]] base::Result<ObjectChanges> watch(std::string_view prefix, Version since, base::Duration wait) override;
     [[nodiscard]] base::Result<std::vector<VmRecord>> vms() override;
 
-    // Ends calls in progress, so that a stopping process need not wait for its watches.
+    // Aborts calls in progress and fails later ones with Unavailable, so that a shutdown
+    // doesn't wait for watches.
     void stop();
     [[nodiscard]] PlatformCallCounts calls() const;
 
--- a/carawaylatch/store/memorystore.cpp
+++ b/carawaylatch/store/memorystore.cpp
@@ -1,5 +1,5 @@
-// One version counter over the whole store gives every write its place in a
-// total order; a watch is the part of that order behind a point.
+// One version counter for the whole store orders all writes and removals totally; a
+// watch returns the changes after a version.
 #include "carawaylatch/store/memorystore.h"
 
 #include <utility>
@@ -13,7 +13,7 @@
 base::Error conflict(std::string_view name, Version found, Version expected)
 {
     return base::fail(base::ErrorKind::Conflict, std::string(name) + " has version " + std::to_string(found.value) + ", not " + std::to_string(expected.value)
-                                                     + "; read it and decide again");
+                                                     + "; read it again and repeat the change");
 }
 
 } // namespace
@@ -78,7 +78,7 @@
         return !changes.written.empty() || !changes.removed.empty();
     });
     if (since < m_compactedVersion) {
-        return base::fail(base::ErrorKind::StaleState, "the history before version " + std::to_string(m_compactedVersion.value) + " is gone; list again");
+        return base::fail(base::ErrorKind::StaleState, "the history before version " + std::to_string(m_compactedVersion.value) + " was dropped; list again");
     }
     return changes;
 }
--- a/carawaylatch/store/memorystore.h
+++ b/carawaylatch/store/memorystore.h
@@ -1,10 +1,10 @@
-// An ObjectStore in memory: the fake of the platform in tests, and the core of
-// the platform stand-in.
+// An in-memory ObjectStore: the fake platform in tests and the storage of the
+// platform stand-in.
 //
-// Removed names are kept as tombstones so that a watch can report them; at most
-// MaxTombstones, after which the oldest are dropped and a watch from before
-// them fails with StaleState, whose remedy is to list again. Safe for use from
-// any thread.
+// Removed names are kept as tombstones so that a watch can report them. Beyond
+// MaxTombstones the oldest are dropped; a watch that starts before a dropped
+// tombstone fails with StaleState, and the caller must list again.
+// Thread-safe.
 #pragma once
 
 #include <condition_variable>
@@ -44,7 +44,7 @@
     std::map<std::string, Object, std::less<>> m_objects;
     std::map<Version, std::string> m_tombstones; // by version of the removal
     Version m_version; // of the last write or removal
-    Version m_compactedVersion; // removals up to here are no longer known
+    Version m_compactedVersion; // tombstones up to this version were dropped
     std::vector<VmRecord> m_vms;
 };
 
--- a/carawaylatch/store/objectjson.cpp
+++ b/carawaylatch/store/objectjson.cpp
@@ -1,5 +1,5 @@
-// JSON by nlohmann, base64 by libcrypto. The library's exceptions end in
-// decode(), which turns them into InvalidArgument.
+// JSON with nlohmann::json, base64 with libcrypto. decode() catches the exceptions of
+// the JSON library and returns InvalidArgument.
 #include "carawaylatch/store/objectjson.h"
 
 #include <nlohmann/json.hpp>
@@ -64,7 +64,7 @@
     try {
         return reader(Json::parse(text));
     } catch (const std::exception &error) {
-        return base::fail(base::ErrorKind::InvalidArgument, std::string("not an answer of the object API: ") + error.what());
+        return base::fail(base::ErrorKind::InvalidArgument, std::string("not a valid response of the object API: ") + error.what());
     }
 }
 
--- a/carawaylatch/store/objectjson.h
+++ b/carawaylatch/store/objectjson.h
@@ -1,5 +1,5 @@
-// JSON of the platform's object API (docs/design/wire.md), for its client and
-// for the stand-in. Values are arbitrary bytes and travel as base64.
+// JSON encoding of the platform's object API (docs/design/wire.md), shared by the
+// client and the stand-in. Values are arbitrary bytes, encoded as base64.
 #pragma once
 
 #include <string>
@@ -16,7 +16,7 @@
 [[nodiscard]] std::string encodeVersion(Version version);
 [[nodiscard]] std::string encodeVms(const std::vector<VmRecord> &vms);
 
-// Each decoder returns InvalidArgument for text that is not of its shape.
+// Each decoder returns InvalidArgument if the text is not a valid encoding.
 [[nodiscard]] base::Result<Object> decodeObject(std::string_view text);
 [[nodiscard]] base::Result<ObjectChanges> decodeChanges(std::string_view text);
 [[nodiscard]] base::Result<Version> decodeVersion(std::string_view text);
--- a/carawaylatch/store/testing/objectstoretest.cpp
+++ b/carawaylatch/store/testing/objectstoretest.cpp
@@ -1,5 +1,5 @@
-// Contract of ObjectStore, held by the memory store and by the HTTP client
-// against the platform stand-in alike; then what each fault looks like.
+// The contract of ObjectStore, checked for MemoryStore and for HttpObjectStore
+// against the platform stand-in, and the error that each fault causes.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <thread>
@@ -130,7 +130,7 @@
 struct FaultCase
 {
     const char *name;
-    const char *httpMode; // of the stand-in's admin call
+    const char *httpMode; // fault mode of the stand-in; nullptr if it has none
     StoreFault fault;
     ErrorKind writeError;
     bool tookEffect;
@@ -138,7 +138,7 @@
 
 constexpr FaultCase FaultCases[] = {
     {"down", "down", StoreFault::Down, ErrorKind::Unavailable, false},
-    {"answer lost after the write took effect", "lose_answers", StoreFault::ResponseLost, ErrorKind::Unclear, true},
+    {"response lost after the write took effect", "lose_answers", StoreFault::ResponseLost, ErrorKind::Unclear, true},
     {"request lost", nullptr, StoreFault::RequestLost, ErrorKind::Unclear, false},
 };
 
