--- a/carawaylatch/config/inidocument.cpp
+++ b/carawaylatch/config/inidocument.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-constexpr std::string_view Blanks = " \t\r\n";
+constexpr std::string_view Whitespace = " \t\r\n";
 
 struct IniReader
 {
@@ -41,7 +41,7 @@
 
 void addSection(IniReader &reader, std::string_view line)
 {
-    const auto start = line.find_first_not_of(Blanks);
+    const auto start = line.find_first_not_of(Whitespace);
     if (start == std::string_view::npos || line[start] != '[') {
         return;
     }
--- a/carawaylatch/config/settings.cpp
+++ b/carawaylatch/config/settings.cpp
@@ -323,18 +323,18 @@
     describeKey<&S::logs, &S::Logs::level>("logs", "level", Optional, {}, "Least level that is logged: info, warning or error."),
 };
 
-std::string rangeText(const KeyDescription &row)
+std::string rangeText(const KeyDescription &key)
 {
-    if (!row.bounds.choices.empty()) {
-        std::string text(row.bounds.choices);
+    if (!key.bounds.choices.empty()) {
+        std::string text(key.bounds.choices);
         for (auto at = text.find('|'); at != std::string::npos; at = text.find('|', at)) {
             text.replace(at, 1, ", ");
         }
         return text;
     }
-    if (row.form == "number" || row.form == "duration") {
-        const bool isUnbounded = row.bounds.maximum == std::numeric_limits<std::int64_t>::max();
-        return row.formatBound(row.bounds.minimum) + (isUnbounded ? " or more" : " to " + row.formatBound(row.bounds.maximum));
+    if (key.form == "number" || key.form == "duration") {
+        const bool isUnbounded = key.bounds.maximum == std::numeric_limits<std::int64_t>::max();
+        return key.formatBound(key.bounds.minimum) + (isUnbounded ? " or more" : " to " + key.formatBound(key.bounds.maximum));
     }
     return {};
 }
--- a/carawaylatch/config/testing/distributortest.cpp
+++ b/carawaylatch/config/testing/distributortest.cpp
@@ -123,8 +123,8 @@
         m_network.send(n % Domains, to % Domains, [this, n, to, revision] {
             m_nodes[to]->onPeerRevision(idOf(n), revision, m_network.now());
             executeActions(to);
-            m_network.send(to % Domains, n % Domains, [this, n, to, answered = m_nodes[to]->revision()] {
-                m_nodes[n]->onPeerRevision(idOf(to), answered, m_network.now());
+            m_network.send(to % Domains, n % Domains, [this, n, to, replyRevision = m_nodes[to]->revision()] {
+                m_nodes[n]->onPeerRevision(idOf(to), replyRevision, m_network.now());
                 executeActions(n);
             });
         });
--- a/carawaylatch/config/testing/editcommittest.cpp
+++ b/carawaylatch/config/testing/editcommittest.cpp
@@ -307,14 +307,14 @@
         const bool isCompacting = step >= CommitStep::WriteSnapshot && step != CommitStep::WriteHead;
         applyEdits(platform, outcomes, 1, isCompacting ? 10 : 9, "a");
         EditCommit commit(poolEdit(50, "b", 7), SmallLimits);
-        int left = fault.calls;
+        int faultsLeft = fault.calls;
         bool isReached = false;
         while (commit.request() != nullptr) {
             loseHeadResponse(platform, commit, step, outcomes);
             isReached = isReached || commit.step() == step;
-            const bool fails = isReached && left > 0;
+            const bool fails = isReached && faultsLeft > 0;
             platform.executeStep(commit, fails ? fault.fault : StoreFault::None);
-            if (fails && left-- == fault.calls) {
+            if (fails && faultsLeft-- == fault.calls) {
                 applyEdits(platform, outcomes, 100, fault.otherEdits, "c");
             }
         }
