--- a/carawaylatch/config/editcommit.h
+++ b/carawaylatch/config/editcommit.h
@@ -90,10 +90,10 @@
     void onRead(const base::Result<store::Object> &result);
     // Reports the result of a Write or Remove; the version is ignored after a Remove.
     void onWritten(const base::Result<store::Version> &result);
-    // Returns the result; valid only once request() returns nullptr. Errors: Conflict
-    // and InvalidArgument (the edit was rejected), Unavailable (the platform could not
-    // be reached) and Internal (a stored object can't be read) mean that the edit is
-    // not in force. Unclear means that it may be; look for its id in the history.
+    // Returns the result; valid only once request() returns nullptr. After Conflict or
+    // InvalidArgument (the edit was rejected) and Unavailable (the platform could not be
+    // reached) the edit is not in force. After Unclear it may be; look for its id in the
+    // history. Internal: a stored object can't be parsed.
     [[nodiscard]] const base::Result<CommitResult> &outcome() const;
 
 private:
--- a/carawaylatch/store/objectstore.h
+++ b/carawaylatch/store/objectstore.h
@@ -1,7 +1,7 @@
 // Interface of the platform's object API.
 //
 // Objects have a name, a value of at most one megabyte and a version. Versions come
-// from one counter for the whole store, which each write or removal increments.
+// from one counter for the whole store, which increases with each write.
 // Calls block; call them from traffic or platform threads, never from the control
 // thread. Errors of a write:
 //
