--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -434,13 +434,13 @@
     }
 }
 
-Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing reading)
+Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing parsing)
 {
     BOOST_OUTCOME_TRY(document, parseIni(text, fileName));
     RowSet rows;
     for (const auto &section : document.sections) {
         BOOST_OUTCOME_TRY(row, rowFromSection(section, fileName));
-        if (reading == TableParsing::Strict) {
+        if (parsing == TableParsing::Strict) {
             BOOST_OUTCOME_TRY(checkKnownFields(row, fileName));
         }
         if (const auto *other = rows.find(row.key); other != nullptr) {
--- a/carawaylatch/config/tablefile.h
+++ b/carawaylatch/config/tablefile.h
@@ -89,7 +89,7 @@
 };
 
 // Parses rows. A field `revision = N` in a row is the revision that the edit is based on.
-[[nodiscard]] base::Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing reading = TableParsing::Strict);
+[[nodiscard]] base::Result<RowSet> parseRows(std::string_view text, std::string_view fileName, TableParsing parsing = TableParsing::Strict);
 
 // Formats rows as text; parseRows() returns the same rows.
 [[nodiscard]] std::string formatRows(const RowSet &rows);
