--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -2,8 +2,8 @@
 //
 // Each kind of row has a table of fields: key, form, meaning and a function that
 // parses a value into the typed row. The strict parser, the conversion to typed rows
-// and the page docs/TABLES.md are generated from these tables. The conversion skips
-// a field without an entry, which belongs to a newer version; the row itself keeps it.
+// and the page docs/TABLES.md use these tables. The conversion skips a field without
+// an entry, which belongs to a newer version; the row itself keeps it.
 #include "carawaylatch/config/tablefile.h"
 
 #include <algorithm>
--- a/carawaylatch/config/testing/editcommittest.cpp
+++ b/carawaylatch/config/testing/editcommittest.cpp
@@ -303,7 +303,7 @@
         label << "step " << static_cast<int>(step) << " fault " << static_cast<int>(fault.fault) << " calls " << fault.calls << " others " << fault.otherEdits;
         FaultyPlatform platform;
         Outcomes outcomes;
-        // 9 edits leave a snapshot, and a head that is compacted by the next edit.
+        // With SmallLimits, 9 edits leave a snapshot, and the commit after 10 edits compacts the head.
         const bool isCompacting = step >= CommitStep::WriteSnapshot && step != CommitStep::WriteHead;
         applyEdits(platform, outcomes, 1, isCompacting ? 10 : 9, "a");
         EditCommit commit(poolEdit(50, "b", 7), SmallLimits);
