--- a/carawaylatch/config/headstore.cpp
+++ b/carawaylatch/config/configstore.cpp
@@ -1,8 +1,9 @@
-// Drives the acceptance against an object store.
+// Executes commits against an object store.
 //
-// A pause follows whatever failed or lost a race, growing to MaxPause, so that
-// racing operators don't keep colliding and an outage is not hammered.
-#include "carawaylatch/config/headstore.h"
+// After a failed operation or a conflict it waits with exponential backoff up to
+// MaxPause, so that concurrent operators don't keep conflicting and a platform
+// outage doesn't cause a retry storm.
+#include "carawaylatch/config/configstore.h"
 
 #include <algorithm>
 #include <thread>
@@ -37,72 +38,72 @@
         }
     }
     for (const auto &it : current.rows) {
-        if (scope == FileScope::Whole && wanted.find(it.key) == nullptr) {
+        if (scope == FileScope::AllRows && wanted.find(it.key) == nullptr) {
             changes.push_back({RowChange::Kind::Remove, Row{it.key, {}, {}, 0}, it.revision});
         }
     }
     return changes;
 }
 
-EditId makeEditId(base::Random &random)
+EditId randomEditId(base::Random &random)
 {
     const auto id = random.next();
     return {id == 0 ? 1 : id};
 }
 
-HeadStore::HeadStore(store::ObjectStore &objects, AcceptanceOptions options, Pause pause)
+ConfigStore::ConfigStore(store::ObjectStore &objects, CommitOptions options, Pause pause)
     : m_objects(objects)
     , m_options(options)
     , m_pause(pause ? std::move(pause) : Pause(sleepFor))
 {
 }
 
-Result<Accepted> HeadStore::apply(Edit edit)
+Result<CommitResult> ConfigStore::apply(Edit edit)
 {
     return run(std::move(edit), m_options);
 }
 
-Result<Accepted> HeadStore::dryRun(Edit edit)
+Result<CommitResult> ConfigStore::dryRun(Edit edit)
 {
     auto options = m_options;
     options.dryRun = DryRun::On;
     return run(std::move(edit), options);
 }
 
-Result<Accepted> HeadStore::run(Edit edit, AcceptanceOptions options)
+Result<CommitResult> ConfigStore::run(Edit edit, CommitOptions options)
 {
-    Acceptance acceptance(std::move(edit), options);
-    execute(acceptance);
-    return acceptance.outcome();
+    EditCommit commit(std::move(edit), options);
+    execute(commit);
+    return commit.outcome();
 }
 
-void HeadStore::execute(Acceptance &acceptance)
+void ConfigStore::execute(EditCommit &commit)
 {
     auto pause = MinPause;
-    while (const auto *next = acceptance.request()) {
+    while (const auto *next = commit.request()) {
         const StoreRequest request = *next;
         bool isDone = false;
         if (request.kind == StoreRequest::Kind::Read) {
             const auto result = m_objects.read(request.name);
             isDone = result || result.error().kind == ErrorKind::NotFound;
-            acceptance.onRead(result);
+            commit.onRead(result);
         } else if (request.kind == StoreRequest::Kind::Write) {
             const auto result = m_objects.write(request.name, request.value, request.expected);
             isDone = result.has_value();
-            acceptance.onWritten(result);
+            commit.onWritten(result);
         } else {
             const auto result = m_objects.remove(request.name, request.expected);
             isDone = true;
-            acceptance.onWritten(result ? Result<store::Version>(store::Version{}) : Result<store::Version>(result.error()));
+            commit.onWritten(result ? Result<store::Version>(store::Version{}) : Result<store::Version>(result.error()));
         }
-        if (!isDone && acceptance.request() != nullptr) {
+        if (!isDone && commit.request() != nullptr) {
             m_pause(pause);
             pause = std::min(pause * 2, MaxPause);
         }
     }
 }
 
-Result<RowSet> HeadStore::readSnapshot(const std::string &name)
+Result<RowSet> ConfigStore::readSnapshot(const std::string &name)
 {
     if (name != m_snapshotName) {
         BOOST_OUTCOME_TRY(object, m_objects.read(name));
@@ -113,7 +114,7 @@
     return m_snapshot;
 }
 
-Result<StoredConfig> HeadStore::load()
+Result<StoredConfig> ConfigStore::load()
 {
     base::Error last;
     for (int i = 0; i < MaxSnapshotReads; ++i) {
@@ -138,7 +139,7 @@
     return last;
 }
 
-Result<std::vector<Edit>> HeadStore::history(std::size_t limit)
+Result<std::vector<Edit>> ConfigStore::history(std::size_t limit)
 {
     BOOST_OUTCOME_TRY(stored, load());
     std::vector<Edit> edits(stored.head.edits.rbegin(), stored.head.edits.rend());
@@ -150,8 +151,8 @@
         if (!object) {
             return object.error();
         }
-        BOOST_OUTCOME_TRY(part, parseEdits(object.value().value));
-        edits.insert(edits.end(), part.rbegin(), part.rend());
+        BOOST_OUTCOME_TRY(segment, parseEdits(object.value().value));
+        edits.insert(edits.end(), segment.rbegin(), segment.rend());
     }
     edits.resize(std::min(limit, edits.size()));
     return edits;
--- a/carawaylatch/config/acceptance.cpp
+++ b/carawaylatch/config/editcommit.cpp
@@ -1,21 +1,24 @@
-// Decisions of the acceptance of one edit.
+// State transitions of the commit of one edit.
 //
-// The head's version is the lock-free serialisation point: an edit is computed
-// against one version and written only over that version. So an edit that was
-// tried has exactly one revision that it can have, the one after the head it was
-// computed from, and whether it is in force can be read off later: either the
-// edit at that revision has its id, or it will never be in force in that form.
-// Two cases need care. A write whose answer was lost may still be on its way; it
-// is written again over the same version, so that whichever copy arrives first
-// wins and the other meets a conflict. And a head may have been compacted since;
-// then the history object that covers the revision is read.
+// The conditional write of the head serialises all edits: an edit is computed from
+// one version of the head and written only over that version. An attempt therefore
+// has exactly one possible revision, the one after that head, and its result can
+// be determined later: either the edit at that revision has its id, or the attempt
+// will never take effect. Two cases need care:
 //
-// Compaction writes the snapshot and the history before the head that names them,
-// never after, so that a head never names what doesn't exist. Their content
-// follows from the total order of edits, so two writers of one name agree, and
-// "exists already" counts as written. What a compaction replaces is removed after
-// the head is written; a reader that still has the old head reads it again.
-#include "carawaylatch/config/acceptance.h"
+//   - A write whose response was lost may still be in transit. It is repeated over
+//     the same version, so that the first copy to arrive takes effect and the other
+//     gets a conflict.
+//   - The head may have been compacted since the attempt. Then the history object
+//     that covers the revision is read.
+//
+// A compaction writes the snapshot and the history object before the head that
+// refers to them, so that no head refers to a missing object. Their content is
+// determined by the total order of edits, so two writers of the same name write the
+// same content, and a conflict on creation counts as written. Objects that the
+// compaction replaces are removed after the head is written; a reader that still
+// has the old head and misses its snapshot reads the head again.
+#include "carawaylatch/config/editcommit.h"
 
 #include <algorithm>
 
@@ -53,98 +56,98 @@
 
 } // namespace
 
-Acceptance::Acceptance(Edit edit, AcceptanceOptions options)
+EditCommit::EditCommit(Edit edit, CommitOptions options)
     : m_edit(std::move(edit))
     , m_options(options)
 {
     if (const auto checked = checkEdit(m_edit); !checked) {
         finish(checked.error());
     } else {
-        read(AcceptanceStep::ReadHead, std::string(HeadName));
+        read(CommitStep::ReadHead, std::string(HeadName));
     }
 }
 
-const StoreRequest *Acceptance::request() const
+const StoreRequest *EditCommit::request() const
 {
     return m_request ? &*m_request : nullptr;
 }
 
-AcceptanceStep Acceptance::step() const
+CommitStep EditCommit::step() const
 {
     return m_step;
 }
 
-const Result<Accepted> &Acceptance::outcome() const
+const Result<CommitResult> &EditCommit::outcome() const
 {
     return *m_outcome;
 }
 
-void Acceptance::read(AcceptanceStep step, std::string name)
+void EditCommit::read(CommitStep step, std::string name)
 {
     m_step = step;
     m_request = StoreRequest{StoreRequest::Kind::Read, std::move(name), {}, {}};
 }
 
-void Acceptance::write(AcceptanceStep step, std::string name, std::string value, store::Version expected)
+void EditCommit::write(CommitStep step, std::string name, std::string value, store::Version expected)
 {
     m_step = step;
     m_request = StoreRequest{StoreRequest::Kind::Write, std::move(name), std::move(value), expected};
 }
 
-void Acceptance::finish(Result<Accepted> outcome)
+void EditCommit::finish(Result<CommitResult> outcome)
 {
-    const bool isAccepted = outcome.has_value();
+    const bool isCommitted = outcome.has_value();
     m_outcome = std::move(outcome);
-    if (isAccepted) {
-        removeNext();
+    if (isCommitted) {
+        removeNextReplaced();
     } else {
-        m_step = AcceptanceStep::Done;
+        m_step = CommitStep::Done;
         m_request.reset();
     }
 }
 
-void Acceptance::removeNext()
+void EditCommit::removeNextReplaced()
 {
-    if (m_old.empty()) {
-        m_step = AcceptanceStep::Done;
+    if (m_replaced.empty()) {
+        m_step = CommitStep::Done;
         m_request.reset();
         return;
     }
-    read(AcceptanceStep::RemoveOld, std::move(m_old.back()));
-    m_old.pop_back();
+    read(CommitStep::RemoveReplaced, std::move(m_replaced.back()));
+    m_replaced.pop_back();
 }
 
-void Acceptance::restart()
+void EditCommit::restart()
 {
-    m_old.clear();
-    read(AcceptanceStep::ReadHead, std::string(HeadName));
+    m_replaced.clear();
+    read(CommitStep::ReadHead, std::string(HeadName));
 }
 
-bool Acceptance::spendRace()
+bool EditCommit::consumeRetry()
 {
-    return ++m_races <= m_options.maxRaces;
+    return ++m_retries <= m_options.maxRetries;
 }
 
-void Acceptance::onRead(const Result<store::Object> &result)
+void EditCommit::onRead(const Result<store::Object> &result)
 {
     switch (m_step) {
-    case AcceptanceStep::ReadHead:
+    case CommitStep::ReadHead:
         onHead(result);
         break;
-    case AcceptanceStep::ReadSnapshot:
+    case CommitStep::ReadSnapshot:
         onSnapshot(result);
         break;
-    case AcceptanceStep::ReadBack:
+    case CommitStep::ReadBack:
         onReadBack(result);
         break;
-    case AcceptanceStep::ReadHistory:
+    case CommitStep::ReadHistory:
         onHistory(result);
         break;
-    case AcceptanceStep::RemoveOld:
+    case CommitStep::RemoveReplaced:
         if (result) {
             m_request = StoreRequest{StoreRequest::Kind::Remove, result.value().name, {}, result.value().version};
         } else {
-            removeNext();
+            removeNextReplaced();
         }
         break;
     default:
@@ -152,25 +155,25 @@
     }
 }
 
-void Acceptance::onWritten(const Result<store::Version> &result)
+void EditCommit::onWritten(const Result<store::Version> &result)
 {
     switch (m_step) {
-    case AcceptanceStep::WriteSnapshot:
-    case AcceptanceStep::WriteHistory:
+    case CommitStep::WriteSnapshot:
+    case CommitStep::WriteHistory:
         onCompactionWritten(result);
         break;
-    case AcceptanceStep::WriteHead:
+    case CommitStep::WriteHead:
         onHeadWritten(result);
         break;
-    case AcceptanceStep::RemoveOld:
-        removeNext();
+    case CommitStep::RemoveReplaced:
+        removeNextReplaced();
         break;
     default:
         break;
     }
 }
 
-void Acceptance::onHead(const Result<store::Object> &result)
+void EditCommit::onHead(const Result<store::Object> &result)
 {
     m_head = {};
     m_headVersion = {};
@@ -190,15 +193,15 @@
         m_snapshot = {};
         m_snapshotName.clear();
     } else if (m_head.snapshotName != m_snapshotName) {
-        read(AcceptanceStep::ReadSnapshot, m_head.snapshotName);
+        read(CommitStep::ReadSnapshot, m_head.snapshotName);
         return;
     }
-    decide(materialize(m_snapshot, m_head));
+    tryCommit(materialize(m_snapshot, m_head));
 }
 
-void Acceptance::onSnapshot(const Result<store::Object> &result)
+void EditCommit::onSnapshot(const Result<store::Object> &result)
 {
-    if (!result && result.error().kind == ErrorKind::NotFound && spendRace()) {
+    if (!result && result.error().kind == ErrorKind::NotFound && consumeRetry()) {
         restart(); // replaced by a compaction since the head was read
         return;
     }
@@ -213,15 +216,15 @@
     }
     m_snapshot = std::move(rows.value());
     m_snapshotName = m_head.snapshotName;
-    decide(materialize(m_snapshot, m_head));
+    tryCommit(materialize(m_snapshot, m_head));
 }
 
-void Acceptance::fixExpectations(const RowSet &current)
+void EditCommit::resolveExpectedRevisions(const RowSet &current)
 {
-    if (m_areExpectationsFixed) {
+    if (m_areExpectationsResolved) {
         return;
     }
-    m_areExpectationsFixed = true;
+    m_areExpectationsResolved = true;
     std::erase_if(m_edit.changes, [&](const RowChange &it) {
         const auto *row = current.find(it.row.key);
         return it.kind == RowChange::Kind::Put ? row != nullptr && row->fields == it.row.fields : row == nullptr;
@@ -234,7 +237,7 @@
     }
 }
 
-Result<void> Acceptance::checkConflicts(const RowSet &current) const
+Result<void> EditCommit::checkConflicts(const RowSet &current) const
 {
     for (const auto &it : m_edit.changes) {
         const auto *row = current.find(it.row.key);
@@ -247,40 +250,40 @@
     return ok();
 }
 
-void Acceptance::decide(RowSet current)
+void EditCommit::tryCommit(RowSet current)
 {
-    const auto same = std::find_if(m_head.edits.begin(), m_head.edits.end(), [this](const Edit &it) {
+    const auto earlier = std::find_if(m_head.edits.begin(), m_head.edits.end(), [this](const Edit &it) {
         return it.id == m_edit.id;
     });
-    if (same != m_head.edits.end()) {
-        finish(Accepted{same->revision, std::move(current), same->changes.size()});
+    if (earlier != m_head.edits.end()) {
+        finish(CommitResult{earlier->revision, std::move(current), earlier->changes.size()});
         return;
     }
-    fixExpectations(current);
+    resolveExpectedRevisions(current);
     if (const auto checked = checkConflicts(current); !checked) {
         finish(checked.error());
         return;
     }
     if (m_edit.changes.empty()) {
         const auto revision = current.revision;
-        finish(Accepted{revision, std::move(current), 0});
+        finish(CommitResult{revision, std::move(current), 0});
         return;
     }
     m_edit.revision.value = current.revision.value + 1;
-    m_next = std::move(current);
-    applyEdit(m_next, m_edit);
-    if (const auto tables = toTables(m_next); !tables) {
+    m_nextRows = std::move(current);
+    applyEdit(m_nextRows, m_edit);
+    if (const auto tables = toTables(m_nextRows); !tables) {
         finish(tables.error());
-    } else if (formatSnapshot(m_next).size() > MaxHeadBytes) {
+    } else if (formatSnapshot(m_nextRows).size() > MaxHeadBytes) {
         finish(base::fail(ErrorKind::InvalidArgument, "the tables would be larger than 950000 bytes; remove rows that are no longer needed"));
     } else if (m_options.dryRun == DryRun::On) {
-        finish(Accepted{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_nextRows, m_edit.changes.size()});
     } else {
         compactOrWrite();
     }
 }
 
-void Acceptance::compactOrWrite()
+void EditCommit::compactOrWrite()
 {
     m_nextHead = m_head;
     if (m_head.edits.size() >= m_options.compactAfter || formatHead(m_head).size() > CompactHeadBytes) {
@@ -290,46 +293,46 @@
     }
 }
 
-void Acceptance::startCompaction()
+void EditCommit::startCompaction()
 {
     const auto kept = std::min(m_options.keepEdits, m_head.edits.size() / 2);
-    const auto cut = m_head.edits.end() - static_cast<std::ptrdiff_t>(kept);
+    const auto firstKept = m_head.edits.end() - static_cast<std::ptrdiff_t>(kept);
     RowSet rows = m_snapshot;
-    for (auto it = m_head.edits.begin(); it != cut; ++it) {
+    for (auto it = m_head.edits.begin(); it != firstKept; ++it) {
         applyEdit(rows, *it);
     }
     auto text = formatSnapshot(rows);
     m_nextHead.snapshotName = snapshotName(rows.revision, text);
     m_nextHead.snapshotRevision = rows.revision;
-    m_nextHead.edits.assign(cut, m_head.edits.end());
+    m_nextHead.edits.assign(firstKept, m_head.edits.end());
     m_nextHead.history.push_back({m_head.edits.front().revision, rows.revision});
-    write(AcceptanceStep::WriteSnapshot, m_nextHead.snapshotName, std::move(text), {});
+    write(CommitStep::WriteSnapshot, m_nextHead.snapshotName, std::move(text), {});
 }
 
-void Acceptance::onCompactionWritten(const Result<store::Version> &result)
+void EditCommit::onCompactionWritten(const Result<store::Version> &result)
 {
     const bool isWritten = result || result.error().kind == ErrorKind::Conflict;
     if (!isWritten) {
-        m_nextHead = m_head; // the next edit will compact
-        m_old.clear();
+        m_nextHead = m_head; // commits without compaction; the next edit tries it again
+        m_replaced.clear();
         writeHead();
-    } else if (m_step == AcceptanceStep::WriteSnapshot) {
-        const auto &part = m_nextHead.history.back();
-        const auto count = static_cast<std::ptrdiff_t>(part.last.value - part.first.value + 1);
-        write(AcceptanceStep::WriteHistory, historyName(part), formatEdits({m_head.edits.begin(), m_head.edits.begin() + count}), {});
+    } else if (m_step == CommitStep::WriteSnapshot) {
+        const auto &segment = m_nextHead.history.back();
+        const auto count = static_cast<std::ptrdiff_t>(segment.last.value - segment.first.value + 1);
+        write(CommitStep::WriteHistory, historyName(segment), formatEdits({m_head.edits.begin(), m_head.edits.begin() + count}), {});
     } else {
         if (!m_head.snapshotName.empty()) {
-            m_old.push_back(m_head.snapshotName);
+            m_replaced.push_back(m_head.snapshotName);
         }
-        if (m_nextHead.history.size() > MaxHistoryParts) {
-            m_old.push_back(historyName(m_nextHead.history.front()));
+        if (m_nextHead.history.size() > MaxHistorySegments) {
+            m_replaced.push_back(historyName(m_nextHead.history.front()));
             m_nextHead.history.erase(m_nextHead.history.begin());
         }
         writeHead();
     }
 }
 
-void Acceptance::writeHead()
+void EditCommit::writeHead()
 {
     m_nextHead.revision = m_edit.revision;
     m_nextHead.edits.push_back(m_edit);
@@ -339,43 +342,43 @@
                           RetryAfter));
         return;
     }
-    write(AcceptanceStep::WriteHead, std::string(HeadName), std::move(text), m_headVersion);
+    write(CommitStep::WriteHead, std::string(HeadName), std::move(text), m_headVersion);
 }
 
-void Acceptance::onHeadWritten(const Result<store::Version> &result)
+void EditCommit::onHeadWritten(const Result<store::Version> &result)
 {
     if (result) {
-        finish(Accepted{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_nextRows, m_edit.changes.size()});
         return;
     }
     const auto kind = result.error().kind;
     m_mayBeWritten = m_mayBeWritten || (kind != ErrorKind::Conflict && kind != ErrorKind::Unavailable);
     if (m_mayBeWritten) {
-        read(AcceptanceStep::ReadBack, std::string(HeadName));
+        read(CommitStep::ReadBack, std::string(HeadName));
     } else if (kind == ErrorKind::Unavailable) {
         finish(base::fail(ErrorKind::Unavailable, "the platform was not reached and nothing was changed: " + result.error().message, RetryAfter));
-    } else if (spendRace()) {
+    } else if (consumeRetry()) {
         restart();
     } else {
-        finish(base::fail(ErrorKind::Conflict, "other edits kept coming first; nothing was changed, try again", RetryAfter));
+        finish(base::fail(ErrorKind::Conflict, "concurrent edits won every retry; nothing was changed, try again", RetryAfter));
     }
 }
 
-void Acceptance::retryReadBack(const base::Error &error)
+void EditCommit::retryReadBack(const base::Error &error)
 {
     if (++m_readBacks <= m_options.maxReadBacks) {
-        return; // the same request again
+        return; // repeats the same request
     }
     finish(base::fail(ErrorKind::Unclear,
-                      "the edit may be in force: its write was not answered and can't be read back (" + error.message
+                      "the edit may be in force: its write got no response and can't be read back (" + error.message
                           + "); repeat it with the same id, or look for its id in the history",
                       RetryAfter));
 }
 
-void Acceptance::onReadBack(const Result<store::Object> &result)
+void EditCommit::onReadBack(const Result<store::Object> &result)
 {
     if (!result && result.error().kind == ErrorKind::NotFound) {
-        settle({});
+        resolveUnclearWrite({});
         return;
     }
     if (!result) {
@@ -387,38 +390,38 @@
         finish(head.error());
         return;
     }
-    settle(head.value());
+    resolveUnclearWrite(head.value());
 }
 
-// Decides by a head read after the unclear write.
-void Acceptance::settle(const Head &head)
+// Determines the result of an unclear write from a head that was read after it.
+void EditCommit::resolveUnclearWrite(const Head &head)
 {
     const auto revision = m_edit.revision;
     if (head.revision < revision) {
-        if (spendRace()) {
-            write(AcceptanceStep::WriteHead, std::string(HeadName), formatHead(m_nextHead), m_headVersion);
+        if (consumeRetry()) {
+            write(CommitStep::WriteHead, std::string(HeadName), formatHead(m_nextHead), m_headVersion);
         } else {
             m_readBacks = m_options.maxReadBacks;
-            retryReadBack(base::fail(ErrorKind::Unclear, "no write is answered"));
+            retryReadBack(base::fail(ErrorKind::Unclear, "no write got a response"));
         }
         return;
     }
     if (head.snapshotRevision < revision) {
-        settleEdit(head.edits[revision.value - head.snapshotRevision.value - 1]);
+        resolveByStoredEdit(head.edits[revision.value - head.snapshotRevision.value - 1]);
         return;
     }
-    const auto part = std::find_if(head.history.begin(), head.history.end(), [revision](const HistoryPart &it) {
+    const auto segment = std::find_if(head.history.begin(), head.history.end(), [revision](const HistorySegment &it) {
         return it.first <= revision && revision <= it.last;
     });
-    if (part == head.history.end()) {
+    if (segment == head.history.end()) {
         m_readBacks = m_options.maxReadBacks;
-        retryReadBack(base::fail(ErrorKind::NotFound, "the history doesn't reach back to it"));
+        retryReadBack(base::fail(ErrorKind::NotFound, "its revision is older than the stored history"));
         return;
     }
-    read(AcceptanceStep::ReadHistory, historyName(*part));
+    read(CommitStep::ReadHistory, historyName(*segment));
 }
 
-void Acceptance::onHistory(const Result<store::Object> &result)
+void EditCommit::onHistory(const Result<store::Object> &result)
 {
     if (!result) {
         retryReadBack(result.error());
@@ -430,21 +433,21 @@
         retryReadBack(edits ? base::fail(ErrorKind::NotFound, "the history has a gap") : edits.error());
         return;
     }
-    settleEdit(edits.value()[m_edit.revision.value - edits.value().front().revision.value]);
+    resolveByStoredEdit(edits.value()[m_edit.revision.value - edits.value().front().revision.value]);
 }
 
-// Decides by the edit that has the revision which this one would have.
-void Acceptance::settleEdit(const Edit &edit)
+// Determines the result of an unclear write from the committed edit at its revision.
+void EditCommit::resolveByStoredEdit(const Edit &edit)
 {
     if (edit.id == m_edit.id) {
-        finish(Accepted{m_edit.revision, m_next, m_edit.changes.size()});
+        finish(CommitResult{m_edit.revision, m_nextRows, m_edit.changes.size()});
         return;
     }
     m_mayBeWritten = false;
-    if (spendRace()) {
+    if (consumeRetry()) {
         restart();
     } else {
-        finish(base::fail(ErrorKind::Conflict, "other edits kept coming first; nothing was changed, try again", RetryAfter));
+        finish(base::fail(ErrorKind::Conflict, "concurrent edits won every retry; nothing was changed, try again", RetryAfter));
     }
 }
 
--- a/carawaylatch/config/inidocument.cpp
+++ b/carawaylatch/config/inidocument.cpp
@@ -1,11 +1,12 @@
-// INI text through libinih.
+// INI parser on top of libinih.
 //
-// The library reads line by line through a callback. This reader counts the
-// lines, which the library's handler doesn't pass on, notes each section header,
-// which the library reports only with its first key, and refuses what the
-// library would cut silently: long lines, long section names and NUL bytes.
-// The library calls the handler again with the same key for a continuation
-// line; the reader knows from the line's first character which case it is.
+// The library reads lines through a callback. The callback here adds what the
+// library lacks: it counts lines, which the library doesn't pass to its handler; it
+// records each section header, which the library reports only with the first key;
+// and it rejects input that the library would truncate silently: long lines, long
+// section names and NUL bytes. For a continuation line the library calls the
+// handler again with the same key; the callback detects this case by the
+// indentation of the line.
 #include "carawaylatch/config/inidocument.h"
 
 #include <ini.h>
@@ -19,66 +20,66 @@
 namespace
 {
 
-constexpr std::string_view Blanks = " \t\r\n";
+constexpr std::string_view Whitespace = " \t\r\n";
 
-struct Reader
+struct IniReader
 {
-    std::string_view rest;
+    std::string_view remaining;
     std::string_view fileName;
     int line = 0;
     bool isContinuation = false;
-    std::string problem; // of the first line that is refused
+    std::string problem; // of the first invalid line; empty if there is none
     IniDocument document;
 };
 
-void refuse(Reader &reader, std::string_view problem)
+void setProblem(IniReader &reader, std::string_view problem)
 {
     if (reader.problem.empty()) {
         reader.problem = linePrefix(reader.fileName, reader.line) + std::string(problem);
     }
 }
 
-void noteSection(Reader &reader, std::string_view line)
+void addSection(IniReader &reader, std::string_view line)
 {
-    const auto start = line.find_first_not_of(Blanks);
+    const auto start = line.find_first_not_of(Whitespace);
     if (start == std::string_view::npos || line[start] != '[') {
         return;
     }
     const auto end = line.find(']', start);
     if (end == std::string_view::npos) {
-        refuse(reader, "the section header has no ']'; write [NAME]");
+        setProblem(reader, "the section header has no ']'; write [NAME]");
         return;
     }
     const auto name = line.substr(start + 1, end - start - 1);
     if (name.empty() || name.size() > MaxIniSectionBytes) {
-        refuse(reader, "a section name has 1 to 49 bytes; shorten it");
+        setProblem(reader, "a section name has 1 to 49 bytes; shorten it");
     }
     reader.document.sections.push_back({std::string(name), reader.line, {}});
 }
 
 char *readLine(char *buf, int size, void *user)
 {
-    auto &reader = *static_cast<Reader *>(user);
-    if (reader.rest.empty() || !reader.problem.empty()) {
+    auto &reader = *static_cast<IniReader *>(user);
+    if (reader.remaining.empty() || !reader.problem.empty()) {
         return nullptr;
     }
-    const auto end = std::min(reader.rest.find('\n'), reader.rest.size());
-    const auto line = reader.rest.substr(0, end);
-    reader.rest.remove_prefix(std::min(end + 1, reader.rest.size()));
+    const auto end = std::min(reader.remaining.find('\n'), reader.remaining.size());
+    const auto line = reader.remaining.substr(0, end);
+    reader.remaining.remove_prefix(std::min(end + 1, reader.remaining.size()));
     ++reader.line;
     if (line.size() > std::min<std::size_t>(MaxIniLineBytes, size - 3)) {
-        refuse(reader, "the line is longer than 190 bytes; break it and begin the next line with a space");
+        setProblem(reader, "the line is longer than 190 bytes; break it and begin the next line with a space");
         return nullptr;
     }
     if (line.find('\0') != std::string_view::npos) {
-        refuse(reader, "the line has a NUL byte; write plain text");
+        setProblem(reader, "the line has a NUL byte; write plain text");
         return nullptr;
     }
     const auto &sections = reader.document.sections;
     const bool isIndented = !line.empty() && (line.front() == ' ' || line.front() == '\t');
     reader.isContinuation = isIndented && !sections.empty() && !sections.back().entries.empty();
     if (!reader.isContinuation) {
-        noteSection(reader, line);
+        addSection(reader, line);
     }
     std::memcpy(buf, line.data(), line.size());
     buf[line.size()] = '\n';
@@ -88,10 +89,10 @@
 
 int addEntry(void *user, const char *section, const char *name, const char *value)
 {
-    auto &reader = *static_cast<Reader *>(user);
+    auto &reader = *static_cast<IniReader *>(user);
     auto &sections = reader.document.sections;
     if (sections.empty() || sections.back().name != section) {
-        refuse(reader, "the key '" + std::string(name) + "' stands before any section; put it below a [SECTION] line");
+        setProblem(reader, "the key '" + std::string(name) + "' appears before any section; put it below a [SECTION] line");
         return 0;
     }
     auto &entries = sections.back().entries;
@@ -114,7 +115,7 @@
 
 base::Result<IniDocument> parseIni(std::string_view text, std::string_view fileName)
 {
-    Reader reader{text, fileName, 0, false, {}, {}};
+    IniReader reader{text, fileName, 0, false, {}, {}};
     const int errorLine = ini_parse_stream(readLine, &reader, addEntry, &reader);
     if (!reader.problem.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, reader.problem);
@@ -134,7 +135,7 @@
         return base::fail(base::ErrorKind::InvalidArgument, "a value has control characters; write it on one line of plain text");
     }
     if (!value.empty() && (value.front() == ' ' || value.back() == ' ' || value.find("  ") != std::string_view::npos)) {
-        return base::fail(base::ErrorKind::InvalidArgument, "a value has spaces at an end or doubled; leave one between words");
+        return base::fail(base::ErrorKind::InvalidArgument, "a value has leading, trailing or repeated spaces; write one space between words");
     }
     if (value.find(" ;") != std::string_view::npos || value.starts_with(';')) {
         return base::fail(base::ErrorKind::InvalidArgument, "a value has ';' at the start of a word, which begins a comment; leave it out");
@@ -146,7 +147,7 @@
             return base::fail(base::ErrorKind::InvalidArgument, "a value has a word of more than 120 bytes; shorten it");
         }
         if (start > 0 && value[start] == '#') {
-            return base::fail(base::ErrorKind::InvalidArgument, "a value has a word that begins with '#'; write it otherwise");
+            return base::fail(base::ErrorKind::InvalidArgument, "a value has a word that begins with '#'; reword it");
         }
         start = end + 1;
     }
--- a/carawaylatch/config/testing/storesteps.h
+++ b/carawaylatch/config/testing/faultyplatform.h
@@ -1,9 +1,9 @@
-// Executes an acceptance step by step against a store, with a fault at chosen steps.
+// Executes a commit step by step against an in-memory store, with injected faults.
 #pragma once
 
 #include <optional>
 
-#include "carawaylatch/config/acceptance.h"
+#include "carawaylatch/config/editcommit.h"
 #include "carawaylatch/config/tablefile.h"
 #include "carawaylatch/store/faultystore.h"
 #include "carawaylatch/store/memorystore.h"
@@ -11,37 +11,38 @@
 namespace carawaylatch::config::testing
 {
 
-// A platform whose every call may be made to fail.
-struct Platform
+// An in-memory platform with fault injection for each call.
+struct FaultyPlatform
 {
     store::MemoryStore memory;
     store::FaultyStore faulty{memory};
 
-    // Executes the next step of an acceptance under a fault.
-    void step(Acceptance &acceptance, store::StoreFault fault)
+    // Executes the next step of a commit with a fault.
+    void executeStep(EditCommit &commit, store::StoreFault fault)
     {
-        const StoreRequest request = *acceptance.request();
+        const StoreRequest request = *commit.request();
         faulty.inject(fault, fault == store::StoreFault::None ? 0 : 1);
         if (request.kind == StoreRequest::Kind::Read) {
-            acceptance.onRead(faulty.read(request.name));
+            commit.onRead(faulty.read(request.name));
         } else if (request.kind == StoreRequest::Kind::Write) {
-            acceptance.onWritten(faulty.write(request.name, request.value, request.expected));
+            commit.onWritten(faulty.write(request.name, request.value, request.expected));
         } else {
             const auto removed = faulty.remove(request.name, request.expected);
-            acceptance.onWritten(removed ? base::Result<store::Version>(store::Version{}) : base::Result<store::Version>(removed.error()));
+            commit.onWritten(removed ? base::Result<store::Version>(store::Version{}) : base::Result<store::Version>(removed.error()));
         }
         faulty.inject(store::StoreFault::None, 0);
     }
 
-    void finish(Acceptance &acceptance)
+    // Executes all remaining steps without faults.
+    void executeAll(EditCommit &commit)
     {
-        while (acceptance.request() != nullptr) {
-            step(acceptance, store::StoreFault::None);
+        while (commit.request() != nullptr) {
+            executeStep(commit, store::StoreFault::None);
         }
     }
 };
 
-// Returns an edit of one pool, whose weights version tells edits apart.
+// Returns an edit of one pool; a different weights version makes the edits distinguishable.
 inline Edit poolEdit(std::uint64_t id, const std::string &pool, std::uint64_t weights, std::optional<base::Revision> expected = {})
 {
     Row row{{"pool", pool}, {}, {{"model", "m", 0}, {"weights_version", std::to_string(weights), 0}}, 0};
--- a/carawaylatch/config/testing/settingstest.cpp
+++ b/carawaylatch/config/testing/settingstest.cpp
@@ -1,4 +1,5 @@
-// Settings: each kind of mistake in a table, the page, and generated texts.
+// Parsing of settings: valid values, a table of invalid inputs with their messages,
+// the generated page, and random texts.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -15,24 +16,24 @@
 namespace
 {
 
-constexpr std::string_view Least = "[router]\nid = r1\nfailure_domain = dakar-a\n[peers]\nkey = 0123456789abcdef\n[platform]\nport = 9000\n";
+constexpr std::string_view MinimalSettings = "[router]\nid = r1\nfailure_domain = dakar-a\n[peers]\nkey = 0123456789abcdef\n[platform]\nport = 9000\n";
 
-struct Mistake
+struct InvalidInput
 {
-    std::string_view text; // after the least settings, which have 7 lines
+    std::string_view text; // appended to MinimalSettings, which has 7 lines
     std::string_view message;
 };
 
-constexpr Mistake Mistakes[] = {
+constexpr InvalidInput InvalidInputs[] = {
     {"[nonsense]\n", "s.ini:8: unknown section [nonsense]; write one of router, callers"},
     {"[callers]\nprot = 1\n", "s.ini:9: unknown key 'prot' in [callers]; write one of address, port"},
-    {"[callers]\nport = 1\nport = 2\n", "s.ini:10: key 'port' stands twice in [callers]; remove one"},
-    {"[callers]\n[operators]\n[callers]\n", "s.ini:10: section [callers] stands twice"},
+    {"[callers]\nport = 1\nport = 2\n", "s.ini:10: key 'port' appears twice in [callers]; remove one"},
+    {"[callers]\n[operators]\n[callers]\n", "s.ini:10: section [callers] appears twice"},
     {"[callers]\nport = x\n", "s.ini:9: key 'port': 'x' is not a whole number"},
     {"[callers]\nport = 65536\n", "s.ini:9: key 'port': '65536' is too large; write at most 65535"},
     {"[callers]\nmax_streams = 0\n", "s.ini:9: key 'max_streams': the value is out of range; write one from 1 to 10000"},
     {"[callers]\nport = -1\n", "'-1' is not a whole number"},
-    {"[callers]\naddress = localhost\n", "'localhost' is not an IP number"},
+    {"[callers]\naddress = localhost\n", "'localhost' is not an IP address"},
     {"[timings]\nheartbeat = 5\n", "s.ini:9: key 'heartbeat': '5' is not a duration; write a whole number and a unit"},
     {"[timings]\nheartbeat = 5 s\n", "'5 s' is not a duration"},
     {"[timings]\nheartbeat = 1ms\n", "out of range; write one from 50ms to 1m"},
@@ -42,7 +43,7 @@
     {"[logs]\nlevel = loud\n", "write info, warning or error"},
     {"[callers]\nport\n", "s.ini:9: neither a section nor a key"},
     {"[callers\n", "s.ini:8: the section header has no ']'"},
-    {"[peers]\n", "section [peers] stands twice"},
+    {"[peers]\n", "section [peers] appears twice"},
 };
 
 std::string errorOf(std::string_view text)
@@ -57,18 +58,18 @@
 {
     CPPUNIT_TEST_SUITE(SettingsTest);
     CPPUNIT_TEST(testValues);
-    CPPUNIT_TEST(testMistakes);
+    CPPUNIT_TEST(testInvalidInputs);
     CPPUNIT_TEST(testMissingKeys);
     CPPUNIT_TEST(testUnreadableFile);
     CPPUNIT_TEST(testPageMatchesTable);
-    CPPUNIT_TEST(testDurationsSurviveFormatting);
-    CPPUNIT_TEST(testGeneratedTextsEndInValueOrError);
+    CPPUNIT_TEST(testDurationsRoundTrip);
+    CPPUNIT_TEST(testRandomTextIsRejectedWithFileName);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     void testValues()
     {
-        const auto parsed = parseSettings(std::string("# comment\n") + std::string(Least)
+        const auto parsed = parseSettings(std::string("# comment\n") + std::string(MinimalSettings)
                                               + "[callers]\nport = 0\n[timings]\nheartbeat = 250ms\n[logs]\nlevel = error\n"
                                                 "[routing]\nstrategy = rendezvous ; inline\n",
                                           "s.ini");
@@ -88,13 +89,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("::1"), seeds.value().peers.seeds[1].address);
     }
 
-    void testMistakes()
+    void testInvalidInputs()
     {
-        for (const auto &it : Mistakes) {
-            const auto message = errorOf(std::string(Least) + std::string(it.text));
+        for (const auto &it : InvalidInputs) {
+            const auto message = errorOf(std::string(MinimalSettings) + std::string(it.text));
             CPPUNIT_ASSERT_MESSAGE(std::string(it.text) + " gave: " + message, message.find(it.message) != std::string::npos);
         }
-        CPPUNIT_ASSERT(errorOf("port = 1\n").find("s.ini:1: the key 'port' stands before any section") == 0);
+        CPPUNIT_ASSERT(errorOf("port = 1\n").find("s.ini:1: the key 'port' appears before any section") == 0);
         CPPUNIT_ASSERT(errorOf("[router]\nid = " + std::string(300, 'x')).find("s.ini:2: the line is longer than 190 bytes") == 0);
         CPPUNIT_ASSERT(errorOf("[" + std::string(60, 'x') + "]").find("s.ini:1: a section name has 1 to 49 bytes") == 0);
     }
@@ -112,14 +113,14 @@
         CPPUNIT_ASSERT(!loadSettings("/"));
     }
 
-    // After a change to the table: carawaylatchctl settings > docs/SETTINGS.md
+    // After a change of the table, run: carawaylatchctl settings > docs/SETTINGS.md
     void testPageMatchesTable()
     {
         std::ifstream in(CARAWAYLATCH_SOURCE_DIR "/docs/SETTINGS.md");
         CPPUNIT_ASSERT_EQUAL(renderSettingsPage(), (std::string{std::istreambuf_iterator<char>(in), {}}));
     }
 
-    void testDurationsSurviveFormatting()
+    void testDurationsRoundTrip()
     {
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 1'000; ++i) {
@@ -128,15 +129,15 @@
         }
     }
 
-    void testGeneratedTextsEndInValueOrError()
+    void testRandomTextIsRejectedWithFileName()
     {
-        constexpr std::string_view Parts[] = {"[",    "]",       "\n",        "=",  ";", "#",  " ",  "router", "id",
-                                              "port", "timings", "heartbeat", "5s", ",", "\t", "\r", "\xff"};
+        constexpr std::string_view Fragments[] = {"[",    "]",       "\n",        "=",  ";", "#",  " ",  "router", "id",
+                                                  "port", "timings", "heartbeat", "5s", ",", "\t", "\r", "\xff"};
         base::Random random(::carawaylatch::testing::seed());
         for (int i = 0; i < 20'000; ++i) {
             std::string text;
             for (auto n = random.below(40); n > 0; --n) {
-                text += Parts[random.below(std::size(Parts))];
+                text += Fragments[random.below(std::size(Fragments))];
             }
             if (random.below(8) == 0) {
                 text += '\0';
--- a/carawaylatch/router.h
+++ b/carawaylatch/router.h
@@ -53,7 +53,7 @@
 //     carawaylatch/orders/orderexecutor.h           calls executed at most once
 //     carawaylatch/admission/admissioncontroller.h  limits, fair queueing, load shedding
 //     carawaylatch/relay/streamassembler.h          complete and ordered streams
-//     carawaylatch/config/headstore.h               configuration tables with optimistic concurrency
+//     carawaylatch/config/configstore.h               configuration tables with optimistic concurrency
 //     carawaylatch/fleet/lease.h                    leases with fencing tokens
 //     carawaylatch/membership/memberlist.h          membership and failure detection
 //     carawaylatch/store/objectstore.h              storage interface that an embedder implements
--- a/carawaylatch/router/configcontroller.cpp
+++ b/carawaylatch/router/configcontroller.cpp
@@ -92,7 +92,7 @@
 void ConfigController::onRows(const config::RowSet &rows, base::TimePoint now)
 {
     config::ConfigUpdate update;
-    update.whole = std::make_shared<const config::RowSet>(rows);
+    update.snapshot = std::make_shared<const config::RowSet>(rows);
     m_distributor.onUpdate(m_dependencies.settings.router.id, update, now);
     executeActions(now);
 }
@@ -134,7 +134,7 @@
 
 void ConfigController::watch(const std::stop_token &stop)
 {
-    config::HeadStore store(m_dependencies.objects);
+    config::ConfigStore store(m_dependencies.objects);
     while (!stop.stop_requested()) {
         if (m_isWatcher) {
             loadAndWatch(store, stop);
@@ -144,7 +144,7 @@
     }
 }
 
-void ConfigController::loadAndWatch(config::HeadStore &store, const std::stop_token &stop)
+void ConfigController::loadAndWatch(config::ConfigStore &store, const std::stop_token &stop)
 {
     const auto stored = store.load();
     if (!stored) {
@@ -152,7 +152,7 @@
         return;
     }
     m_dependencies.loop.post([this, stored](base::TimePoint now) {
-        m_distributor.onStored(stored.value().head, stored.value().rows);
+        m_distributor.onStoredConfig(stored.value().head, stored.value().rows);
         executeActions(now);
     });
     const auto changes = m_dependencies.objects.watch(config::HeadName, stored.value().version, m_dependencies.settings.platform.watchWait);
--- a/carawaylatch/router/configcontroller.h
+++ b/carawaylatch/router/configcontroller.h
@@ -10,7 +10,7 @@
 #include <thread>
 
 #include "carawaylatch/config/distributor.h"
-#include "carawaylatch/config/headstore.h"
+#include "carawaylatch/config/configstore.h"
 #include "carawaylatch/router/controlstate.h"
 #include "carawaylatch/router/peerbus.h"
 
@@ -41,7 +41,7 @@
     void onConfigInForce(const config::ConfigInForce &inForce, base::TimePoint now);
     // Body of m_watcher.
     void watch(const std::stop_token &stop);
-    void loadAndWatch(config::HeadStore &store, const std::stop_token &stop);
+    void loadAndWatch(config::ConfigStore &store, const std::stop_token &stop);
 
     const ControllerDependencies &m_dependencies;
     PeerBus &m_bus;
--- a/carawaylatch/router/handovercontroller.cpp
+++ b/carawaylatch/router/handovercontroller.cpp
@@ -61,7 +61,7 @@
 // only if the configuration can't be read.
 base::Result<handover::Snapshot> readStoredSnapshot(store::ObjectStore &objects, const base::FailureDomain &domain)
 {
-    BOOST_OUTCOME_TRY(stored, config::HeadStore(objects).load());
+    BOOST_OUTCOME_TRY(stored, config::ConfigStore(objects).load());
     handover::Snapshot snapshot;
     if (const auto object = objects.read(storedSnapshotName(domain)); object) {
         if (auto decoded = peer::decodeSnapshot(object.value().value); decoded) {
--- a/carawaylatch/store/faultystore.cpp
+++ b/carawaylatch/store/faultystore.cpp
@@ -1,6 +1,6 @@
-// Faults around a store. Reads have no effect to lose, so that for them every
-// fault is an outage; for writes the lost request and the lost answer look the
-// same to the caller, which is what makes them hard.
+// Fault injection around a store. Reads have no effect, so every fault makes them
+// fail with Unavailable. For writes a lost request and a lost response both return
+// Unclear, because a caller can't distinguish them.
 #include "carawaylatch/store/faultystore.h"
 
 namespace carawaylatch::store
@@ -16,7 +16,7 @@
 
 base::Error unclear()
 {
-    return base::fail(base::ErrorKind::Unclear, "the platform's answer was lost; read back to learn whether the write took effect");
+    return base::fail(base::ErrorKind::Unclear, "the platform's response was lost; read back to learn whether the write took effect");
 }
 
 template <typename Read>
@@ -36,7 +36,7 @@
         return write();
     case StoreFault::Down:
         return unavailable();
-    case StoreFault::AnswerLost:
+    case StoreFault::ResponseLost:
         static_cast<void>(write());
         return unclear();
     case StoreFault::RequestLost:
@@ -56,7 +56,7 @@
 {
     const std::lock_guard lock(m_mutex);
     m_fault = fault;
-    m_left = calls;
+    m_remaining = calls;
     m_skip = skip;
 }
 
@@ -74,10 +74,10 @@
         --m_skip;
         return StoreFault::None;
     }
-    if (m_left == 0) {
+    if (m_remaining == 0) {
         return StoreFault::None;
     }
-    --m_left;
+    --m_remaining;
     return m_fault;
 }
 
--- a/carawaylatch/store/memorystore.cpp
+++ b/carawaylatch/store/memorystore.cpp
@@ -1,5 +1,5 @@
-// One version counter over the whole store gives every write its place in a
-// total order; a watch is the part of that order behind a point.
+// One version counter for the whole store orders all writes and removals totally; a
+// watch returns the changes after a version.
 #include "carawaylatch/store/memorystore.h"
 
 #include <utility>
@@ -13,7 +13,7 @@
 base::Error conflict(std::string_view name, Version found, Version expected)
 {
     return base::fail(base::ErrorKind::Conflict, std::string(name) + " has version " + std::to_string(found.value) + ", not " + std::to_string(expected.value)
-                                                     + "; read it and decide again");
+                                                     + "; read it again and repeat the change");
 }
 
 } // namespace
@@ -77,8 +77,8 @@
         changes = changesSince(prefix, since);
         return !changes.written.empty() || !changes.removed.empty();
     });
-    if (since < m_forgotten) {
-        return base::fail(base::ErrorKind::StaleState, "the history before version " + std::to_string(m_forgotten.value) + " is gone; list again");
+    if (since < m_compactedVersion) {
+        return base::fail(base::ErrorKind::StaleState, "the history before version " + std::to_string(m_compactedVersion.value) + " was dropped; list again");
     }
     return changes;
 }
@@ -123,7 +123,7 @@
     ++m_version.value;
     m_tombstones.emplace(m_version, name);
     if (m_tombstones.size() > MaxTombstones) {
-        m_forgotten = m_tombstones.begin()->first;
+        m_compactedVersion = m_tombstones.begin()->first;
         m_tombstones.erase(m_tombstones.begin());
     }
 }
--- a/tools/ctl/applycommand.cpp
+++ b/tools/ctl/applycommand.cpp
@@ -1,6 +1,6 @@
 // apply: submits an edit to the platform and waits for the result.
 //
-// The edit carries an id, so that HeadStore can find out by reading back whether an edit
+// The edit carries an id, so that ConfigStore can find out by reading back whether an edit
 // whose response was lost has been accepted. With --wait-seconds the command also polls
 // the router until it and all its live peers have the revision in force.
 #include <nlohmann/json.hpp>
@@ -72,7 +72,7 @@
     }
 }
 
-void printResult(CommandContext &context, const config::RowSet &before, const config::Edit &edit, const config::Accepted &accepted,
+void printResult(CommandContext &context, const config::RowSet &before, const config::Edit &edit, const config::CommitResult &accepted,
                  const RolloutStatus &rollout)
 {
     const bool isDryRun = context.options.applyMode == ApplyMode::DryRun;
@@ -102,12 +102,12 @@
     if (context.operands.empty() && context.options.removals.empty()) {
         return base::fail(base::ErrorKind::InvalidArgument, "nothing to apply; name a file or use --remove");
     }
-    config::HeadStore store(context.objects);
+    config::ConfigStore store(context.objects);
     BOOST_OUTCOME_TRY(stored, store.load());
     BOOST_OUTCOME_TRY(changes, changesFor(context, stored.rows));
     base::Random random(context.options.editSeed);
     config::Edit edit;
-    edit.id = config::makeEditId(random);
+    edit.id = config::randomEditId(random);
     edit.author = context.options.author;
     edit.madeAt = wallMilliseconds();
     edit.changes = changes;
