--- a/bench/distribution.cpp
+++ b/bench/distribution.cpp
@@ -98,7 +98,7 @@
             options.fanOut = spreading == Spreading::Tree ? options.fanOut : 0;
             m_nodes.push_back(std::make_unique<config::Distributor>(options));
             m_nodes.back()->onMembers(members);
-            m_isDead.push_back(size > 4 && m_random.unit() < scenario.dead);
+            m_isDead.push_back(size > 4 && m_random.uniformReal() < scenario.dead);
             (void)m_nodes.back()->takeActions();
             startHeartbeat(n);
         }
--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -80,7 +80,7 @@
     {
         for (std::uint32_t it = 0; it < Domains; ++it) {
             if (it != domain) {
-                m_network.cut(domain, it);
+                m_network.partition(domain, it);
             }
         }
     }
@@ -216,7 +216,7 @@
     (void)fleet.takeBytes();
     fleet.network().runFor(CutDuration);
     const double cutRate = rateOf(fleet.takeBytes(), size, base::toSeconds(CutDuration));
-    fleet.network().heal();
+    fleet.network().removePartitions();
     const double heal = fleet.runUntilEqual();
     std::printf(" %.0f | %.1f | %.0f |\n", cutRate, heal, rateOf(fleet.takeBytes(), size, heal));
     std::fflush(stdout);
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -164,7 +164,7 @@
         }
         ++m_orders;
         submit(m_random.below(m_committers.size()), true);
-        at(m_now - std::log1p(-m_random.unit()) / m_load.ordersPerSecond, [this] {
+        at(m_now - std::log1p(-m_random.uniformReal()) / m_load.ordersPerSecond, [this] {
             arrive();
         });
     }
--- a/bench/policybench/workload.cpp
+++ b/bench/policybench/workload.cpp
@@ -59,7 +59,7 @@
 Session WorkloadSource::nextSession()
 {
     Session session;
-    double u = m_random.unit();
+    double u = m_random.uniformReal();
     while (session.customer + 1 < m_workload.customers.size() && u >= m_workload.customers[session.customer]) {
         u -= m_workload.customers[session.customer++];
     }
@@ -67,7 +67,7 @@
     while (session.templateNumber + 1 < m_workload.templates && m_random.below(2) == 1) {
         ++session.templateNumber;
     }
-    const double v = m_random.unit() * m_documentWeights.back();
+    const double v = m_random.uniformReal() * m_documentWeights.back();
     session.document = static_cast<std::uint64_t>(std::lower_bound(m_documentWeights.begin(), m_documentWeights.end(), v) - m_documentWeights.begin());
     session.templateNumber += m_shift;
     session.document += m_shift * m_workload.documents;
@@ -88,7 +88,7 @@
     const auto tail = static_cast<std::uint32_t>(200 + m_random.below(700));
     request.promptTokens = static_cast<std::uint32_t>(request.chain.size()) * BlockTokens + tail;
     request.outputTokens = static_cast<std::uint32_t>(40 + m_random.below(120));
-    const bool isInteractive = m_random.unit() < m_workload.interactiveShare;
+    const bool isInteractive = m_random.uniformReal() < m_workload.interactiveShare;
     request.trafficClass = isInteractive ? base::TrafficClass::Interactive : base::TrafficClass::Batch;
     request.deadline = isInteractive ? m_workload.interactiveDeadline : m_workload.batchDeadline;
     return request;
@@ -96,7 +96,7 @@
 
 base::Duration WorkloadSource::exponential(base::Duration mean)
 {
-    return base::fromSeconds(-std::log(1 - m_random.unit()) * base::toSeconds(mean));
+    return base::fromSeconds(-std::log(1 - m_random.uniformReal()) * base::toSeconds(mean));
 }
 
 base::Random &WorkloadSource::random()
--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -28,8 +28,8 @@
 #include "carawaylatch/proxy/placement.h"
 #include "carawaylatch/proxy/trafficplane.h"
 #include "carawaylatch/proxy/upstreamtracker.h"
-#include "platform/dialect.h"
-#include "platform/testing/standinserver.h"
+#include "platform/headerdialect.h"
+#include "platform/testing/scriptedserver.h"
 
 namespace
 {
@@ -67,9 +67,9 @@
 using platform::testing::chunk;
 using platform::testing::event;
 using platform::testing::LastChunk;
-using platform::testing::okAnswer;
-using platform::testing::ScriptedAnswer;
-using platform::testing::StandinServer;
+using platform::testing::okResponse;
+using platform::testing::ScriptedResponse;
+using platform::testing::ScriptedServer;
 using platform::testing::streamHead;
 
 class NoObserver : public proxy::TrafficObserver
@@ -87,7 +87,7 @@
 class Bed
 {
 public:
-    explicit Bed(const StandinServer::Script &script)
+    explicit Bed(const ScriptedServer::Script &script)
         : m_server(m_worldLoop, script)
         , m_log(::open("/dev/null", O_WRONLY | O_CLOEXEC), 1'000'000, m_clock)
     {
@@ -170,7 +170,7 @@
     base::SteadyClock m_clock;
     platform::HeaderDialect m_dialect;
     NoObserver m_observer;
-    StandinServer m_server;
+    ScriptedServer m_server;
     carawaylatch::telemetry::DecisionLog m_log;
     std::unique_ptr<proxy::TrafficPlane> m_plane;
     std::thread m_planeThread;
@@ -202,7 +202,7 @@
 void benchCall(benchmark::State &state)
 {
     Bed bed([](const std::string &, const std::string &id) {
-        return ScriptedAnswer{{okAnswer(id, std::string(799, 'x') + '!')}};
+        return ScriptedResponse{{okResponse(id, std::string(799, 'x') + '!')}};
     });
     exchange(state, bed, callerRequest("/call/", "a1", {}, std::string(static_cast<std::size_t>(state.range(0)), 'b')), "!", 1);
 }
@@ -212,7 +212,7 @@
 {
     constexpr int Events = 50;
     Bed bed([](const std::string &, const std::string &id) {
-        ScriptedAnswer answer{{streamHead(id)}, base::microseconds{300}};
+        ScriptedResponse answer{{streamHead(id)}, base::microseconds{300}};
         for (int i = 1; i <= Events; ++i) {
             answer.pieces.push_back(chunk(event(i)));
         }
--- a/carawaylatch/admission/overload.cpp
+++ b/carawaylatch/admission/overload.cpp
@@ -72,7 +72,7 @@
 base::Duration OverloadPolicy::retryAfter(base::Duration expectedWait)
 {
     const double bounded = base::toSeconds(std::clamp(expectedWait, m_options.minRetryAfter, m_options.maxRetryAfter));
-    return base::fromSeconds(bounded * (1 + m_options.jitter * m_random.unit()));
+    return base::fromSeconds(bounded * (1 + m_options.jitter * m_random.uniformReal()));
 }
 
 void OverloadPolicy::recordCompleted(std::uint64_t tokens, base::TimePoint now)
--- a/carawaylatch/admission/testing/admissioncontrollertest.cpp
+++ b/carawaylatch/admission/testing/admissioncontrollertest.cpp
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "carawaylatch/admission/admissioncontroller.h"
-#include "testing/sharedclock.h"
+#include "testing/threadsafemanualclock.h"
 
 namespace carawaylatch::admission::testing
 {
@@ -19,7 +19,7 @@
 const base::CustomerId Acme("acme");
 const base::CustomerId Bolt("bolt");
 
-using carawaylatch::testing::SharedClock;
+using carawaylatch::testing::ThreadSafeManualClock;
 
 config::Tables tables(std::uint32_t concurrency, double perSecond = 0)
 {
@@ -32,7 +32,7 @@
 
 struct Fixture
 {
-    SharedClock clock;
+    ThreadSafeManualClock clock;
     AdmissionController admissionController;
 
     explicit Fixture(std::uint32_t concurrency, std::uint32_t capacity = 100, double perSecond = 0)
--- a/carawaylatch/base/eventloop.cpp
+++ b/carawaylatch/base/eventloop.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-bool EventLoop::run(const Task &task)
+bool EventLoop::runAndWait(const Task &task)
 {
     const auto done = std::make_shared<std::promise<void>>();
     auto future = done->get_future();
@@ -72,9 +72,9 @@
     return m_timers;
 }
 
-Duration EventLoop::processorTime() const
+Duration EventLoop::cpuTime() const
 {
-    return std::chrono::nanoseconds{m_processorNanoseconds.load()};
+    return std::chrono::nanoseconds{m_cpuTimeNanoseconds.load()};
 }
 
 void EventLoop::loop()
@@ -91,14 +91,14 @@
             it(m_clock.now());
         }
         m_timers.advance(m_clock.now());
-        noteProcessorTime();
+        updateCpuTime();
     }
 }
 
 std::deque<EventLoop::Task> EventLoop::takeTasks()
 {
     const TimePoint now = m_clock.now();
-    const Duration sleep = std::clamp<Duration>(m_timers.nextDeadline().value_or(now + LongestSleep) - now, Duration{}, LongestSleep);
+    const Duration sleep = std::clamp<Duration>(m_timers.nextDeadline().value_or(now + MaxSleep) - now, Duration{}, MaxSleep);
     std::unique_lock lock(m_mutex);
     m_posted.wait_for(lock, sleep, [this] {
         return !m_tasks.empty() || m_isStopped;
@@ -106,12 +106,12 @@
     return std::exchange(m_tasks, {});
 }
 
-void EventLoop::noteProcessorTime()
+void EventLoop::updateCpuTime()
 {
     timespec used{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
     const Duration total = seconds{used.tv_sec} + std::chrono::nanoseconds{used.tv_nsec};
-    m_processorNanoseconds = total.count();
+    m_cpuTimeNanoseconds = total.count();
 }
 
 } // namespace carawaylatch::base
--- a/carawaylatch/base/eventloop.h
+++ b/carawaylatch/base/eventloop.h
@@ -38,18 +38,18 @@
     void post(Task task);
     // Posts a task and waits until it has run; false if the loop has stopped.
     // Not to be called from the loop's thread.
-    bool run(const Task &task);
+    bool runAndWait(const Task &task);
     // For the loop's thread and before start().
     [[nodiscard]] TimerService &timers();
     // Processor time that the loop's thread has used.
-    [[nodiscard]] Duration processorTime() const;
+    [[nodiscard]] Duration cpuTime() const;
 
 private:
     void loop();
     [[nodiscard]] std::deque<Task> takeTasks();
-    void noteProcessorTime();
+    void updateCpuTime();
 
-    static constexpr Duration LongestSleep = seconds{1};
+    static constexpr Duration MaxSleep = seconds{1};
 
     const Clock &m_clock;
     TimerService m_timers; // the loop's thread
@@ -57,7 +57,7 @@
     std::condition_variable m_posted;
     std::deque<Task> m_tasks; // guarded by m_mutex
     bool m_isStopped = false; // guarded by m_mutex
-    std::atomic<std::int64_t> m_processorNanoseconds = 0;
+    std::atomic<std::int64_t> m_cpuTimeNanoseconds = 0;
     std::thread m_thread;
 };
 
--- a/carawaylatch/base/hash.cpp
+++ b/carawaylatch/base/hash.cpp
@@ -55,7 +55,7 @@
     return next() % bound;
 }
 
-double Random::unit()
+double Random::uniformReal()
 {
     constexpr unsigned UnusedBits = 11;
     constexpr double Scale = 1.0 / static_cast<double>(1ULL << 53U);
--- a/carawaylatch/base/hash.h
+++ b/carawaylatch/base/hash.h
@@ -26,7 +26,7 @@
     // Returns a number in [0, bound); bound must be above zero.
     [[nodiscard]] std::uint64_t below(std::uint64_t bound);
     // Returns a number in [0, 1).
-    [[nodiscard]] double unit();
+    [[nodiscard]] double uniformReal();
 
 private:
     std::uint64_t m_state;
--- a/carawaylatch/base/ids.h
+++ b/carawaylatch/base/ids.h
@@ -13,11 +13,11 @@
 
 // A name of one kind. Tag only tells the kinds apart.
 template <typename Tag>
-class Name
+class TypedName
 {
 public:
-    Name() = default;
-    explicit Name(std::string_view value)
+    TypedName() = default;
+    explicit TypedName(std::string_view value)
         : m_value(value)
     {
     }
@@ -31,55 +31,55 @@
         return m_value.empty();
     }
 
-    auto operator<=>(const Name &) const = default;
-    bool operator==(const Name &) const = default;
+    auto operator<=>(const TypedName &) const = default;
+    bool operator==(const TypedName &) const = default;
 
 private:
     std::string m_value;
 };
 
 template <typename Tag>
-std::ostream &operator<<(std::ostream &out, const Name<Tag> &name)
+std::ostream &operator<<(std::ostream &out, const TypedName<Tag> &name)
 {
     return out << name.value();
 }
 
-using CustomerId = Name<struct CustomerTag>;
-using FailureDomain = Name<struct FailureDomainTag>;
-using ModelId = Name<struct ModelTag>;
-using PoolName = Name<struct PoolTag>;
-using RouteName = Name<struct RouteTag>;
-using RouterId = Name<struct RouterTag>;
-using UpstreamId = Name<struct UpstreamTag>;
+using CustomerId = TypedName<struct CustomerTag>;
+using FailureDomain = TypedName<struct FailureDomainTag>;
+using ModelId = TypedName<struct ModelTag>;
+using PoolName = TypedName<struct PoolTag>;
+using RouteName = TypedName<struct RouteTag>;
+using RouterId = TypedName<struct RouterTag>;
+using UpstreamId = TypedName<struct UpstreamTag>;
 
 // A number of one kind; zero means "none yet" in every kind.
 template <typename Tag>
-struct Number
+struct TypedNumber
 {
     std::uint64_t value = 0;
 
-    auto operator<=>(const Number &) const = default;
-    bool operator==(const Number &) const = default;
+    auto operator<=>(const TypedNumber &) const = default;
+    bool operator==(const TypedNumber &) const = default;
 };
 
 template <typename Tag>
-std::ostream &operator<<(std::ostream &out, Number<Tag> number)
+std::ostream &operator<<(std::ostream &out, TypedNumber<Tag> number)
 {
     return out << number.value;
 }
 
 // One life of a process: changes at every start, never repeats.
-using Incarnation = Number<struct IncarnationTag>;
+using Incarnation = TypedNumber<struct IncarnationTag>;
 // Order of accepted configurations; grows by one with every accepted edit.
-using Revision = Number<struct RevisionTag>;
+using Revision = TypedNumber<struct RevisionTag>;
 // Version of a model's weights.
-using WeightsVersion = Number<struct WeightsTag>;
+using WeightsVersion = TypedNumber<struct WeightsTag>;
 // One try of one request at one upstream; unique over all routers.
-using AttemptId = Number<struct AttemptTag>;
+using AttemptId = TypedNumber<struct AttemptTag>;
 // Seed of a cache namespace, sent to engines as the cache salt.
-using CacheSalt = Number<struct CacheSaltTag>;
+using CacheSalt = TypedNumber<struct CacheSaltTag>;
 // Fencing number of a lease holder.
-using FenceToken = Number<struct FenceTag>;
+using FencingToken = TypedNumber<struct FencingTag>;
 
 enum class TrafficClass {
     Interactive,
@@ -99,18 +99,18 @@
 } // namespace carawaylatch::base
 
 template <typename Tag>
-struct std::hash<carawaylatch::base::Name<Tag>>
+struct std::hash<carawaylatch::base::TypedName<Tag>>
 {
-    std::size_t operator()(const carawaylatch::base::Name<Tag> &name) const noexcept
+    std::size_t operator()(const carawaylatch::base::TypedName<Tag> &name) const noexcept
     {
         return std::hash<std::string>{}(name.value());
     }
 };
 
 template <typename Tag>
-struct std::hash<carawaylatch::base::Number<Tag>>
+struct std::hash<carawaylatch::base::TypedNumber<Tag>>
 {
-    std::size_t operator()(carawaylatch::base::Number<Tag> number) const noexcept
+    std::size_t operator()(carawaylatch::base::TypedNumber<Tag> number) const noexcept
     {
         return std::hash<std::uint64_t>{}(number.value);
     }
--- a/carawaylatch/base/logevents.cpp
+++ b/carawaylatch/base/logevents.cpp
@@ -19,7 +19,7 @@
 };
 
 // Every event is in the catalogue, as both come from one list.
-const LogEventInfo &infoOf(LogEvent event)
+const LogEventInfo &eventInfo(LogEvent event)
 {
     return *std::find_if(Catalogue.begin(), Catalogue.end(), [event](const LogEventInfo &info) {
         return info.event == event;
@@ -32,7 +32,7 @@
     return LevelNames.at(static_cast<std::size_t>(level));
 }
 
-std::string quoted(std::string_view value)
+std::string quoteIfNeeded(std::string_view value)
 {
     if (!value.empty() && value.find_first_of(" \"\n\r\\") == std::string_view::npos) {
         return std::string(value);
@@ -69,19 +69,19 @@
 std::string formatLogEvent(LogEvent event, std::initializer_list<LogField> fields, std::string_view seconds)
 {
     std::string line = "E" + std::to_string(static_cast<int>(event)) + ' ';
-    line += infoOf(event).name;
+    line += eventInfo(event).name;
     if (!seconds.empty()) {
         line.append(" t=").append(seconds);
     }
     for (const auto &field : fields) {
-        line.append(" ").append(field.name).append("=").append(quoted(field.value));
+        line.append(" ").append(field.name).append("=").append(quoteIfNeeded(field.value));
     }
     return line;
 }
 
 LogLevel logEventLevel(LogEvent event)
 {
-    return infoOf(event).level;
+    return eventInfo(event).level;
 }
 
 } // namespace carawaylatch::base
--- a/carawaylatch/config/head.h
+++ b/carawaylatch/config/head.h
@@ -29,7 +29,7 @@
 constexpr std::string_view HistoryPrefix = "config/history/";
 
 // Names one edit for all time; chosen by who makes it, so that a lost answer can be settled.
-using EditId = base::Number<struct EditTag>;
+using EditId = base::TypedNumber<struct EditTag>;
 
 struct RowChange
 {
--- a/carawaylatch/config/settings.cpp
+++ b/carawaylatch/config/settings.cpp
@@ -125,19 +125,19 @@
 };
 
 template <typename Tag>
-struct Form<base::Name<Tag>>
+struct Form<base::TypedName<Tag>>
 {
     static constexpr std::string_view Name = "name";
-    static Result<base::Name<Tag>> parse(std::string_view text)
+    static Result<base::TypedName<Tag>> parse(std::string_view text)
     {
         BOOST_OUTCOME_TRY(name, parseName(text));
-        return base::Name<Tag>(name);
+        return base::TypedName<Tag>(name);
     }
-    static std::string format(const base::Name<Tag> &value)
+    static std::string format(const base::TypedName<Tag> &value)
     {
         return value.value();
     }
-    static std::int64_t count(const base::Name<Tag> &value)
+    static std::int64_t count(const base::TypedName<Tag> &value)
     {
         return static_cast<std::int64_t>(value.value().size());
     }
--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -62,10 +62,10 @@
 }
 
 template <typename Tag>
-Result<void> storeName(base::Name<Tag> &member, std::string_view text)
+Result<void> storeName(base::TypedName<Tag> &member, std::string_view text)
 {
     BOOST_OUTCOME_TRY(name, parseName(text));
-    member = base::Name<Tag>(name);
+    member = base::TypedName<Tag>(name);
     return ok();
 }
 
--- a/carawaylatch/config/testing/distributortest.cpp
+++ b/carawaylatch/config/testing/distributortest.cpp
@@ -222,14 +222,14 @@
         fleet.accept(1, "a");
         fleet.network().runFor(seconds{1});
         fleet.takePlatformFrom(2);
-        fleet.network().cut(2, 0);
-        fleet.network().cut(2, 1);
+        fleet.network().partition(2, 0);
+        fleet.network().partition(2, 1);
         for (std::uint64_t i = 2; i <= 5 + KeptEdits; ++i) {
             fleet.accept(i, "b");
             fleet.network().runFor(milliseconds{200});
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, fleet.countAt(1));
-        fleet.network().heal();
+        fleet.network().removePartitions();
         fleet.network().runFor(seconds{5});
         CPPUNIT_ASSERT_EQUAL(std::size_t{12}, fleet.countAt(5 + KeptEdits));
     }
--- a/carawaylatch/fleet/enginecontrol.h
+++ b/carawaylatch/fleet/enginecontrol.h
@@ -22,7 +22,7 @@
 struct EngineOrder
 {
     EngineOrderKind kind = EngineOrderKind::LoadWeights;
-    base::FenceToken fence;
+    base::FencingToken fence;
     base::WeightsVersion weightsVersion;
     std::string adapter;
     std::string role;
--- a/carawaylatch/fleet/fleetdriver.h
+++ b/carawaylatch/fleet/fleetdriver.h
@@ -47,7 +47,7 @@
     std::uint64_t slotWaits = 0; // orders postponed because no load slot was acquired
     std::size_t blockedEngines = 0; // engines that can't change because too many are unreachable or leaving
     bool isHolder = false;
-    base::FenceToken fence;
+    base::FencingToken fence;
 };
 
 class FleetDriver
--- a/carawaylatch/fleet/lease.cpp
+++ b/carawaylatch/fleet/lease.cpp
@@ -85,12 +85,12 @@
     return m_state.heldVersion.value != 0 && now < m_state.validUntil;
 }
 
-std::optional<base::FenceToken> Lease::fence(base::TimePoint now) const
+std::optional<base::FencingToken> Lease::fence(base::TimePoint now) const
 {
     if (!isHeld(now)) {
         return std::nullopt;
     }
-    return base::FenceToken{m_state.heldVersion.value};
+    return base::FencingToken{m_state.heldVersion.value};
 }
 
 bool Lease::hadNoOtherHolder() const
--- a/carawaylatch/fleet/lease.h
+++ b/carawaylatch/fleet/lease.h
@@ -117,7 +117,7 @@
     // True while this router may act as the holder. Check it right before each action.
     [[nodiscard]] bool isHeld(base::TimePoint now) const;
     // Returns the fencing token; nothing if isHeld() is false.
-    [[nodiscard]] std::optional<base::FenceToken> fence(base::TimePoint now) const;
+    [[nodiscard]] std::optional<base::FencingToken> fence(base::TimePoint now) const;
     // True if this router has never read a lease of another router or a released lease.
     [[nodiscard]] bool hadNoOtherHolder() const;
     // Time since this router learned that it had acquired the lease, which it has held
--- a/carawaylatch/fleet/testing/fleettest.cpp
+++ b/carawaylatch/fleet/testing/fleettest.cpp
@@ -46,7 +46,7 @@
     base::WeightsVersion loading;
     std::string loadingAdapter;
     base::TimePoint loadedAt;
-    base::FenceToken fence;
+    base::FencingToken fence;
     bool isReachable = true;
     std::vector<std::pair<base::TimePoint, EngineReport>> history; // earlier reports, for `lag`
 };
--- a/carawaylatch/fleet/testing/leasetest.cpp
+++ b/carawaylatch/fleet/testing/leasetest.cpp
@@ -60,29 +60,29 @@
         }
     }
 
-    using Choices = std::vector<carawaylatch::testing::Choice<LeaseModel>>;
+    using Transitions = std::vector<carawaylatch::testing::Transition<LeaseModel>>;
 
-    Choices choices() const
+    Transitions transitions() const
     {
-        Choices choices;
+        Transitions transitions;
         if (m_remaining.ticks > 0) {
             LeaseModel next = *this;
             --next.m_remaining.ticks;
             for (std::size_t i = 0; i < 2; ++i) {
                 next.m_routers[i].now += base::seconds{m_remaining.rates[i]};
             }
-            add(choices, "tick", std::move(next));
+            add(transitions, "tick", std::move(next));
         }
         for (std::size_t i = 0; i < 2; ++i) {
-            addRouterSteps(choices, i);
+            addRouterSteps(transitions, i);
         }
         for (std::size_t i = 0; i < m_delayed.size(); ++i) {
             LeaseModel next = *this;
             (void)next.write(m_delayed[i]);
             next.m_delayed.erase(next.m_delayed.begin() + static_cast<std::ptrdiff_t>(i));
-            add(choices, "a delayed write arrives", std::move(next));
+            add(transitions, "a delayed write arrives", std::move(next));
         }
-        return choices;
+        return transitions;
     }
 
     std::string violation() const
@@ -131,12 +131,12 @@
         return Lease(base::RouterId(std::to_string(router)), base::Incarnation{incarnation}, LeaseSettings{base::seconds{Length}, base::seconds{1}});
     }
 
-    void add(Choices &choices, std::string label, LeaseModel next) const
+    void add(Transitions &transitions, std::string label, LeaseModel next) const
     {
         for (const LeaseRouter &it : next.m_routers) {
-            next.m_highestFence = std::max(next.m_highestFence, it.lease.fence(it.now).value_or(base::FenceToken{}).value);
+            next.m_highestFence = std::max(next.m_highestFence, it.lease.fence(it.now).value_or(base::FencingToken{}).value);
         }
-        choices.push_back({std::move(label), std::move(next)});
+        transitions.push_back({std::move(label), std::move(next)});
     }
 
     base::Result<store::Version> write(const LeaseAction &action)
@@ -149,7 +149,7 @@
         return m_object.version;
     }
 
-    void addRouterSteps(Choices &choices, std::size_t index) const
+    void addRouterSteps(Transitions &transitions, std::size_t index) const
     {
         const std::string name = "router " + std::to_string(index);
         const LeaseRouter &router = m_routers[index];
@@ -160,14 +160,14 @@
                 next.m_delayed.push_back(router.call->action);
             }
             next.m_routers[index] = LeaseRouter{makeLease(index, router.incarnation + 1), router.incarnation + 1, router.now, std::nullopt};
-            add(choices, name + " restarts", std::move(next));
+            add(transitions, name + " restarts", std::move(next));
         }
         if (!router.call) {
             LeaseModel next = *this;
             const LeaseAction action = next.m_routers[index].lease.poll(router.now);
             if (action.kind != LeaseActionKind::None) {
                 next.m_routers[index].call = PendingCall{action, std::nullopt};
-                add(choices, name + (action.kind == LeaseActionKind::Read ? " reads" : " writes"), std::move(next));
+                add(transitions, name + (action.kind == LeaseActionKind::Read ? " reads" : " writes"), std::move(next));
             }
         } else if (router.call->written) {
             LeaseModel next = *this;
@@ -175,13 +175,13 @@
             const auto written = *target.call->written;
             target.call.reset();
             target.lease.onWritten(target.now, written);
-            add(choices, name + " gets its answer", std::move(next));
+            add(transitions, name + " gets its answer", std::move(next));
         } else {
-            addEffects(choices, index);
+            addEffects(transitions, index);
         }
     }
 
-    void addEffects(Choices &choices, std::size_t index) const
+    void addEffects(Transitions &transitions, std::size_t index) const
     {
         const std::string name = "call of router " + std::to_string(index);
         const bool isRead = m_routers[index].call->action.kind == LeaseActionKind::Read;
@@ -194,7 +194,7 @@
         } else {
             call.written = next.write(call.action);
         }
-        add(choices, name + " takes effect", std::move(next));
+        add(transitions, name + " takes effect", std::move(next));
         if (m_remaining.faults == 0) {
             return;
         }
@@ -203,7 +203,7 @@
             --failed.m_remaining.faults;
             failed.m_routers[index].call.reset();
             failed.m_routers[index].lease.onRead(m_routers[index].now, base::fail(ErrorKind::Unavailable, ""));
-            add(choices, name + ": unreachable", std::move(failed));
+            add(transitions, name + ": unreachable", std::move(failed));
             return;
         }
         for (const StoreFault fault : {StoreFault::Down, StoreFault::AnswerLost, StoreFault::RequestLost}) {
@@ -216,7 +216,7 @@
                 failed.m_delayed.push_back(failedCall.action); // may still take effect
             }
             failedCall.written = base::fail(fault == StoreFault::Down ? ErrorKind::Unavailable : ErrorKind::Unclear, "");
-            add(choices, name + ": fault " + std::to_string(static_cast<int>(fault)), std::move(failed));
+            add(transitions, name + ": fault " + std::to_string(static_cast<int>(fault)), std::move(failed));
         }
     }
 
--- a/carawaylatch/fleet/weightscontroller.cpp
+++ b/carawaylatch/fleet/weightscontroller.cpp
@@ -29,7 +29,7 @@
     return std::max<std::size_t>(1, static_cast<std::size_t>(std::floor(share * static_cast<double>(members))));
 }
 
-PlannedOrder makeOrder(const config::Pool &pool, const config::PoolMember &member, const EngineReport &report, base::FenceToken fence)
+PlannedOrder makeOrder(const config::Pool &pool, const config::PoolMember &member, const EngineReport &report, base::FencingToken fence)
 {
     const bool isLoad = report.weightsVersion != pool.weightsVersion;
     PlannedOrder planned;
--- a/carawaylatch/fleet/weightscontroller.h
+++ b/carawaylatch/fleet/weightscontroller.h
@@ -65,7 +65,7 @@
 // The current period in which this router holds the lease.
 struct LeaseTerm
 {
-    base::FenceToken fence;
+    base::FencingToken fence;
     base::TimePoint since;
 };
 
--- a/carawaylatch/gateway/controlplane.cpp
+++ b/carawaylatch/gateway/controlplane.cpp
@@ -215,7 +215,7 @@
                                                     {"age_ms", std::to_string(base::toMilliseconds(m_tableAge.age()))}});
         }
         // Jitter, so that routers don't retry at the same moment.
-        const base::Duration wait = base::fromSeconds(base::toSeconds(nextPause) * (0.5 + m_random.unit()));
+        const base::Duration wait = base::fromSeconds(base::toSeconds(nextPause) * (0.5 + m_random.uniformReal()));
         nextPause = std::min<base::Duration>(nextPause * 2, m_settings.maxRetryPause);
         co_await pause(wait);
     }
--- a/carawaylatch/gateway/engineclient.h
+++ b/carawaylatch/gateway/engineclient.h
@@ -26,7 +26,7 @@
     base::ModelId model;
     base::WeightsVersion version;
     std::string holder; // router id of the lease holder
-    base::FenceToken fence;
+    base::FencingToken fence;
     RunningRequestPolicy runningRequests = RunningRequestPolicy::Finish;
     std::optional<std::uint64_t> expectedOrders; // the engine rejects the order unless it has accepted exactly so many before
 };
--- a/carawaylatch/gateway/testing/rollouttest.cpp
+++ b/carawaylatch/gateway/testing/rollouttest.cpp
@@ -60,7 +60,7 @@
                 ++it;
             }
         }
-        for (const WeightsOrder &order : m_rollout->plan(m_now, fleet::LeaseTerm{base::FenceToken{5}, Start}, *m_state)) {
+        for (const WeightsOrder &order : m_rollout->plan(m_now, fleet::LeaseTerm{base::FencingToken{5}, Start}, *m_state)) {
             ++m_orders;
             if (!m_dropsOrders) {
                 m_loads[order.engine] = {m_now, order.version};
--- a/carawaylatch/handover/snapshot.h
+++ b/carawaylatch/handover/snapshot.h
@@ -20,7 +20,7 @@
 struct FencingFloor
 {
     std::string scope; // name of the lease object
-    base::FenceToken token;
+    base::FencingToken token;
 
     bool operator==(const FencingFloor &) const = default;
 };
--- a/carawaylatch/handover/testing/warmstarttest.cpp
+++ b/carawaylatch/handover/testing/warmstarttest.cpp
@@ -279,7 +279,7 @@
         for (int i = 0; i < 20; ++i) {
             auto snapshot = hotSnapshot(3, 20'000);
             for (std::uint32_t k = 0; k < 8'000; ++k) {
-                snapshot.levels.levels.push_back({k, static_cast<float>(random.unit()), 0});
+                snapshot.levels.levels.push_back({k, static_cast<float>(random.uniformReal()), 0});
             }
             const auto maxBytes = 2'000 + random.below(400'000);
             const auto before = snapshot;
--- a/carawaylatch/membership/testing/memberlisttest.cpp
+++ b/carawaylatch/membership/testing/memberlisttest.cpp
@@ -229,12 +229,12 @@
     {
         Fleet fleet(12);
         fleet.network().runFor(seconds{10});
-        fleet.network().cut(0, 1);
-        fleet.network().cut(0, 2);
+        fleet.network().partition(0, 1);
+        fleet.network().partition(0, 2);
         fleet.network().runFor(seconds{30});
         CPPUNIT_ASSERT(fleet.state(0, 1) == MemberState::Dead && fleet.state(1, 0) == MemberState::Dead);
         CPPUNIT_ASSERT(fleet.state(0, 3) == MemberState::Alive && fleet.state(1, 2) == MemberState::Alive);
-        fleet.network().heal();
+        fleet.network().removePartitions();
         fleet.network().runFor(seconds{30});
         fleet.assertAll(MemberState::Alive, fleet.all(), "after the partition");
     }
--- a/carawaylatch/orders/testing/ordermodel.cpp
+++ b/carawaylatch/orders/testing/ordermodel.cpp
@@ -132,15 +132,15 @@
     return {};
 }
 
-OrderModel::Choices OrderModel::choices() const
+OrderModel::Transitions OrderModel::transitions() const
 {
-    Choices choices;
-    addArrivals(choices);
-    addRequestSteps(choices);
-    addPendingUpdateSteps(choices);
-    addPlatformSteps(choices);
-    addCrashes(choices);
-    return choices;
+    Transitions transitions;
+    addArrivals(transitions);
+    addRequestSteps(transitions);
+    addPendingUpdateSteps(transitions);
+    addPlatformSteps(transitions);
+    addCrashes(transitions);
+    return transitions;
 }
 
 std::optional<std::size_t> OrderModel::activeAt(int router) const
@@ -153,7 +153,7 @@
     return std::nullopt;
 }
 
-void OrderModel::addArrivals(Choices &choices) const
+void OrderModel::addArrivals(Transitions &transitions) const
 {
     for (std::size_t i = 0; i < m_requests.size(); ++i) {
         const ModelRequest &request = m_requests[i];
@@ -161,13 +161,13 @@
         if (request.phase == RequestPhase::NotArrived) {
             OrderModel next = *this;
             next.arrive(i);
-            choices.push_back({name + " arrives at router " + std::to_string(request.router), std::move(next)});
+            transitions.push_back({name + " arrives at router " + std::to_string(request.router), std::move(next)});
         }
         if (request.phase == RequestPhase::WaitingForFirst && !activeAt(request.router)) {
             OrderModel next = *this;
             const auto &pendingUpdate = m_routers[request.router].pendingUpdate;
             next.deliverAnswer(i, pendingUpdate ? answerDuplicate(*pendingUpdate, PendingUpdatePhase::Idle, 0, modelSettings()) : retryLaterRefusal({}));
-            choices.push_back({name + " is answered after the first one", std::move(next)});
+            transitions.push_back({name + " is answered after the first one", std::move(next)});
         }
     }
 }
@@ -268,7 +268,7 @@
     return request.stateMachine->onRead(Now, result, seen, claimantLiveness);
 }
 
-void OrderModel::addRequestSteps(Choices &choices) const
+void OrderModel::addRequestSteps(Transitions &transitions) const
 {
     for (std::size_t i = 0; i < m_requests.size(); ++i) {
         if (m_requests[i].phase != RequestPhase::Active) {
@@ -277,27 +277,27 @@
         const std::string name = "request " + std::to_string(i);
         switch (m_requests[i].action.kind) {
         case OrderActionKind::WriteRecord:
-            addWrite(choices, i);
+            addWrite(transitions, i);
             break;
         case OrderActionKind::Send:
-            addSend(choices, i);
+            addSend(transitions, i);
             break;
         case OrderActionKind::ReadRecord: {
             OrderModel next = *this;
             next.applyAction(i, next.read(i, readRecord()));
-            choices.push_back({name + " reads the record", std::move(next)});
+            transitions.push_back({name + " reads the record", std::move(next)});
             if (m_remaining.faults > 0) {
                 OrderModel failed = *this;
                 --failed.m_remaining.faults;
                 failed.applyAction(i, failed.read(i, error(ErrorKind::Unavailable)));
-                choices.push_back({name + " can't read", std::move(failed)});
+                transitions.push_back({name + " can't read", std::move(failed)});
             }
             break;
         }
         case OrderActionKind::Pause: {
             OrderModel next = *this;
             next.applyAction(i, next.m_requests[i].stateMachine->onPauseOver(Now));
-            choices.push_back({name + " ends its pause", std::move(next)});
+            transitions.push_back({name + " ends its pause", std::move(next)});
             break;
         }
         case OrderActionKind::Answer:
@@ -306,7 +306,7 @@
     }
 }
 
-void OrderModel::addWrite(Choices &choices, std::size_t index) const
+void OrderModel::addWrite(Transitions &transitions, std::size_t index) const
 {
     const std::string name = "request " + std::to_string(index) + " writes";
     const OrderAction &action = m_requests[index].action;
@@ -314,7 +314,7 @@
         OrderModel next = *this;
         const auto result = next.writeRecord(action.record, action.expected);
         next.applyAction(index, next.m_requests[index].stateMachine->onWritten(now, result));
-        choices.push_back({name + (now == Deadline ? ", answered after the deadline" : ""), std::move(next)});
+        transitions.push_back({name + (now == Deadline ? ", answered after the deadline" : ""), std::move(next)});
     }
     if (m_remaining.faults == 0) {
         return;
@@ -334,11 +334,11 @@
         }
         const auto kind = fault == Fault::Unreachable ? ErrorKind::Unavailable : ErrorKind::Unclear;
         next.applyAction(index, next.m_requests[index].stateMachine->onWritten(Now, error(kind)));
-        choices.push_back({name
-                               + (fault == Fault::Unreachable  ? ": unreachable"
-                                  : fault == Fault::AnswerLost ? ": answer lost"
-                                                               : ": delayed"),
-                           std::move(next)});
+        transitions.push_back({name
+                                   + (fault == Fault::Unreachable  ? ": unreachable"
+                                      : fault == Fault::AnswerLost ? ": answer lost"
+                                                                   : ": delayed"),
+                               std::move(next)});
     }
 }
 
@@ -347,7 +347,7 @@
     m_runs.push_back(index);
 }
 
-void OrderModel::addSend(Choices &choices, std::size_t index) const
+void OrderModel::addSend(Transitions &transitions, std::size_t index) const
 {
     const std::string name = "request " + std::to_string(index) + " sends";
     ServiceAnswer answer;
@@ -356,7 +356,7 @@
     OrderModel done = *this;
     done.run(index);
     done.applyAction(index, done.m_requests[index].stateMachine->onSent(Now, answer));
-    choices.push_back({name + ": ran", std::move(done)});
+    transitions.push_back({name + ": ran", std::move(done)});
     if (m_remaining.faults == 0) {
         return;
     }
@@ -380,7 +380,7 @@
             result = ServiceAnswer{AnswerBase + 99, {}, {}, base::AttemptId{99}, {}};
         }
         next.applyAction(index, next.m_requests[index].stateMachine->onSent(Now, result));
-        choices.push_back({name + ": fault " + std::to_string(static_cast<int>(fault)), std::move(next)});
+        transitions.push_back({name + ": fault " + std::to_string(static_cast<int>(fault)), std::move(next)});
     }
 }
 
@@ -395,7 +395,7 @@
     }
 }
 
-void OrderModel::addPendingUpdateSteps(Choices &choices) const
+void OrderModel::addPendingUpdateSteps(Transitions &transitions) const
 {
     for (int i = 0; i < 2; ++i) {
         if (!m_routers[i].pendingUpdate) {
@@ -407,67 +407,67 @@
             OrderModel next = *this;
             next.m_routers[i].pendingUpdate->onRead(readRecord());
             next.finishPendingUpdate(i);
-            choices.push_back({name + " reads", std::move(next)});
+            transitions.push_back({name + " reads", std::move(next)});
             continue;
         }
         OrderModel next = *this;
         next.m_routers[i].pendingUpdate->onWritten(next.writeRecord(pendingUpdate.record(), pendingUpdate.state().expected));
         next.finishPendingUpdate(i);
-        choices.push_back({name + " writes", std::move(next)});
+        transitions.push_back({name + " writes", std::move(next)});
         if (m_remaining.faults > 0) {
             OrderModel lost = *this;
             --lost.m_remaining.faults;
             (void)lost.writeRecord(pendingUpdate.record(), pendingUpdate.state().expected);
             lost.m_routers[i].pendingUpdate->onWritten(error(ErrorKind::Unclear));
-            choices.push_back({name + " writes: answer lost", std::move(lost)});
+            transitions.push_back({name + " writes: answer lost", std::move(lost)});
             OrderModel delayed = *this;
             --delayed.m_remaining.faults;
             delayed.m_delayed.push_back(DelayedWrite{pendingUpdate.record(), pendingUpdate.state().expected});
             delayed.m_routers[i].pendingUpdate->onWritten(error(ErrorKind::Unclear));
-            choices.push_back({name + " writes: delayed", std::move(delayed)});
+            transitions.push_back({name + " writes: delayed", std::move(delayed)});
         }
     }
 }
 
-void OrderModel::addPlatformSteps(Choices &choices) const
+void OrderModel::addPlatformSteps(Transitions &transitions) const
 {
     for (std::size_t i = 0; i < m_delayed.size(); ++i) {
         OrderModel next = *this;
         (void)next.writeRecord(m_delayed[i].record, m_delayed[i].expected);
         next.m_delayed.erase(next.m_delayed.begin() + static_cast<std::ptrdiff_t>(i));
-        choices.push_back({"a delayed write arrives", std::move(next)});
+        transitions.push_back({"a delayed write arrives", std::move(next)});
     }
     for (std::size_t i = 0; i < m_delayedRuns.size(); ++i) {
         OrderModel next = *this;
         next.run(m_delayedRuns[i]);
         next.m_delayedRuns.erase(next.m_delayedRuns.begin() + static_cast<std::ptrdiff_t>(i));
-        choices.push_back({"a delayed order reaches the service", std::move(next)});
+        transitions.push_back({"a delayed order reaches the service", std::move(next)});
     }
     if (m_remaining.epochWrites > 0 && m_record) {
         OrderModel next = *this;
         --next.m_remaining.epochWrites;
         next.m_record->version.value = ++next.m_lastVersion;
-        choices.push_back({"the pruner sets the epoch of the record", std::move(next)});
+        transitions.push_back({"the pruner sets the epoch of the record", std::move(next)});
     }
     if (m_remaining.prunes > 0 && m_record && !m_isClosed) {
         OrderModel next = *this;
         next.m_isClosed = true;
-        choices.push_back({"the key is closed", std::move(next)});
+        transitions.push_back({"the key is closed", std::move(next)});
     }
     if (m_remaining.prunes > 0 && m_record && m_isClosed) {
         OrderModel next = *this;
         --next.m_remaining.prunes;
         next.m_record.reset();
-        choices.push_back({"the record is pruned", std::move(next)});
+        transitions.push_back({"the record is pruned", std::move(next)});
     }
 }
 
-void OrderModel::addCrashes(Choices &choices) const
+void OrderModel::addCrashes(Transitions &transitions) const
 {
     for (int i = 0; i < 2 && m_remaining.crashes > 0; ++i) {
         OrderModel next = *this;
         next.crash(i);
-        choices.push_back({"router " + std::to_string(i) + " restarts", std::move(next)});
+        transitions.push_back({"router " + std::to_string(i) + " restarts", std::move(next)});
     }
 }
 
--- a/carawaylatch/orders/testing/ordermodel.h
+++ b/carawaylatch/orders/testing/ordermodel.h
@@ -69,20 +69,20 @@
     OrderModel(const std::vector<int> &routers, ModelLimits limits);
 
     [[nodiscard]] std::string key() const;
-    [[nodiscard]] std::vector<carawaylatch::testing::Choice<OrderModel>> choices() const;
+    [[nodiscard]] std::vector<carawaylatch::testing::Transition<OrderModel>> transitions() const;
     [[nodiscard]] std::string violation() const;
     [[nodiscard]] bool hasRun() const;
 
 private:
-    using Choices = std::vector<carawaylatch::testing::Choice<OrderModel>>;
+    using Transitions = std::vector<carawaylatch::testing::Transition<OrderModel>>;
 
-    void addArrivals(Choices &choices) const;
-    void addRequestSteps(Choices &choices) const;
-    void addWrite(Choices &choices, std::size_t request) const;
-    void addSend(Choices &choices, std::size_t request) const;
-    void addPendingUpdateSteps(Choices &choices) const;
-    void addPlatformSteps(Choices &choices) const;
-    void addCrashes(Choices &choices) const;
+    void addArrivals(Transitions &transitions) const;
+    void addRequestSteps(Transitions &transitions) const;
+    void addWrite(Transitions &transitions, std::size_t request) const;
+    void addSend(Transitions &transitions, std::size_t request) const;
+    void addPendingUpdateSteps(Transitions &transitions) const;
+    void addPlatformSteps(Transitions &transitions) const;
+    void addCrashes(Transitions &transitions) const;
 
     void arrive(std::size_t request);
     void applyAction(std::size_t request, OrderAction action);
--- a/carawaylatch/proxy/exchange.cpp
+++ b/carawaylatch/proxy/exchange.cpp
@@ -245,7 +245,7 @@
 void Exchange::refuse(std::string_view reason, base::Duration retryAfter)
 {
     // Random jitter of up to half the delay spreads the retries of callers refused together.
-    const base::Duration spread = base::fromSeconds(base::toSeconds(retryAfter) * 0.5 * m_plane.random().unit());
+    const base::Duration spread = base::fromSeconds(base::toSeconds(retryAfter) * 0.5 * m_plane.random().uniformReal());
     replyLocally(503, reason, retryAfter + spread);
 }
 
--- a/carawaylatch/relay/testing/relaydrivertest.cpp
+++ b/carawaylatch/relay/testing/relaydrivertest.cpp
@@ -11,7 +11,7 @@
 #include "carawaylatch/relay/hedgepool.h"
 #include "carawaylatch/relay/relaydriver.h"
 #include "carawaylatch/relay/testing/fakeengine.h"
-#include "testing/sharedclock.h"
+#include "testing/threadsafemanualclock.h"
 
 namespace carawaylatch::relay::testing
 {
@@ -21,13 +21,13 @@
 
 const base::PoolName Pool("p");
 
-using carawaylatch::testing::SharedClock;
+using carawaylatch::testing::ThreadSafeManualClock;
 
 // A driver and its dependencies; without a watcher thread, the test calls watch().
 struct Fixture
 {
     FakeEngine engine;
-    SharedClock clock;
+    ThreadSafeManualClock clock;
     AttemptIdGenerator ids{base::RouterId("r1"), {1}};
     RetryBudgets budgets;
     HedgeDelays delays;
--- a/carawaylatch/router/operatordesk.cpp
+++ b/carawaylatch/router/operatordesk.cpp
@@ -50,7 +50,7 @@
 base::Result<void> OperatorDesk::drain(const base::UpstreamId &upstream)
 {
     BOOST_OUTCOME_TRYV(known(upstream));
-    m_parts.loop.run([&](base::TimePoint now) {
+    m_parts.loop.runAndWait([&](base::TimePoint now) {
         m_parts.upstreams.onLeaving(upstream, upstreams::LeavingSource::Drain, now);
     });
     return base::ok();
@@ -59,7 +59,7 @@
 base::Result<void> OperatorDesk::undrain(const base::UpstreamId &upstream)
 {
     BOOST_OUTCOME_TRYV(known(upstream));
-    m_parts.loop.run([&](base::TimePoint now) {
+    m_parts.loop.runAndWait([&](base::TimePoint now) {
         m_parts.upstreams.onUndrain(upstream, now);
     });
     return base::ok();
@@ -83,7 +83,7 @@
 void OperatorDesk::sample(base::TimePoint now)
 {
     noteControlTraffic();
-    const base::Duration used = m_parts.loop.processorTime();
+    const base::Duration used = m_parts.loop.cpuTime();
     m_parts.metrics.setControlCost(used, telemetry::readProcessCost().residentBytes);
     const std::lock_guard lock(m_mutex);
     m_series.sample(now, m_parts.metrics.totals());
--- a/carawaylatch/store/objectstore.h
+++ b/carawaylatch/store/objectstore.h
@@ -23,7 +23,7 @@
 {
 
 // Version of an object or of the store; zero stands for "does not exist".
-using Version = base::Number<struct ObjectVersionTag>;
+using Version = base::TypedNumber<struct ObjectVersionTag>;
 
 constexpr std::size_t MaxValueBytes = 1'000'000;
 
--- a/daemon/gateway/main.cpp
+++ b/daemon/gateway/main.cpp
@@ -16,7 +16,7 @@
 #include <iostream>
 
 #include "carawaylatch/gateway/gateway.h"
-#include "platform/parts.h"
+#include "platform/gatewaycomponents.h"
 
 ABSL_FLAG(std::string, settings, "", "file of settings (INI); docs/SETTINGS-gateway.md lists all keys");
 ABSL_FLAG(bool, check, false, "check the settings and exit");
@@ -63,7 +63,7 @@
     signal(SIGPIPE, SIG_IGN);
     const carawaylatch::base::SteadyClock clock;
     carawaylatch::telemetry::DecisionLog log(STDOUT_FILENO, LogBufferBytes, clock);
-    carawaylatch::gateway::Gateway gateway(path, std::move(settings.value()), clock, log, platform::makeParts);
+    carawaylatch::gateway::Gateway gateway(path, std::move(settings.value()), clock, log, platform::makeGatewayComponents);
     if (const auto started = gateway.start(); !started) {
         log.write(carawaylatch::base::LogEvent::GatewayCannotStart, {{"reason", started.error().message}});
         log.flush();
--- a/standin/enginemodel.cpp
+++ b/standin/enginemodel.cpp
@@ -31,7 +31,7 @@
 // Whether an event is lost: by its number alone, so that it stays lost.
 bool isLost(std::uint64_t sequence, base::Incarnation incarnation, double loss)
 {
-    return base::Random(base::combineHashes(incarnation.value, sequence)).unit() < loss;
+    return base::Random(base::combineHashes(incarnation.value, sequence)).uniformReal() < loss;
 }
 
 } // namespace
@@ -133,7 +133,7 @@
     m_progress.notify_all();
 }
 
-base::Result<void> EngineModel::loadWeights(base::FenceToken fence, base::WeightsVersion weights)
+base::Result<void> EngineModel::loadWeights(base::FencingToken fence, base::WeightsVersion weights)
 {
     const std::lock_guard lock(m_mutex);
     if (m_options.fencing == FenceCheck::On && fence < m_fence) {
--- a/standin/enginemodel.h
+++ b/standin/enginemodel.h
@@ -125,7 +125,7 @@
     void cancel(base::AttemptId attempt);
 
     // Starts a load of weights; Conflict for an old fencing number where that is checked.
-    [[nodiscard]] base::Result<void> loadWeights(base::FenceToken fence, base::WeightsVersion weights);
+    [[nodiscard]] base::Result<void> loadWeights(base::FencingToken fence, base::WeightsVersion weights);
     void leave();
     // The newest snapshot that is at least the report lag old.
     [[nodiscard]] LoadSnapshot loadReport() const;
@@ -171,7 +171,7 @@
     base::TimePoint m_prefillFreeAt;
     EngineState m_state = EngineState::Live;
     base::WeightsVersion m_weights;
-    base::FenceToken m_fence;
+    base::FencingToken m_fence;
     std::optional<base::WeightsVersion> m_loading;
     std::optional<base::TimePoint> m_loadDoneAt;
     std::deque<LoadSnapshot> m_snapshots;
--- a/testing/explorer.h
+++ b/testing/explorer.h
@@ -45,14 +45,14 @@
     }
 };
 
-template <typename World>
-struct Choice
+template <typename Model>
+struct Transition
 {
     std::string label;
-    World next;
+    Model next;
 };
 
-struct Exploration
+struct ExplorationResult
 {
     std::size_t states = 0;
     std::size_t depth = 0; // events of the longest path
@@ -60,18 +60,18 @@
     std::string violation; // empty, or the invariant and the path to it
 };
 
-template <typename World>
-Exploration explore(const World &start, std::size_t maxDepth)
+template <typename Model>
+ExplorationResult explore(const Model &start, std::size_t maxDepth)
 {
-    struct Visit
+    struct VisitedState
     {
         StateDigest parent;
         std::string label; // empty for the start
     };
-    std::unordered_map<StateDigest, Visit, StateDigestHash> seen;
+    std::unordered_map<StateDigest, VisitedState, StateDigestHash> seen;
     const auto pathTo = [&seen](StateDigest state) {
         std::vector<std::string_view> labels;
-        for (const Visit *it = &seen.at(state); !it->label.empty(); it = &seen.at(it->parent)) {
+        for (const VisitedState *it = &seen.at(state); !it->label.empty(); it = &seen.at(it->parent)) {
             labels.push_back(it->label);
         }
         std::reverse(labels.begin(), labels.end());
@@ -81,25 +81,25 @@
         }
         return path;
     };
-    Exploration result;
-    std::vector<World> frontier{start};
+    ExplorationResult result;
+    std::vector<Model> frontier{start};
     const StateDigest startDigest(start.key());
-    seen.try_emplace(startDigest, Visit{startDigest, {}});
+    seen.try_emplace(startDigest, VisitedState{startDigest, {}});
     while (!frontier.empty() && result.depth < maxDepth) {
-        std::vector<World> next;
-        for (const World &world : frontier) {
-            const StateDigest digest(world.key());
-            for (auto &choice : world.choices()) {
-                const StateDigest nextDigest(choice.next.key());
-                if (!seen.try_emplace(nextDigest, Visit{digest, choice.label}).second) {
+        std::vector<Model> next;
+        for (const Model &model : frontier) {
+            const StateDigest digest(model.key());
+            for (auto &transition : model.transitions()) {
+                const StateDigest nextDigest(transition.next.key());
+                if (!seen.try_emplace(nextDigest, VisitedState{digest, transition.label}).second) {
                     continue;
                 }
-                if (const std::string violation = choice.next.violation(); !violation.empty()) {
+                if (const std::string violation = transition.next.violation(); !violation.empty()) {
                     result.states = seen.size();
                     result.violation = violation + pathTo(nextDigest);
                     return result;
                 }
-                next.push_back(std::move(choice.next));
+                next.push_back(std::move(transition.next));
             }
         }
         frontier = std::move(next);
--- a/testing/sharedclock.h
+++ b/testing/threadsafemanualclock.h
@@ -8,7 +8,7 @@
 namespace carawaylatch::testing
 {
 
-class SharedClock : public base::Clock
+class ThreadSafeManualClock : public base::Clock
 {
 public:
     [[nodiscard]] base::TimePoint now() const override
--- a/testing/virtualnetwork.h
+++ b/testing/virtualnetwork.h
@@ -26,7 +26,7 @@
     struct Faults
     {
         double loss = 0; // share of messages that are lost
-        double doubled = 0; // share of messages that arrive twice
+        double duplication = 0; // share of messages that arrive twice
         base::Duration minDelay = base::milliseconds{1};
         base::Duration maxDelay = base::milliseconds{2};
     };
@@ -49,32 +49,32 @@
         m_faults = faults;
     }
     // Cuts two groups off from each other, or heals the cut.
-    void cut(std::uint32_t first, std::uint32_t second)
+    void partition(std::uint32_t first, std::uint32_t second)
     {
-        m_cuts.insert(std::minmax(first, second));
+        m_partitions.insert(std::minmax(first, second));
     }
-    void heal()
+    void removePartitions()
     {
-        m_cuts.clear();
+        m_partitions.clear();
     }
 
     void at(base::TimePoint time, Event event)
     {
-        m_events.push({time, ++m_scheduled, std::move(event)});
+        m_events.push({time, ++m_lastSequence, std::move(event)});
     }
 
     // Sends a message from a group to another.
     void send(std::uint32_t from, std::uint32_t to, const Event &deliver)
     {
         ++m_messages;
-        if (m_random.unit() < m_faults.loss) {
+        if (m_random.uniformReal() < m_faults.loss) {
             return;
         }
-        for (int copies = m_random.unit() < m_faults.doubled ? 2 : 1; copies > 0; --copies) {
+        for (int copies = m_random.uniformReal() < m_faults.duplication ? 2 : 1; copies > 0; --copies) {
             const auto spread = static_cast<std::uint64_t>((m_faults.maxDelay - m_faults.minDelay).count()) + 1;
             const auto delay = m_faults.minDelay + base::Duration{static_cast<std::int64_t>(m_random.below(spread))};
             at(m_now + delay, [this, from, to, deliver] {
-                if (!m_cuts.contains(std::minmax(from, to))) {
+                if (!m_partitions.contains(std::minmax(from, to))) {
                     deliver();
                 }
             });
@@ -97,23 +97,23 @@
     }
 
 private:
-    struct Scheduled
+    struct ScheduledEvent
     {
         base::TimePoint time;
-        std::uint64_t number = 0;
+        std::uint64_t sequence = 0;
         Event run;
 
-        bool operator<(const Scheduled &other) const
+        bool operator<(const ScheduledEvent &other) const
         {
-            return time != other.time ? time > other.time : number > other.number;
+            return time != other.time ? time > other.time : sequence > other.sequence;
         }
     };
 
     base::TimePoint m_now{base::hours{1}};
-    std::priority_queue<Scheduled> m_events;
-    std::uint64_t m_scheduled = 0;
+    std::priority_queue<ScheduledEvent> m_events;
+    std::uint64_t m_lastSequence = 0;
     std::uint64_t m_messages = 0;
-    std::set<std::pair<std::uint32_t, std::uint32_t>> m_cuts;
+    std::set<std::pair<std::uint32_t, std::uint32_t>> m_partitions;
     Faults m_faults;
     base::Random m_random;
 };
--- a/tools/load/workload.cpp
+++ b/tools/load/workload.cpp
@@ -81,7 +81,7 @@
     for (std::size_t i = 1; i <= n; ++i) {
         sum += 1.0 / static_cast<double>(i);
     }
-    double point = m_random.unit() * sum;
+    double point = m_random.uniformReal() * sum;
     std::size_t rank = 0;
     while (rank + 1 < n && point >= 1.0 / static_cast<double>(rank + 1)) {
         point -= 1.0 / static_cast<double>(rank + 1);
