--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -214,9 +214,9 @@
     Bed bed([](const std::string &, const std::string &id) {
         ScriptedResponse answer{{streamHead(id)}, base::microseconds{300}};
         for (int i = 1; i <= Events; ++i) {
-            answer.pieces.push_back(chunk(event(i)));
+            answer.writes.push_back(chunk(event(i)));
         }
-        answer.pieces.emplace_back(LastChunk);
+        answer.writes.emplace_back(LastChunk);
         return answer;
     });
     exchange(state, bed, callerRequest("/stream/", "a1"), "0\r\n\r\n", Events);
--- a/daemon/gateway/main.cpp
+++ b/daemon/gateway/main.cpp
@@ -26,14 +26,14 @@
 {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitUnavailable = 4;
+constexpr int ExitBindFailed = 4;
 constexpr std::size_t LogBufferBytes = 262'144; // several seconds of lines at a high load
 
 std::string settingsPath()
 {
-    const std::string given = absl::GetFlag(FLAGS_settings);
+    const std::string fromFlag = absl::GetFlag(FLAGS_settings);
     const char *fromEnvironment = std::getenv("CARAWAYLATCH_NODE_FILE");
-    return given.empty() && fromEnvironment != nullptr ? fromEnvironment : given;
+    return fromFlag.empty() && fromEnvironment != nullptr ? fromEnvironment : fromFlag;
 }
 
 } // namespace
@@ -41,13 +41,13 @@
 int main(int argc, char **argv)
 {
     absl::SetProgramUsageMessage("runs one router on the platform: carawaylatch-gateway [--settings FILE] [--check]");
-    const auto words = absl::ParseCommandLine(argc, argv);
+    const auto arguments = absl::ParseCommandLine(argc, argv);
     if (absl::GetFlag(FLAGS_settings_page)) {
         std::cout << carawaylatch::gateway::renderGatewaySettingsPage();
         return 0;
     }
     const std::string path = settingsPath();
-    if (words.size() != 1 || path.empty()) {
+    if (arguments.size() != 1 || path.empty()) {
         std::cerr << "name the settings: carawaylatch-gateway --settings FILE\n";
         return ExitUsage;
     }
@@ -67,7 +67,7 @@
     if (const auto started = gateway.start(); !started) {
         log.write(carawaylatch::base::LogEvent::GatewayCannotStart, {{"reason", started.error().message}});
         log.flush();
-        return ExitUnavailable;
+        return ExitBindFailed;
     }
     const int code = gateway.run();
     std::_Exit(code); // connections under way need no teardown
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -26,11 +26,11 @@
 {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitUnreachable = 4;
+constexpr int ExitBindFailed = 4;
 
 using carawaylatch::config::Settings;
 
-void startLog(const Settings::Logs &logs, const char *program)
+void initializeLogging(const Settings::Logs &logs, const char *program)
 {
     FLAGS_logtostderr = logs.directory.empty();
     FLAGS_log_dir = logs.directory;
@@ -51,9 +51,9 @@
 
 void forwardSignals(carawaylatch::router::Router &router, const sigset_t &signals, const std::stop_token &stop)
 {
-    constexpr timespec LookInterval{0, 50'000'000};
+    constexpr timespec PollInterval{0, 50'000'000};
     while (!stop.stop_requested()) {
-        if (sigtimedwait(&signals, nullptr, &LookInterval) > 0) {
+        if (sigtimedwait(&signals, nullptr, &PollInterval) > 0) {
             router.requestStop();
         }
     }
@@ -65,14 +65,14 @@
     if (const auto started = router.start(); !started) {
         carawaylatch::base::logEvent(carawaylatch::base::LogEvent::RouterCannotStart, {{"reason", started.error().message}});
         std::cerr << started.error().message << '\n';
-        return ExitUnreachable;
+        return ExitBindFailed;
     }
     const auto callers = router.callersEndpoint();
     const auto operators = router.operatorsEndpoint();
     const auto peers = router.peersEndpoint();
     std::cout << "listening callers=" << callers.address << ':' << callers.port << " operators=" << operators.address << ':' << operators.port
               << " peers=" << peers.address << ':' << peers.port << std::endl;
-    const std::jthread listener([&router, signals](const std::stop_token &stop) {
+    const std::jthread signalThread([&router, signals](const std::stop_token &stop) {
         forwardSignals(router, signals, stop);
     });
     if (router.waitUntilStopped() == carawaylatch::router::StopKind::Cut) {
@@ -92,9 +92,9 @@
         return std::string("carawaylatchd 0.1.0\n");
     };
     absl::SetFlagsUsageConfig(usage);
-    const auto words = absl::ParseCommandLine(argc, argv);
+    const auto arguments = absl::ParseCommandLine(argc, argv);
     const std::string path = absl::GetFlag(FLAGS_settings);
-    if (words.size() != 1 || path.empty()) {
+    if (arguments.size() != 1 || path.empty()) {
         std::cerr << "name the settings: carawaylatchd --settings FILE\n";
         return ExitUsage;
     }
@@ -109,6 +109,6 @@
     }
     const sigset_t signals = blockStopSignals();
     signal(SIGPIPE, SIG_IGN);
-    startLog(settings.value().logs, argv[0]);
+    initializeLogging(settings.value().logs, argv[0]);
     return serve(settings.value(), signals);
 }
--- a/testing/explorer.h
+++ b/testing/explorer.h
@@ -68,10 +68,10 @@
         StateDigest parent;
         std::string label; // empty for the start
     };
-    std::unordered_map<StateDigest, VisitedState, StateDigestHash> seen;
-    const auto pathTo = [&seen](StateDigest state) {
+    std::unordered_map<StateDigest, VisitedState, StateDigestHash> visited;
+    const auto pathTo = [&visited](StateDigest state) {
         std::vector<std::string_view> labels;
-        for (const VisitedState *it = &seen.at(state); !it->label.empty(); it = &seen.at(it->parent)) {
+        for (const VisitedState *it = &visited.at(state); !it->label.empty(); it = &visited.at(it->parent)) {
             labels.push_back(it->label);
         }
         std::reverse(labels.begin(), labels.end());
@@ -84,18 +84,18 @@
     ExplorationResult result;
     std::vector<Model> frontier{start};
     const StateDigest startDigest(start.key());
-    seen.try_emplace(startDigest, VisitedState{startDigest, {}});
+    visited.try_emplace(startDigest, VisitedState{startDigest, {}});
     while (!frontier.empty() && result.depth < maxDepth) {
         std::vector<Model> next;
         for (const Model &model : frontier) {
             const StateDigest digest(model.key());
             for (auto &transition : model.transitions()) {
                 const StateDigest nextDigest(transition.next.key());
-                if (!seen.try_emplace(nextDigest, VisitedState{digest, transition.label}).second) {
+                if (!visited.try_emplace(nextDigest, VisitedState{digest, transition.label}).second) {
                     continue;
                 }
                 if (const std::string violation = transition.next.violation(); !violation.empty()) {
-                    result.states = seen.size();
+                    result.states = visited.size();
                     result.violation = violation + pathTo(nextDigest);
                     return result;
                 }
@@ -105,7 +105,7 @@
         frontier = std::move(next);
         ++result.depth;
     }
-    result.states = seen.size();
+    result.states = visited.size();
     result.isComplete = frontier.empty();
     return result;
 }
--- a/testing/testmain.cpp
+++ b/testing/testmain.cpp
@@ -32,7 +32,7 @@
 struct KnownRed
 {
     std::set<std::string> names;
-    std::set<std::string> apart; // of these, the ones that can end the process; check.sh runs them in one of their own
+    std::set<std::string> separate; // of these, the ones that can end the process; check.sh runs them in one of their own
 };
 
 KnownRed readKnownRed(const std::string &path)
@@ -50,16 +50,16 @@
         words >> name >> mark;
         known.names.insert(name);
         if (mark == "apart") {
-            known.apart.insert(name);
+            known.separate.insert(name);
         }
     }
     return known;
 }
 
 // Runs the tests below `test` without those of `apart`; returns how many were left out.
-int runWithout(const std::set<std::string> &apart, CppUnit::Test &test, CppUnit::TestResult &result)
+int runExcluding(const std::set<std::string> &separate, CppUnit::Test &test, CppUnit::TestResult &result)
 {
-    if (apart.contains(test.getName())) {
+    if (separate.contains(test.getName())) {
         std::cout << "KNOWN-RED " << test.getName() << ", run apart\n";
         return 1;
     }
@@ -67,11 +67,11 @@
         test.run(&result);
         return 0;
     }
-    int leftOut = 0;
+    int skipped = 0;
     for (int i = 0; i < test.getChildTestCount(); ++i) {
-        leftOut += runWithout(apart, *test.getChildTestAt(i), result);
+        skipped += runExcluding(separate, *test.getChildTestAt(i), result);
     }
-    return leftOut;
+    return skipped;
 }
 
 int runTests(CppUnit::Test *test, const KnownRed &knownRed)
@@ -81,7 +81,7 @@
     CppUnit::BriefTestProgressListener progress;
     result.addListener(&collector);
     result.addListener(&progress);
-    int passedOver = runWithout(knownRed.apart, *test, result);
+    int skipped = runExcluding(knownRed.separate, *test, result);
 
     CppUnit::TextOutputter(&collector, std::cerr).write();
     int failed = 0;
@@ -93,22 +93,22 @@
         std::cout << (isKnown ? "KNOWN-RED " : "FAILED ") << it->failedTestName() << '\n';
     }
     const int passed = collector.runTests() - failed - failedKnown;
-    passedOver += failedKnown;
+    skipped += failedKnown;
     std::cout << passed << " passed, " << failed << " failed";
-    if (passedOver > 0) {
-        std::cout << ", " << passedOver << " skipped";
+    if (skipped > 0) {
+        std::cout << ", " << skipped << " skipped";
     }
     std::cout << std::endl;
     return failed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-CppUnit::Test *findTest(CppUnit::Test *test, std::string_view part)
+CppUnit::Test *findTest(CppUnit::Test *test, std::string_view substring)
 {
-    if (test->getName().find(part) != std::string::npos) {
+    if (test->getName().find(substring) != std::string::npos) {
         return test;
     }
     for (int i = 0; i < test->getChildTestCount(); ++i) {
-        if (auto *found = findTest(test->getChildTestAt(i), part)) {
+        if (auto *found = findTest(test->getChildTestAt(i), substring)) {
             return found;
         }
     }
