--- a/carawaylatch/base/error.cpp
+++ b/carawaylatch/base/error.cpp
@@ -1,4 +1,4 @@
-// Names of error kinds.
+// Names of the error kinds, in the order of the enum.
 #include "carawaylatch/base/error.h"
 
 #include <array>
--- a/carawaylatch/base/eventloop.cpp
+++ b/carawaylatch/base/eventloop.cpp
@@ -1,4 +1,5 @@
-// A queue, a condition variable and a thread that sleeps until the next deadline.
+// A task queue guarded by a mutex. The thread waits on a condition variable until a
+// task is posted or the next timer is due.
 #include "carawaylatch/base/eventloop.h"
 
 #include <time.h>
--- a/carawaylatch/base/eventloop.h
+++ b/carawaylatch/base/eventloop.h
@@ -1,9 +1,9 @@
-// A thread that runs what others post to it, and timers.
+// A thread that runs posted tasks and timers.
 //
-// Tasks run one at a time in order of posting; timers of the loop's timer
-// service run between them. The router has one such loop for all control state,
-// whose tasks never block, and others for calls that do: to the platform and to
-// upstreams. These post their results to the control loop.
+// Tasks run one at a time in the order of posting; due timers run between batches
+// of tasks. The router has one loop for all control state, whose tasks never
+// block, and further loops for blocking calls to the platform and to upstreams,
+// which post their results to the control loop.
 #pragma once
 
 #include <atomic>
@@ -32,16 +32,17 @@
     EventLoop &operator=(const EventLoop &) = delete;
 
     void start();
-    // Ends the thread after the task that runs now; later tasks are dropped.
+    // Stops the thread after the batch of tasks in progress and joins it. Queued tasks
+    // are dropped, and later calls of post() have no effect.
     void stop();
     // Runs a task on the loop's thread. Safe from any thread.
     void post(Task task);
-    // Posts a task and waits until it has run; false if the loop has stopped.
-    // Not to be called from the loop's thread.
+    // Posts a task and blocks until it has run. Returns false if the loop has
+    // stopped. Deadlocks if called from the loop's thread.
     bool runAndWait(const Task &task);
-    // For the loop's thread and before start().
+    // To be used only on the loop's thread, or before start().
     [[nodiscard]] TimerService &timers();
-    // Processor time that the loop's thread has used.
+    // CPU time used by the loop's thread since its start. Safe from any thread.
     [[nodiscard]] Duration cpuTime() const;
 
 private:
@@ -52,7 +53,7 @@
     static constexpr Duration MaxSleep = seconds{1};
 
     const Clock &m_clock;
-    TimerService m_timers; // the loop's thread
+    TimerService m_timers; // used on the loop's thread only
     std::mutex m_mutex;
     std::condition_variable m_posted;
     std::deque<Task> m_tasks; // guarded by m_mutex
--- a/carawaylatch/base/glogevents.cpp
+++ b/carawaylatch/base/glogevents.cpp
@@ -1,4 +1,5 @@
-// Log events through glog, for programs that log with it.
+// Writes log events through glog. Kept in a file of its own so that the gateway
+// program, which writes its log itself, does not link glog.
 #include <glog/logging.h>
 
 #include "carawaylatch/base/logevents.h"
--- a/carawaylatch/base/hash.cpp
+++ b/carawaylatch/base/hash.cpp
@@ -1,4 +1,4 @@
-// Stable hashes on xxHash and a splitmix64 generator.
+// Stable hash functions based on xxHash, and a splitmix64 generator.
 #include "carawaylatch/base/hash.h"
 
 #define XXH_INLINE_ALL
--- a/carawaylatch/base/ids.h
+++ b/carawaylatch/base/ids.h
@@ -1,4 +1,4 @@
-// Identifiers as distinct types, so that a customer is never passed for a pool.
+// Strongly typed identifiers, so that the compiler rejects a customer passed as a pool.
 #pragma once
 
 #include <compare>
@@ -11,7 +11,7 @@
 namespace carawaylatch::base
 {
 
-// A name of one kind. Tag only tells the kinds apart.
+// A string identifier. Tag makes each kind a distinct type.
 template <typename Tag>
 class TypedName
 {
@@ -52,7 +52,7 @@
 using RouterId = TypedName<struct RouterTag>;
 using UpstreamId = TypedName<struct UpstreamTag>;
 
-// A number of one kind; zero means "none yet" in every kind.
+// A numeric identifier. Tag makes each kind a distinct type; zero means "not set".
 template <typename Tag>
 struct TypedNumber
 {
@@ -68,17 +68,17 @@
     return out << number.value;
 }
 
-// One life of a process: changes at every start, never repeats.
+// Identifies one run of a process: changes at every start and is never reused.
 using Incarnation = TypedNumber<struct IncarnationTag>;
-// Order of accepted configurations; grows by one with every accepted edit.
+// Revision of the configuration; each accepted edit increments it by one.
 using Revision = TypedNumber<struct RevisionTag>;
 // Version of a model's weights.
 using WeightsVersion = TypedNumber<struct WeightsTag>;
-// One try of one request at one upstream; unique over all routers.
+// One attempt of a request at one upstream; unique across all routers.
 using AttemptId = TypedNumber<struct AttemptTag>;
-// Seed of a cache namespace, sent to engines as the cache salt.
+// Salt of a cache namespace; sent to the engines.
 using CacheSalt = TypedNumber<struct CacheSaltTag>;
-// Fencing number of a lease holder.
+// Fencing token of a lease holder; a receiver rejects tokens lower than the highest seen.
 using FencingToken = TypedNumber<struct FencingTag>;
 
 enum class TrafficClass {
@@ -86,7 +86,7 @@
     Batch,
 };
 
-// IP number and TCP port of a process.
+// IP address and TCP port.
 struct Endpoint
 {
     std::string address;
--- a/carawaylatch/base/incarnation.cpp
+++ b/carawaylatch/base/incarnation.cpp
@@ -1,6 +1,6 @@
-// Seconds of wall time in the upper half, so that a restarted process supersedes
-// its former life, and random bits below, so that a clock set back still gives a
-// number that was not used before.
+// The upper 32 bits hold the wall time in seconds, so that a restarted process
+// supersedes its former incarnation. The lower 32 bits are random, so that the
+// number is not reused if the clock was set back.
 #include "carawaylatch/base/incarnation.h"
 
 #include <chrono>
--- a/carawaylatch/base/incarnation.h
+++ b/carawaylatch/base/incarnation.h
@@ -1,4 +1,4 @@
-// Incarnations of processes.
+// Incarnation numbers, which distinguish a restarted process from its predecessor.
 #pragma once
 
 #include "carawaylatch/base/ids.h"
@@ -6,8 +6,8 @@
 namespace carawaylatch::base
 {
 
-// Returns a new incarnation: never zero, and greater than that of a process of
-// the same name started at least a second before, as the clock of the VM tells.
+// Returns a new, nonzero incarnation. It is greater than that of any process
+// started at least one second earlier by the wall clock of the VM.
 [[nodiscard]] Incarnation newIncarnation();
 
 } // namespace carawaylatch::base
--- a/carawaylatch/base/logevents.cpp
+++ b/carawaylatch/base/logevents.cpp
@@ -1,5 +1,5 @@
-// The event catalogue and the form of a line. Values with spaces or quotes are
-// quoted, so that a line splits into fields without guessing.
+// The event catalogue and the format of log lines. Values with spaces or quotes are
+// quoted, so that a line can be split into fields unambiguously.
 #include "carawaylatch/base/logevents.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 #undef CARAWAYLATCH_EVENT
 };
 
-// Every event is in the catalogue, as both come from one list.
+// Never fails: the enum and the catalogue are generated from the same list.
 const LogEventInfo &eventInfo(LogEvent event)
 {
     return *std::find_if(Catalogue.begin(), Catalogue.end(), [event](const LogEventInfo &info) {
--- a/carawaylatch/base/logevents.h
+++ b/carawaylatch/base/logevents.h
@@ -1,12 +1,12 @@
-// Numbered log events.
+// Structured logging: numbered events with named fields.
 //
-// Every line of the log is one event of the catalogue with named fields:
+// Each log line is one event of the catalogue:
 //
 //     logEvent(LogEvent::RouterReady, {{"revision", "17"}, {"upstreams", "9"}});
 //
 // prints `E1002 RouterReady revision=17 upstreams=9` at the event's level
 // through glog. The catalogue is logevents.def; docs/EVENTS.md is rendered from
-// it and a test holds the two against each other.
+// it, and a test compares the two.
 #pragma once
 
 #include <initializer_list>
@@ -45,18 +45,19 @@
     std::string value;
 };
 
-// Returns the catalogue, ordered by number.
+// Returns the catalogue, sorted by event number.
 [[nodiscard]] std::span<const LogEventInfo> logEventCatalogue();
 
 // Returns the catalogue as the Markdown page docs/EVENTS.md.
 [[nodiscard]] std::string renderLogEventCatalogue();
 
-// Returns an event's line without its end; `seconds` is a time stamp and may be empty.
+// Returns the log line of an event without a line break. `seconds` is a time stamp that
+// is written as t=SECONDS; empty for none.
 [[nodiscard]] std::string formatLogEvent(LogEvent event, std::initializer_list<LogField> fields, std::string_view seconds = {});
 
 [[nodiscard]] LogLevel logEventLevel(LogEvent event);
 
-// Writes one event to the log through glog. Safe for use from any thread.
+// Logs one event through glog. Safe from any thread.
 void logEvent(LogEvent event, std::initializer_list<LogField> fields);
 
 } // namespace carawaylatch::base
--- a/carawaylatch/base/snapshotpointer.h
+++ b/carawaylatch/base/snapshotpointer.h
@@ -1,9 +1,10 @@
-// A pointer to an immutable value that one thread replaces and others read.
+// A pointer to an immutable snapshot that one thread replaces and others read.
 //
-// A reader copies the pointer and then uses the value without any lock, for as
-// long as it likes. The copy itself is guarded by a mutex that is held for a few
-// instructions: std::atomic<std::shared_ptr> of libstdc++ 12 releases its internal
-// lock bit in load() without ordering, so that a store may overlap the copy.
+// A reader copies the shared pointer and then uses the snapshot without a lock,
+// for as long as it needs. The copy itself is guarded by a mutex, which is held
+// for a few instructions only. std::atomic<std::shared_ptr> is not used because
+// libstdc++ 12 releases its internal lock bit in load() with relaxed ordering, so
+// that a store may overlap the copy.
 #pragma once
 
 #include <memory>
@@ -33,7 +34,7 @@
             const std::lock_guard lock(m_mutex);
             m_value.swap(value);
         }
-        // The former value is released here, outside the lock.
+        // The previous value is released here, after the lock.
     }
 
 private:
--- a/carawaylatch/base/testing/logeventstest.cpp
+++ b/carawaylatch/base/testing/logeventstest.cpp
@@ -1,4 +1,4 @@
-// Holds the event catalogue against docs/EVENTS.md and its own rules.
+// Checks that event numbers increase and that docs/EVENTS.md matches the catalogue.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <fstream>
@@ -27,7 +27,7 @@
         }
     }
 
-    // After a change to the catalogue: carawaylatchctl events > docs/EVENTS.md
+    // To update the page after a change of the catalogue: carawaylatchctl events > docs/EVENTS.md
     void testPageMatchesCatalogue()
     {
         std::ifstream in(CARAWAYLATCH_SOURCE_DIR "/docs/EVENTS.md");
--- a/carawaylatch/base/testing/timerservicetest.cpp
+++ b/carawaylatch/base/testing/timerservicetest.cpp
@@ -1,4 +1,4 @@
-// Tests of the timer service: order, skipped periods, cancelling from a callback.
+// Tests of the timer service: firing order, skipped intervals, and cancellation from a callback.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <vector>
--- a/carawaylatch/base/time.cpp
+++ b/carawaylatch/base/time.cpp
@@ -1,4 +1,4 @@
-// Clocks and conversions between durations and plain numbers.
+// Clocks, and conversions between durations and numbers.
 #include "carawaylatch/base/time.h"
 
 #include <cstdio>
--- a/carawaylatch/base/time.h
+++ b/carawaylatch/base/time.h
@@ -1,9 +1,9 @@
-// Time as every part sees it.
+// Clocks, time points and durations.
 //
-// State machines read no clock: they take `now` as an argument. Only daemons,
-// transports and the control loop hold a Clock, and tests hold a ManualClock.
-// All times are monotonic; wall time appears in logs and in stored records
-// alone, never in a decision.
+// State machines read no clock; they take `now` as an argument. Only daemons,
+// transports and event loops use a Clock; tests use a ManualClock. All times are
+// monotonic. Wall time appears only in logs, stored records and incarnation
+// numbers; no timeout or other decision is based on it.
 #pragma once
 
 #include <chrono>
@@ -22,17 +22,17 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// Returns the whole milliseconds of a duration, rounded up, never negative.
+// Returns a duration in milliseconds, rounded up; zero for a negative duration.
 [[nodiscard]] std::int64_t toMilliseconds(Duration duration);
 
-// Returns a duration in seconds as a floating point number.
+// Returns a duration in seconds.
 [[nodiscard]] double toSeconds(Duration duration);
 
-// Returns the duration nearest to a count of seconds or milliseconds.
+// Return the duration of a number of seconds or milliseconds, truncated to nanoseconds.
 [[nodiscard]] Duration fromSeconds(double count);
 [[nodiscard]] Duration fromMilliseconds(double count);
 
-// Returns a duration as decimal text: seconds to a thousandth, milliseconds to a tenth.
+// Format a duration without a unit: seconds with three decimals, milliseconds with one.
 [[nodiscard]] std::string formatSeconds(Duration duration);
 [[nodiscard]] std::string formatMilliseconds(Duration duration);
 
@@ -44,14 +44,14 @@
     [[nodiscard]] virtual TimePoint now() const = 0;
 };
 
-// The machine's monotonic clock. Safe for use from any thread.
+// The system's monotonic clock. Safe from any thread.
 class SteadyClock : public Clock
 {
 public:
     [[nodiscard]] TimePoint now() const override;
 };
 
-// A clock that stands until it is moved, for tests and virtual time.
+// A clock that advances only when told to, for tests and simulations. Not thread-safe.
 class ManualClock : public Clock
 {
 public:
--- a/carawaylatch/base/timerservice.cpp
+++ b/carawaylatch/base/timerservice.cpp
@@ -1,5 +1,5 @@
-// Deadlines in a multimap: a router holds some tens of timers, so that the
-// logarithmic insert costs nothing beside the callbacks themselves.
+// Deadlines are kept in a multimap. A router has a few dozen timers, so the cost of
+// an insertion is negligible compared with the callbacks.
 #include "carawaylatch/base/timerservice.h"
 
 #include <algorithm>
--- a/carawaylatch/base/timerservice.h
+++ b/carawaylatch/base/timerservice.h
@@ -1,10 +1,10 @@
-// The timer service that parts subscribe to.
+// One-shot and periodic timers without a thread of their own.
 //
-// It holds deadlines, not threads: whoever owns it (the control loop, a test, a
-// bench in virtual time) calls advance() and asks nextDeadline() how long it may
-// sleep. Callbacks run on the caller's thread in order of deadline, then of
-// subscription. A periodic timer that fell behind fires once and skips what it
-// missed, so that a frozen process does not fire a burst when it resumes.
+// The owner (an event loop, a test or a simulation) calls advance() and sleeps
+// until nextDeadline(). Callbacks run on the thread that calls advance(), ordered
+// by deadline and then by subscription. A periodic timer that is overdue by several
+// intervals fires once and skips the others, so that a process that was suspended
+// does not fire a burst when it resumes. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
 public:
     using Callback = std::function<void(TimePoint now)>;
 
-    // Ends the subscription when it is destroyed. Must not outlive the service.
+    // Cancels the timer on destruction. Must not outlive the service.
     class Subscription
     {
     public:
@@ -41,27 +41,27 @@
         std::uint64_t m_id = 0;
     };
 
-    // Calls back every interval, first at now + interval.
+    // Starts a periodic timer that fires first at now + interval.
     [[nodiscard]] Subscription every(TimePoint now, Duration interval, Callback callback);
-    // Calls back once, at now + delay or as soon after as advance() is called.
+    // Starts a one-shot timer that fires at the first advance() at or after now + delay.
     [[nodiscard]] Subscription after(TimePoint now, Duration delay, Callback callback);
-    // Fires all that is due.
+    // Runs the callbacks of all timers that are due.
     void advance(TimePoint now);
-    // Returns the earliest deadline, or nothing without subscriptions.
+    // Returns the earliest deadline, or std::nullopt if no timer is pending.
     [[nodiscard]] std::optional<TimePoint> nextDeadline() const;
 
 private:
     struct Entry
     {
         std::uint64_t id = 0;
-        Duration interval{}; // zero for a timer that fires once
+        Duration interval{}; // zero for a one-shot timer
         std::shared_ptr<Callback> callback;
     };
 
     Subscription add(TimePoint deadline, Duration interval, Callback callback);
     void remove(std::uint64_t id);
 
-    // Ordered by deadline; entries of one deadline keep the order of insertion.
+    // Entries with equal deadlines stay in the order of insertion.
     std::multimap<TimePoint, Entry> m_entries;
     std::uint64_t m_lastId = 0;
 };
--- a/daemon/gateway/main.cpp
+++ b/daemon/gateway/main.cpp
@@ -1,10 +1,10 @@
-// carawaylatch-gateway: one router on the users' platform.
+// carawaylatch-gateway: runs one router on the platform.
 //
 //   carawaylatch-gateway [--settings FILE] [--check]
 //
-// Without --settings the file that CARAWAYLATCH_NODE_FILE names is read. Exits
-// with 0 after a planned stop, 2 for wrong flags or settings, 4 if an address
-// can't be bound.
+// Without --settings, the environment variable CARAWAYLATCH_NODE_FILE names the
+// file. Exit status: 0 after a graceful stop, 2 for invalid flags or settings, 4 if
+// the gateway can't start, such as when an address can't be bound.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -27,7 +27,7 @@
 
 constexpr int ExitUsage = 2;
 constexpr int ExitBindFailed = 4;
-constexpr std::size_t LogBufferBytes = 262'144; // several seconds of lines at a high load
+constexpr std::size_t LogBufferBytes = 262'144; // holds several seconds of log lines under high load
 
 std::string settingsPath()
 {
@@ -48,7 +48,7 @@
     }
     const std::string path = settingsPath();
     if (arguments.size() != 1 || path.empty()) {
-        std::cerr << "name the settings: carawaylatch-gateway --settings FILE\n";
+        std::cerr << "usage: carawaylatch-gateway --settings FILE\n";
         return ExitUsage;
     }
     auto settings = carawaylatch::gateway::loadGatewaySettings(path);
@@ -70,5 +70,5 @@
         return ExitBindFailed;
     }
     const int code = gateway.run();
-    std::_Exit(code); // connections under way need no teardown
+    std::_Exit(code); // skips the teardown of open connections
 }
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -1,10 +1,10 @@
-// carawaylatchd: reads flags and settings, runs one router, waits for a signal.
+// carawaylatchd: runs one router until it receives a signal.
 //
 //   carawaylatchd --settings FILE
 //
-// SIGTERM or SIGINT begins a planned stop that finishes every open stream; a
-// second signal cuts them. Exits with 0 after a stop, 2 for wrong flags or
-// settings, 4 if a port can't be bound.
+// SIGTERM or SIGINT starts a graceful drain that lets all open streams finish; a
+// second signal aborts them. Exit status: 0 after a stop, 2 for invalid flags or
+// settings, 4 if the router can't start, such as when a port can't be bound.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -95,7 +95,7 @@
     const auto arguments = absl::ParseCommandLine(argc, argv);
     const std::string path = absl::GetFlag(FLAGS_settings);
     if (arguments.size() != 1 || path.empty()) {
-        std::cerr << "name the settings: carawaylatchd --settings FILE\n";
+        std::cerr << "usage: carawaylatchd --settings FILE\n";
         return ExitUsage;
     }
     const auto settings = carawaylatch::config::loadSettings(path);
--- a/testing/explorer.h
+++ b/testing/explorer.h
@@ -1,12 +1,13 @@
-// Exhaustive exploration of a small world, breadth first, each state once.
+// Explicit-state model checker: explores all reachable states of a small model,
+// breadth first, and checks the invariants after every transition.
 //
-// A World is a copyable value with
+// A Model is a copyable state with
 //
-//     std::string key() const;                     // equal keys: equal futures
-//     std::vector<Choice<World>> choices() const;  // every next event
-//     std::string violation() const;               // empty if all invariants hold
+//     std::string key() const;                               // states with equal keys are equivalent
+//     std::vector<Transition<Model>> transitions() const;    // all enabled events
+//     std::string violation() const;                         // empty if all invariants hold
 //
-// The shortest path to a violated invariant is returned, as labels of events.
+// If an invariant is violated, the result names the shortest path to the violation.
 #pragma once
 
 #include <algorithm>
@@ -23,7 +24,7 @@
 namespace carawaylatch::testing
 {
 
-// 128 bits of a state's key; two states are taken for one if these agree.
+// 128-bit hash of a state's key; states with equal hashes are treated as equal.
 struct StateDigest
 {
     std::uint64_t low = 0;
@@ -55,9 +56,9 @@
 struct ExplorationResult
 {
     std::size_t states = 0;
-    std::size_t depth = 0; // events of the longest path
-    bool isComplete = false; // no state was left unexplored at maxDepth
-    std::string violation; // empty, or the invariant and the path to it
+    std::size_t depth = 0; // breadth-first levels explored
+    bool isComplete = false; // all reachable states were explored within maxDepth
+    std::string violation; // empty, or the violated invariant and the path to it
 };
 
 template <typename Model>
@@ -66,7 +67,7 @@
     struct VisitedState
     {
         StateDigest parent;
-        std::string label; // empty for the start
+        std::string label; // empty for the start state
     };
     std::unordered_map<StateDigest, VisitedState, StateDigestHash> visited;
     const auto pathTo = [&visited](StateDigest state) {
--- a/testing/seed.cpp
+++ b/testing/seed.cpp
@@ -1,4 +1,4 @@
-// Holds the test seed.
+// The current test seed.
 #include "testing/seed.h"
 
 namespace carawaylatch::testing
--- a/testing/seed.h
+++ b/testing/seed.h
@@ -1,4 +1,5 @@
-// The seed of generated test cases: fixed, printed by the runner, set with --seed.
+// Seed of the pseudorandom test cases. It is fixed by default, set with --seed and
+// printed by the test runner, so that a failure can be reproduced.
 #pragma once
 
 #include <cstdint>
--- a/testing/testmain.cpp
+++ b/testing/testmain.cpp
@@ -1,11 +1,11 @@
-// Runner of one module's CppUnit tests.
+// Runs the CppUnit tests of one module.
 //
 //   test-MODULE [--known-red FILE] [--only SUBSTRING] [--seed N]
 //
-// Failures listed in the known-red file (first word of an entry line) are
-// printed and passed over; any other failure fails the run. A listed test that
-// passes is printed too, so that its entry can go. An entry whose second word is
-// "apart" can end the process: it is left out here and printed as such.
+// A failure of a test that is listed in the known-red file (first word of a line that
+// starts an entry) is printed as KNOWN-RED and counted as skipped; any other failure
+// fails the run. A test whose entry has "apart" as its second word may terminate the
+// process, so it is not run but printed and counted as skipped.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/extensions/TestFactoryRegistry.h>
 #include <cppunit/Test.h>
@@ -32,7 +32,7 @@
 struct KnownRed
 {
     std::set<std::string> names;
-    std::set<std::string> separate; // of these, the ones that can end the process; check.sh runs them in one of their own
+    std::set<std::string> separate; // subset that may terminate the process; check.sh runs each in a separate process
 };
 
 KnownRed readKnownRed(const std::string &path)
@@ -56,7 +56,7 @@
     return known;
 }
 
-// Runs the tests below `test` without those of `apart`; returns how many were left out.
+// Runs the tests below `test` except those in `separate`; returns how many were skipped.
 int runExcluding(const std::set<std::string> &separate, CppUnit::Test &test, CppUnit::TestResult &result)
 {
     if (separate.contains(test.getName())) {
@@ -119,8 +119,8 @@
 
 int main(int argc, char **argv)
 {
-    // Log lines carry local time. With a zone set before any thread starts, the C
-    // library never replaces its zone while threads log.
+    // glog prints local time. Setting the time zone before any thread starts keeps the
+    // C library from modifying its time zone data while threads log.
     setenv("TZ", "UTC", 1);
     tzset();
     KnownRed knownRed;
@@ -137,7 +137,7 @@
         }
     }
     if (test == nullptr) {
-        std::cerr << "no test has that name; run without --only to see all names\n";
+        std::cerr << "no test name contains the text given with --only; run without --only to list all tests\n";
         return EXIT_FAILURE;
     }
     std::cout << "seed " << carawaylatch::testing::seed() << '\n';
--- a/testing/threadsafemanualclock.h
+++ b/testing/threadsafemanualclock.h
@@ -1,4 +1,4 @@
-// A clock that a test moves while other threads read it.
+// A manual clock that one thread of a test advances while other threads read it.
 #pragma once
 
 #include <atomic>
--- a/testing/virtualnetwork.h
+++ b/testing/virtualnetwork.h
@@ -1,8 +1,8 @@
-// A network in virtual time for tests and benches of state machines.
+// Discrete-event simulation of a network, for tests and benchmarks of state machines.
 //
-// Events run in order of time, then of scheduling. Messages are closures that
-// deliver themselves; they can be delayed, lost, doubled and cut between groups
-// of nodes. The same seed gives the same run.
+// Events run in the order of their time, then of their scheduling. A message is a
+// closure that runs on delivery. Messages can be delayed, lost, duplicated or
+// dropped by a partition between groups of nodes. Runs with the same seed are equal.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,8 @@
 
     struct Faults
     {
-        double loss = 0; // share of messages that are lost
-        double duplication = 0; // share of messages that arrive twice
+        double loss = 0; // fraction of messages that are lost
+        double duplication = 0; // fraction of messages that are delivered twice
         base::Duration minDelay = base::milliseconds{1};
         base::Duration maxDelay = base::milliseconds{2};
     };
@@ -48,7 +48,8 @@
     {
         m_faults = faults;
     }
-    // Cuts two groups off from each other, or heals the cut.
+    // Drops messages that are due between two groups, in both directions, until
+    // removePartitions() is called.
     void partition(std::uint32_t first, std::uint32_t second)
     {
         m_partitions.insert(std::minmax(first, second));
@@ -63,7 +64,7 @@
         m_events.push({time, ++m_lastSequence, std::move(event)});
     }
 
-    // Sends a message from a group to another.
+    // Sends a message from one group to another; `deliver` runs on delivery.
     void send(std::uint32_t from, std::uint32_t to, const Event &deliver)
     {
         ++m_messages;
