--- a/carawaylatch/base/testing/logeventstest.cpp
+++ b/carawaylatch/base/testing/logeventstest.cpp
@@ -12,12 +12,12 @@
 class LogEventsTest : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(LogEventsTest);
-    CPPUNIT_TEST(testNumbersGrow);
+    CPPUNIT_TEST(testNumbersIncrease);
     CPPUNIT_TEST(testPageMatchesCatalogue);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void testNumbersGrow()
+    void testNumbersIncrease()
     {
         int last = 0;
         for (const auto &it : logEventCatalogue()) {
--- a/daemon/gateway/main.cpp
+++ b/daemon/gateway/main.cpp
@@ -26,7 +26,7 @@
 {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitBindFailed = 4;
+constexpr int ExitCannotStart = 4;
 constexpr std::size_t LogBufferBytes = 262'144; // holds several seconds of log lines under high load
 
 std::string settingsPath()
@@ -67,7 +67,7 @@
     if (const auto started = gateway.start(); !started) {
         log.write(carawaylatch::base::LogEvent::GatewayCannotStart, {{"reason", started.error().message}});
         log.flush();
-        return ExitBindFailed;
+        return ExitCannotStart;
     }
     const int code = gateway.run();
     std::_Exit(code); // skips the teardown of open connections
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -26,7 +26,7 @@
 {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitBindFailed = 4;
+constexpr int ExitCannotStart = 4;
 
 using carawaylatch::config::Settings;
 
@@ -65,7 +65,7 @@
     if (const auto started = router.start(); !started) {
         carawaylatch::base::logEvent(carawaylatch::base::LogEvent::RouterCannotStart, {{"reason", started.error().message}});
         std::cerr << started.error().message << '\n';
-        return ExitBindFailed;
+        return ExitCannotStart;
     }
     const auto callers = router.callersEndpoint();
     const auto operators = router.operatorsEndpoint();
--- a/testing/testmain.cpp
+++ b/testing/testmain.cpp
@@ -46,10 +46,10 @@
         }
         std::istringstream words(line);
         std::string name;
-        std::string mark;
-        words >> name >> mark;
+        std::string modifier;
+        words >> name >> modifier;
         known.names.insert(name);
-        if (mark == "apart") {
+        if (modifier == "apart") {
             known.separate.insert(name);
         }
     }
