--- a/carawaylatch/base/error.h
+++ b/carawaylatch/base/error.h
@@ -28,8 +28,8 @@
     Unavailable, // the peer was not reached; the operation had no effect
     Unclear, // the outcome is unknown; the operation may have taken effect
     NotRun, // no upstream executed the call, and none will
-    StaleState, // the response or token belongs to an old incarnation, weights version or attempt
-    Truncated, // a stream or body ended before its end marker
+    StaleState, // out of date: from an old incarnation, revision, weights version, fencing token or attempt
+    Truncated, // a stream or body ended before it was complete
     Cancelled, // the caller disconnected or cancelled
     Internal, // a bug in this program
 };
--- a/carawaylatch/base/eventloop.h
+++ b/carawaylatch/base/eventloop.h
@@ -38,7 +38,7 @@
     // Runs a task on the loop's thread. Safe from any thread.
     void post(Task task);
     // Posts a task and blocks until it has run. Returns false if the loop has
-    // stopped. Deadlocks if called from the loop's thread.
+    // stopped. Must not be called from the loop's thread, where it would deadlock.
     bool runAndWait(const Task &task);
     // To be used only on the loop's thread, or before start().
     [[nodiscard]] TimerService &timers();
