--- a/bench/membership.cpp
+++ b/bench/membership.cpp
@@ -85,7 +85,7 @@
     {
         for (std::uint32_t it = 0; it < DomainCount; ++it) {
             if (it != domain) {
-                m_network.cut(domain, it);
+                m_network.partition(domain, it);
             }
         }
     }
@@ -225,7 +225,7 @@
     (void)fleet.takeBytes();
     fleet.network().runFor(PartitionDuration);
     const double partitionRate = rateOf(fleet.takeBytes(), size, base::toSeconds(PartitionDuration));
-    fleet.network().heal();
+    fleet.network().removePartitions();
     const double convergence = fleet.runUntilConverged();
     std::printf(" %.0f | %.1f | %.0f |\n", partitionRate, convergence, rateOf(fleet.takeBytes(), size, convergence));
     std::fflush(stdout);
--- a/bench/orderwrites.cpp
+++ b/bench/orderwrites.cpp
@@ -165,7 +165,7 @@
         }
         ++m_orders;
         submit(m_random.below(m_committers.size()), true);
-        schedule(m_now - std::log1p(-m_random.unit()) / m_load.ordersPerSecond, [this] {
+        schedule(m_now - std::log1p(-m_random.uniformReal()) / m_load.ordersPerSecond, [this] {
             onArrival();
         });
     }
--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -28,8 +28,8 @@
 #include "carawaylatch/proxy/placement.h"
 #include "carawaylatch/proxy/trafficplane.h"
 #include "carawaylatch/proxy/upstreamtracker.h"
-#include "platform/dialect.h"
-#include "platform/testing/standinserver.h"
+#include "platform/headerdialect.h"
+#include "platform/testing/scriptedserver.h"
 
 namespace
 {
@@ -67,9 +67,9 @@
 using platform::testing::chunk;
 using platform::testing::event;
 using platform::testing::LastChunk;
-using platform::testing::okAnswer;
-using platform::testing::ScriptedAnswer;
-using platform::testing::StandinServer;
+using platform::testing::okResponse;
+using platform::testing::ScriptedResponse;
+using platform::testing::ScriptedServer;
 using platform::testing::streamHead;
 
 class NullObserver : public proxy::TrafficObserver
@@ -87,7 +87,7 @@
 class TrafficPlaneFixture
 {
 public:
-    explicit TrafficPlaneFixture(const StandinServer::Script &script)
+    explicit TrafficPlaneFixture(const ScriptedServer::Script &script)
         : m_server(m_upstreamLoop, script)
         , m_log(::open("/dev/null", O_WRONLY | O_CLOEXEC), 1'000'000, m_clock)
     {
@@ -170,7 +170,7 @@
     base::SteadyClock m_clock;
     platform::HeaderDialect m_dialect;
     NullObserver m_observer;
-    StandinServer m_server;
+    ScriptedServer m_server;
     carawaylatch::telemetry::DecisionLog m_log;
     std::unique_ptr<proxy::TrafficPlane> m_plane;
     std::thread m_planeThread;
@@ -203,7 +203,7 @@
 void benchCall(benchmark::State &state)
 {
     TrafficPlaneFixture fixture([](const std::string &, const std::string &id) {
-        return ScriptedAnswer{{okAnswer(id, std::string(799, 'x') + '!')}};
+        return ScriptedResponse{{okResponse(id, std::string(799, 'x') + '!')}};
     });
     measureExchanges(state, fixture, callerRequest("/call/", "a1", {}, std::string(static_cast<std::size_t>(state.range(0)), 'b')), "!", 1);
 }
@@ -213,11 +213,11 @@
 {
     constexpr int Events = 50;
     TrafficPlaneFixture fixture([](const std::string &, const std::string &id) {
-        ScriptedAnswer response{{streamHead(id)}, base::microseconds{300}};
+        ScriptedResponse response{{streamHead(id)}, base::microseconds{300}};
         for (int i = 1; i <= Events; ++i) {
-            response.pieces.push_back(chunk(event(i)));
+            response.writes.push_back(chunk(event(i)));
         }
-        response.pieces.emplace_back(LastChunk);
+        response.writes.emplace_back(LastChunk);
         return response;
     });
     measureExchanges(state, fixture, callerRequest("/stream/", "a1"), "0\r\n\r\n", Events);
--- a/carawaylatch/config/head.h
+++ b/carawaylatch/config/head.h
@@ -29,7 +29,7 @@
 
 // Unique id of an edit, chosen before the first write, so that the result of a write
 // whose response was lost can be looked up.
-using EditId = base::Number<struct EditTag>;
+using EditId = base::TypedNumber<struct EditTag>;
 
 struct RowChange
 {
--- a/carawaylatch/config/tablefile.cpp
+++ b/carawaylatch/config/tablefile.cpp
@@ -61,10 +61,10 @@
 }
 
 template <typename Tag>
-Result<void> parseNameInto(base::Name<Tag> &member, std::string_view text)
+Result<void> parseNameInto(base::TypedName<Tag> &member, std::string_view text)
 {
     BOOST_OUTCOME_TRY(name, parseName(text));
-    member = base::Name<Tag>(name);
+    member = base::TypedName<Tag>(name);
     return ok();
 }
 
--- a/carawaylatch/router/operatorrequesthandler.cpp
+++ b/carawaylatch/router/operatorrequesthandler.cpp
@@ -51,7 +51,7 @@
 base::Result<void> OperatorRequestHandler::drain(const base::UpstreamId &upstream)
 {
     BOOST_OUTCOME_TRYV(checkUpstreamExists(upstream));
-    m_dependencies.loop.run([&](base::TimePoint now) {
+    m_dependencies.loop.runAndWait([&](base::TimePoint now) {
         m_dependencies.upstreams.onLeaving(upstream, upstreams::LeavingSource::Drain, now);
     });
     return base::ok();
@@ -60,7 +60,7 @@
 base::Result<void> OperatorRequestHandler::undrain(const base::UpstreamId &upstream)
 {
     BOOST_OUTCOME_TRYV(checkUpstreamExists(upstream));
-    m_dependencies.loop.run([&](base::TimePoint now) {
+    m_dependencies.loop.runAndWait([&](base::TimePoint now) {
         m_dependencies.upstreams.onUndrain(upstream, now);
     });
     return base::ok();
@@ -84,7 +84,7 @@
 void OperatorRequestHandler::sample(base::TimePoint now)
 {
     recordControlTraffic();
-    const base::Duration used = m_dependencies.loop.processorTime();
+    const base::Duration used = m_dependencies.loop.cpuTime();
     m_dependencies.metrics.setControlCost(used, telemetry::readProcessCost().residentBytes);
     const std::lock_guard lock(m_mutex);
     m_series.sample(now, m_dependencies.metrics.totals());
--- a/daemon/gateway/main.cpp
+++ b/daemon/gateway/main.cpp
@@ -1,10 +1,10 @@
-// carawaylatch-gateway: one router on the users' platform.
+// carawaylatch-gateway: runs one router on the platform.
 //
 //   carawaylatch-gateway [--settings FILE] [--check]
 //
-// Without --settings the file that CARAWAYLATCH_NODE_FILE names is read. Exits
-// with 0 after a planned stop, 2 for wrong flags or settings, 4 if an address
-// can't be bound.
+// Without --settings, the environment variable CARAWAYLATCH_NODE_FILE names the
+// file. Exit status: 0 after a graceful stop, 2 for invalid flags or settings, 4 if
+// the gateway can't start, such as when an address can't be bound.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -16,7 +16,7 @@
 #include <iostream>
 
 #include "carawaylatch/gateway/gateway.h"
-#include "platform/parts.h"
+#include "platform/gatewaycomponents.h"
 
 ABSL_FLAG(std::string, settings, "", "file of settings (INI); docs/SETTINGS-gateway.md lists all keys");
 ABSL_FLAG(bool, check, false, "check the settings and exit");
@@ -26,14 +26,14 @@
 {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitUnavailable = 4;
-constexpr std::size_t LogBufferBytes = 262'144; // several seconds of lines at a high load
+constexpr int ExitCannotStart = 4;
+constexpr std::size_t LogBufferBytes = 262'144; // holds several seconds of log lines under high load
 
 std::string settingsPath()
 {
-    const std::string given = absl::GetFlag(FLAGS_settings);
+    const std::string fromFlag = absl::GetFlag(FLAGS_settings);
     const char *fromEnvironment = std::getenv("CARAWAYLATCH_NODE_FILE");
-    return given.empty() && fromEnvironment != nullptr ? fromEnvironment : given;
+    return fromFlag.empty() && fromEnvironment != nullptr ? fromEnvironment : fromFlag;
 }
 
 } // namespace
@@ -41,14 +41,14 @@
 int main(int argc, char **argv)
 {
     absl::SetProgramUsageMessage("runs one router on the platform: carawaylatch-gateway [--settings FILE] [--check]");
-    const auto words = absl::ParseCommandLine(argc, argv);
+    const auto arguments = absl::ParseCommandLine(argc, argv);
     if (absl::GetFlag(FLAGS_settings_page)) {
         std::cout << carawaylatch::gateway::renderGatewaySettingsPage();
         return 0;
     }
     const std::string path = settingsPath();
-    if (words.size() != 1 || path.empty()) {
-        std::cerr << "name the settings: carawaylatch-gateway --settings FILE\n";
+    if (arguments.size() != 1 || path.empty()) {
+        std::cerr << "usage: carawaylatch-gateway --settings FILE\n";
         return ExitUsage;
     }
     auto settings = carawaylatch::gateway::loadGatewaySettings(path);
@@ -63,12 +63,12 @@
     signal(SIGPIPE, SIG_IGN);
     const carawaylatch::base::SteadyClock clock;
     carawaylatch::telemetry::DecisionLog log(STDOUT_FILENO, LogBufferBytes, clock);
-    carawaylatch::gateway::Gateway gateway(path, std::move(settings.value()), clock, log, platform::makeParts);
+    carawaylatch::gateway::Gateway gateway(path, std::move(settings.value()), clock, log, platform::makeGatewayComponents);
     if (const auto started = gateway.start(); !started) {
         log.write(carawaylatch::base::LogEvent::GatewayCannotStart, {{"reason", started.error().message}});
         log.flush();
-        return ExitUnavailable;
+        return ExitCannotStart;
     }
     const int code = gateway.run();
-    std::_Exit(code); // connections under way need no teardown
+    std::_Exit(code); // skips the teardown of open connections
 }
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -1,10 +1,10 @@
-// carawaylatchd: reads flags and settings, runs one router, waits for a signal.
+// carawaylatchd: runs one router until it receives a signal.
 //
 //   carawaylatchd --settings FILE
 //
-// SIGTERM or SIGINT begins a planned stop that finishes every open stream; a
-// second signal cuts them. Exits with 0 after a stop, 2 for wrong flags or
-// settings, 4 if a port can't be bound.
+// SIGTERM or SIGINT starts a graceful drain that lets all open streams finish; a
+// second signal aborts them. Exit status: 0 after a stop, 2 for invalid flags or
+// settings, 4 if the router can't start, such as when a port can't be bound.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -26,11 +26,11 @@
 {
 
 constexpr int ExitUsage = 2;
-constexpr int ExitUnreachable = 4;
+constexpr int ExitCannotStart = 4;
 
 using carawaylatch::config::Settings;
 
-void startLog(const Settings::Logs &logs, const char *program)
+void initializeLogging(const Settings::Logs &logs, const char *program)
 {
     FLAGS_logtostderr = logs.directory.empty();
     FLAGS_log_dir = logs.directory;
@@ -51,9 +51,9 @@
 
 void forwardSignals(carawaylatch::router::Router &router, const sigset_t &signals, const std::stop_token &stop)
 {
-    constexpr timespec LookInterval{0, 50'000'000};
+    constexpr timespec PollInterval{0, 50'000'000};
     while (!stop.stop_requested()) {
-        if (sigtimedwait(&signals, nullptr, &LookInterval) > 0) {
+        if (sigtimedwait(&signals, nullptr, &PollInterval) > 0) {
             router.requestStop();
         }
     }
@@ -65,17 +65,17 @@
     if (const auto started = router.start(); !started) {
         carawaylatch::base::logEvent(carawaylatch::base::LogEvent::RouterCannotStart, {{"reason", started.error().message}});
         std::cerr << started.error().message << '\n';
-        return ExitUnreachable;
+        return ExitCannotStart;
     }
     const auto callers = router.callersEndpoint();
     const auto operators = router.operatorsEndpoint();
     const auto peers = router.peersEndpoint();
     std::cout << "listening callers=" << callers.address << ':' << callers.port << " operators=" << operators.address << ':' << operators.port
               << " peers=" << peers.address << ':' << peers.port << std::endl;
-    const std::jthread listener([&router, signals](const std::stop_token &stop) {
+    const std::jthread signalThread([&router, signals](const std::stop_token &stop) {
         forwardSignals(router, signals, stop);
     });
-    if (router.waitUntilStopped() == carawaylatch::router::StopKind::Forced) {
+    if (router.waitUntilStopped() == carawaylatch::router::StopKind::Cut) {
         google::FlushLogFiles(google::INFO);
         std::_Exit(0);
     }
@@ -92,10 +92,10 @@
         return std::string("carawaylatchd 0.1.0\n");
     };
     absl::SetFlagsUsageConfig(usage);
-    const auto words = absl::ParseCommandLine(argc, argv);
+    const auto arguments = absl::ParseCommandLine(argc, argv);
     const std::string path = absl::GetFlag(FLAGS_settings);
-    if (words.size() != 1 || path.empty()) {
-        std::cerr << "name the settings: carawaylatchd --settings FILE\n";
+    if (arguments.size() != 1 || path.empty()) {
+        std::cerr << "usage: carawaylatchd --settings FILE\n";
         return ExitUsage;
     }
     const auto settings = carawaylatch::config::loadSettings(path);
@@ -109,6 +109,6 @@
     }
     const sigset_t signals = blockStopSignals();
     signal(SIGPIPE, SIG_IGN);
-    startLog(settings.value().logs, argv[0]);
+    initializeLogging(settings.value().logs, argv[0]);
     return serve(settings.value(), signals);
 }
--- a/testing/explorer.h
+++ b/testing/explorer.h
@@ -1,12 +1,13 @@
-// Exhaustive exploration of a small world, breadth first, each state once.
+// Explicit-state model checker: explores all reachable states of a small model,
+// breadth first, and checks the invariants after every transition.
 //
-// A World is a copyable value with
+// A Model is a copyable state with
 //
-//     std::string key() const;                     // equal keys: equal futures
-//     std::vector<Choice<World>> choices() const;  // every next event
-//     std::string violation() const;               // empty if all invariants hold
+//     std::string key() const;                               // states with equal keys are equivalent
+//     std::vector<Transition<Model>> transitions() const;    // all enabled events
+//     std::string violation() const;                         // empty if all invariants hold
 //
-// The shortest path to a violated invariant is returned, as labels of events.
+// If an invariant is violated, the result names the shortest path to the violation.
 #pragma once
 
 #include <algorithm>
@@ -23,7 +24,7 @@
 namespace carawaylatch::testing
 {
 
-// 128 bits of a state's key; two states are taken for one if these agree.
+// 128-bit hash of a state's key; states with equal hashes are treated as equal.
 struct StateDigest
 {
     std::uint64_t low = 0;
@@ -45,33 +46,33 @@
     }
 };
 
-template <typename World>
-struct Choice
+template <typename Model>
+struct Transition
 {
     std::string label;
-    World next;
+    Model next;
 };
 
-struct Exploration
+struct ExplorationResult
 {
     std::size_t states = 0;
-    std::size_t depth = 0; // events of the longest path
-    bool isComplete = false; // no state was left unexplored at maxDepth
-    std::string violation; // empty, or the invariant and the path to it
+    std::size_t depth = 0; // breadth-first levels explored
+    bool isComplete = false; // all reachable states were explored within maxDepth
+    std::string violation; // empty, or the violated invariant and the path to it
 };
 
-template <typename World>
-Exploration explore(const World &start, std::size_t maxDepth)
+template <typename Model>
+ExplorationResult explore(const Model &start, std::size_t maxDepth)
 {
-    struct Visit
+    struct VisitedState
     {
         StateDigest parent;
-        std::string label; // empty for the start
+        std::string label; // empty for the start state
     };
-    std::unordered_map<StateDigest, Visit, StateDigestHash> seen;
-    const auto pathTo = [&seen](StateDigest state) {
+    std::unordered_map<StateDigest, VisitedState, StateDigestHash> visited;
+    const auto pathTo = [&visited](StateDigest state) {
         std::vector<std::string_view> labels;
-        for (const Visit *it = &seen.at(state); !it->label.empty(); it = &seen.at(it->parent)) {
+        for (const VisitedState *it = &visited.at(state); !it->label.empty(); it = &visited.at(it->parent)) {
             labels.push_back(it->label);
         }
         std::reverse(labels.begin(), labels.end());
@@ -81,31 +82,31 @@
         }
         return path;
     };
-    Exploration result;
-    std::vector<World> frontier{start};
+    ExplorationResult result;
+    std::vector<Model> frontier{start};
     const StateDigest startDigest(start.key());
-    seen.try_emplace(startDigest, Visit{startDigest, {}});
+    visited.try_emplace(startDigest, VisitedState{startDigest, {}});
     while (!frontier.empty() && result.depth < maxDepth) {
-        std::vector<World> next;
-        for (const World &world : frontier) {
-            const StateDigest digest(world.key());
-            for (auto &choice : world.choices()) {
-                const StateDigest nextDigest(choice.next.key());
-                if (!seen.try_emplace(nextDigest, Visit{digest, choice.label}).second) {
+        std::vector<Model> next;
+        for (const Model &model : frontier) {
+            const StateDigest digest(model.key());
+            for (auto &transition : model.transitions()) {
+                const StateDigest nextDigest(transition.next.key());
+                if (!visited.try_emplace(nextDigest, VisitedState{digest, transition.label}).second) {
                     continue;
                 }
-                if (const std::string violation = choice.next.violation(); !violation.empty()) {
-                    result.states = seen.size();
+                if (const std::string violation = transition.next.violation(); !violation.empty()) {
+                    result.states = visited.size();
                     result.violation = violation + pathTo(nextDigest);
                     return result;
                 }
-                next.push_back(std::move(choice.next));
+                next.push_back(std::move(transition.next));
             }
         }
         frontier = std::move(next);
         ++result.depth;
     }
-    result.states = seen.size();
+    result.states = visited.size();
     result.isComplete = frontier.empty();
     return result;
 }
--- a/testing/testmain.cpp
+++ b/testing/testmain.cpp
@@ -1,11 +1,11 @@
-// Runner of one module's CppUnit tests.
+// Runs the CppUnit tests of one module.
 //
 //   test-MODULE [--known-red FILE] [--only SUBSTRING] [--seed N]
 //
-// Failures listed in the known-red file (first word of an entry line) are
-// printed and passed over; any other failure fails the run. A listed test that
-// passes is printed too, so that its entry can go. An entry whose second word is
-// "apart" can end the process: it is left out here and printed as such.
+// A failure of a test that is listed in the known-red file (first word of a line that
+// starts an entry) is printed as KNOWN-RED and counted as skipped; any other failure
+// fails the run. A test whose entry has "apart" as its second word may terminate the
+// process, so it is not run but printed and counted as skipped.
 #include <cppunit/BriefTestProgressListener.h>
 #include <cppunit/extensions/TestFactoryRegistry.h>
 #include <cppunit/Test.h>
@@ -32,7 +32,7 @@
 struct KnownRed
 {
     std::set<std::string> names;
-    std::set<std::string> apart; // of these, the ones that can end the process; check.sh runs them in one of their own
+    std::set<std::string> separate; // subset that may terminate the process; check.sh runs each in a separate process
 };
 
 KnownRed readKnownRed(const std::string &path)
@@ -46,20 +46,20 @@
         }
         std::istringstream words(line);
         std::string name;
-        std::string mark;
-        words >> name >> mark;
+        std::string modifier;
+        words >> name >> modifier;
         known.names.insert(name);
-        if (mark == "apart") {
-            known.apart.insert(name);
+        if (modifier == "apart") {
+            known.separate.insert(name);
         }
     }
     return known;
 }
 
-// Runs the tests below `test` without those of `apart`; returns how many were left out.
-int runWithout(const std::set<std::string> &apart, CppUnit::Test &test, CppUnit::TestResult &result)
+// Runs the tests below `test` except those in `separate`; returns how many were skipped.
+int runExcluding(const std::set<std::string> &separate, CppUnit::Test &test, CppUnit::TestResult &result)
 {
-    if (apart.contains(test.getName())) {
+    if (separate.contains(test.getName())) {
         std::cout << "KNOWN-RED " << test.getName() << ", run apart\n";
         return 1;
     }
@@ -67,11 +67,11 @@
         test.run(&result);
         return 0;
     }
-    int leftOut = 0;
+    int skipped = 0;
     for (int i = 0; i < test.getChildTestCount(); ++i) {
-        leftOut += runWithout(apart, *test.getChildTestAt(i), result);
+        skipped += runExcluding(separate, *test.getChildTestAt(i), result);
     }
-    return leftOut;
+    return skipped;
 }
 
 int runTests(CppUnit::Test *test, const KnownRed &knownRed)
@@ -81,7 +81,7 @@
     CppUnit::BriefTestProgressListener progress;
     result.addListener(&collector);
     result.addListener(&progress);
-    int passedOver = runWithout(knownRed.apart, *test, result);
+    int skipped = runExcluding(knownRed.separate, *test, result);
 
     CppUnit::TextOutputter(&collector, std::cerr).write();
     int failed = 0;
@@ -93,22 +93,22 @@
         std::cout << (isKnown ? "KNOWN-RED " : "FAILED ") << it->failedTestName() << '\n';
     }
     const int passed = collector.runTests() - failed - failedKnown;
-    passedOver += failedKnown;
+    skipped += failedKnown;
     std::cout << passed << " passed, " << failed << " failed";
-    if (passedOver > 0) {
-        std::cout << ", " << passedOver << " skipped";
+    if (skipped > 0) {
+        std::cout << ", " << skipped << " skipped";
     }
     std::cout << std::endl;
     return failed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-CppUnit::Test *findTest(CppUnit::Test *test, std::string_view part)
+CppUnit::Test *findTest(CppUnit::Test *test, std::string_view substring)
 {
-    if (test->getName().find(part) != std::string::npos) {
+    if (test->getName().find(substring) != std::string::npos) {
         return test;
     }
     for (int i = 0; i < test->getChildTestCount(); ++i) {
-        if (auto *found = findTest(test->getChildTestAt(i), part)) {
+        if (auto *found = findTest(test->getChildTestAt(i), substring)) {
             return found;
         }
     }
@@ -119,8 +119,8 @@
 
 int main(int argc, char **argv)
 {
-    // Log lines carry local time. With a zone set before any thread starts, the C
-    // library never replaces its zone while threads log.
+    // glog prints local time. Setting the time zone before any thread starts keeps the
+    // C library from modifying its time zone data while threads log.
     setenv("TZ", "UTC", 1);
     tzset();
     KnownRed knownRed;
@@ -137,7 +137,7 @@
         }
     }
     if (test == nullptr) {
-        std::cerr << "no test has that name; run without --only to see all names\n";
+        std::cerr << "no test name contains the text given with --only; run without --only to list all tests\n";
         return EXIT_FAILURE;
     }
     std::cout << "seed " << carawaylatch::testing::seed() << '\n';
--- a/testing/virtualnetwork.h
+++ b/testing/virtualnetwork.h
@@ -1,8 +1,8 @@
-// A network in virtual time for tests and benches of state machines.
+// Discrete-event simulation of a network, for tests and benchmarks of state machines.
 //
-// Events run in order of time, then of scheduling. Messages are closures that
-// deliver themselves; they can be delayed, lost, doubled and cut between groups
-// of nodes. The same seed gives the same run.
+// Events run in the order of their time, then of their scheduling. A message is a
+// closure that runs on delivery. Messages can be delayed, lost, duplicated or
+// dropped by a partition between groups of nodes. Runs with the same seed are equal.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,8 @@
 
     struct Faults
     {
-        double loss = 0; // share of messages that are lost
-        double doubled = 0; // share of messages that arrive twice
+        double loss = 0; // fraction of messages that are lost
+        double duplication = 0; // fraction of messages that are delivered twice
         base::Duration minDelay = base::milliseconds{1};
         base::Duration maxDelay = base::milliseconds{2};
     };
@@ -48,33 +48,34 @@
     {
         m_faults = faults;
     }
-    // Cuts two groups off from each other, or heals the cut.
-    void cut(std::uint32_t first, std::uint32_t second)
+    // Drops messages that are due between two groups, in both directions, until
+    // removePartitions() is called.
+    void partition(std::uint32_t first, std::uint32_t second)
     {
-        m_cuts.insert(std::minmax(first, second));
+        m_partitions.insert(std::minmax(first, second));
     }
-    void heal()
+    void removePartitions()
     {
-        m_cuts.clear();
+        m_partitions.clear();
     }
 
     void at(base::TimePoint time, Event event)
     {
-        m_events.push({time, ++m_scheduled, std::move(event)});
+        m_events.push({time, ++m_lastSequence, std::move(event)});
     }
 
-    // Sends a message from a group to another.
+    // Sends a message from one group to another; `deliver` runs on delivery.
     void send(std::uint32_t from, std::uint32_t to, const Event &deliver)
     {
         ++m_messages;
-        if (m_random.unit() < m_faults.loss) {
+        if (m_random.uniformReal() < m_faults.loss) {
             return;
         }
-        for (int copies = m_random.unit() < m_faults.doubled ? 2 : 1; copies > 0; --copies) {
+        for (int copies = m_random.uniformReal() < m_faults.duplication ? 2 : 1; copies > 0; --copies) {
             const auto spread = static_cast<std::uint64_t>((m_faults.maxDelay - m_faults.minDelay).count()) + 1;
             const auto delay = m_faults.minDelay + base::Duration{static_cast<std::int64_t>(m_random.below(spread))};
             at(m_now + delay, [this, from, to, deliver] {
-                if (!m_cuts.contains(std::minmax(from, to))) {
+                if (!m_partitions.contains(std::minmax(from, to))) {
                     deliver();
                 }
             });
@@ -97,23 +98,23 @@
     }
 
 private:
-    struct Scheduled
+    struct ScheduledEvent
     {
         base::TimePoint time;
-        std::uint64_t number = 0;
+        std::uint64_t sequence = 0;
         Event run;
 
-        bool operator<(const Scheduled &other) const
+        bool operator<(const ScheduledEvent &other) const
         {
-            return time != other.time ? time > other.time : number > other.number;
+            return time != other.time ? time > other.time : sequence > other.sequence;
         }
     };
 
     base::TimePoint m_now{base::hours{1}};
-    std::priority_queue<Scheduled> m_events;
-    std::uint64_t m_scheduled = 0;
+    std::priority_queue<ScheduledEvent> m_events;
+    std::uint64_t m_lastSequence = 0;
     std::uint64_t m_messages = 0;
-    std::set<std::pair<std::uint32_t, std::uint32_t>> m_cuts;
+    std::set<std::pair<std::uint32_t, std::uint32_t>> m_partitions;
     Faults m_faults;
     base::Random m_random;
 };
