--- a/bench/metricsbench.cpp
+++ b/bench/metricsbench.cpp
@@ -8,7 +8,7 @@
 
 #include "carawaylatch/config/tables.h"
 #include "carawaylatch/telemetry/metrics.h"
-#include "carawaylatch/telemetry/processcost.h"
+#include "carawaylatch/telemetry/processusage.h"
 
 namespace
 {
@@ -33,7 +33,7 @@
     for (const auto &it : customers) {
         tables.customers.push_back({.id = it, .keyDigest = {}});
     }
-    metrics.learnTables(tables);
+    metrics.registerTables(tables);
 }
 
 void fill(Metrics &metrics, const std::vector<CustomerId> &customers)
@@ -69,11 +69,11 @@
 void renderText(benchmark::State &state)
 {
     const auto customers = makeCustomers(state.range(0));
-    const auto before = carawaylatch::telemetry::readProcessCost().residentBytes;
+    const auto before = carawaylatch::telemetry::readProcessUsage().residentBytes;
     Metrics metrics;
     learn(metrics, customers);
     fill(metrics, customers);
-    const auto after = carawaylatch::telemetry::readProcessCost().residentBytes;
+    const auto after = carawaylatch::telemetry::readProcessUsage().residentBytes;
     std::size_t bytes = 0;
     for (auto _ : state) {
         bytes = metrics.renderText().size();
--- a/bench/proxybench.cpp
+++ b/bench/proxybench.cpp
@@ -171,7 +171,7 @@
     platform::HeaderDialect m_dialect;
     NoObserver m_observer;
     StandinServer m_server;
-    carawaylatch::telemetry::DecisionLog m_log;
+    carawaylatch::telemetry::EventLog m_log;
     std::unique_ptr<proxy::TrafficPlane> m_plane;
     std::thread m_planeThread;
     std::thread m_worldThread;
@@ -291,7 +291,7 @@
 void benchLogLine(benchmark::State &state)
 {
     const base::SteadyClock clock;
-    carawaylatch::telemetry::DecisionLog log(::open("/dev/null", O_WRONLY | O_CLOEXEC), 1'000'000, clock);
+    carawaylatch::telemetry::EventLog log(::open("/dev/null", O_WRONLY | O_CLOEXEC), 1'000'000, clock);
     constexpr int LinesForEachFlush = 10; // 50 ms at 200 requests a second
     int lines = 0;
     for (auto _ : state) {
--- a/carawaylatch/gateway/controlplane.cpp
+++ b/carawaylatch/gateway/controlplane.cpp
@@ -39,7 +39,7 @@
 } // namespace
 
 ControlPlane::ControlPlane(boost::asio::io_context &loop, const base::Clock &clock, const ControlSettings &settings, ObjectClientFactory &clients,
-                           EngineClient &engines, const FleetDecoder &decoder, telemetry::DecisionLog &log, TableAge &tableAge, Publish publish)
+                           EngineClient &engines, const FleetDecoder &decoder, telemetry::EventLog &log, TableAge &tableAge, Publish publish)
     : m_loop(loop)
     , m_clock(clock)
     , m_settings(settings)
--- a/carawaylatch/gateway/controlplane.h
+++ b/carawaylatch/gateway/controlplane.h
@@ -25,7 +25,7 @@
 #include "carawaylatch/gateway/objectclient.h"
 #include "carawaylatch/gateway/rollout.h"
 #include "carawaylatch/gateway/tableage.h"
-#include "carawaylatch/telemetry/decisionlog.h"
+#include "carawaylatch/telemetry/eventlog.h"
 
 namespace carawaylatch::gateway
 {
@@ -54,7 +54,7 @@
 
     // All references must outlive the ControlPlane.
     ControlPlane(boost::asio::io_context &loop, const base::Clock &clock, const ControlSettings &settings, ObjectClientFactory &clients, EngineClient &engines,
-                 const FleetDecoder &decoder, telemetry::DecisionLog &log, TableAge &tableAge, Publish publish);
+                 const FleetDecoder &decoder, telemetry::EventLog &log, TableAge &tableAge, Publish publish);
 
     void start();
     // Releases the lease, so that another router can acquire it at once, and sends no more
@@ -103,7 +103,7 @@
     const ControlSettings m_settings;
     ObjectClientFactory &m_clients;
     EngineClient &m_engines;
-    telemetry::DecisionLog &m_log;
+    telemetry::EventLog &m_log;
     TableAge &m_tableAge;
     Publish m_publish;
     FleetState m_state;
--- a/carawaylatch/gateway/fleetstate.cpp
+++ b/carawaylatch/gateway/fleetstate.cpp
@@ -69,7 +69,7 @@
     return endpoint ? std::optional(std::move(endpoint.value())) : std::nullopt;
 }
 
-FleetState::FleetState(const FleetDecoder &decoder, telemetry::DecisionLog &log)
+FleetState::FleetState(const FleetDecoder &decoder, telemetry::EventLog &log)
     : m_decoder(decoder)
     , m_log(log)
 {
--- a/carawaylatch/gateway/fleetstate.h
+++ b/carawaylatch/gateway/fleetstate.h
@@ -22,7 +22,7 @@
 #include "carawaylatch/gateway/decoder.h"
 #include "carawaylatch/gateway/objectclient.h"
 #include "carawaylatch/proxy/fleet.h"
-#include "carawaylatch/telemetry/decisionlog.h"
+#include "carawaylatch/telemetry/eventlog.h"
 
 namespace carawaylatch::gateway
 {
@@ -54,7 +54,7 @@
     // about this time.
     static constexpr base::Duration ExpiredEntryGrace = base::milliseconds{1700};
 
-    FleetState(const FleetDecoder &decoder, telemetry::DecisionLog &log);
+    FleetState(const FleetDecoder &decoder, telemetry::EventLog &log);
 
     // Takes all objects of a kind. wasStoreUnavailable: calls to the store failed shortly
     // before.
@@ -89,7 +89,7 @@
     [[nodiscard]] static bool isSame(const proxy::Upstream &left, const proxy::Upstream &right);
 
     const FleetDecoder &m_decoder;
-    telemetry::DecisionLog &m_log;
+    telemetry::EventLog &m_log;
     std::shared_ptr<const proxy::RouteTable> m_table;
     std::map<base::UpstreamId, proxy::Upstream> m_upstreams;
     std::map<base::UpstreamId, base::TimePoint> m_expired; // entries that disappeared, and until when their upstreams are used
--- a/carawaylatch/gateway/gateway.cpp
+++ b/carawaylatch/gateway/gateway.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-Gateway::Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log,
+Gateway::Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::EventLog &log,
                  const GatewayComponentsFactory &makeComponents)
     : m_settingsPath(std::move(settingsPath))
     , m_settings(std::move(settings))
--- a/carawaylatch/gateway/gateway.h
+++ b/carawaylatch/gateway/gateway.h
@@ -18,7 +18,7 @@
 #include "carawaylatch/gateway/gatewaysettings.h"
 #include "carawaylatch/gateway/tableage.h"
 #include "carawaylatch/proxy/trafficplane.h"
-#include "carawaylatch/telemetry/decisionlog.h"
+#include "carawaylatch/telemetry/eventlog.h"
 
 namespace carawaylatch::gateway
 {
@@ -36,7 +36,7 @@
 class Gateway : public proxy::TrafficObserver
 {
 public:
-    Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::DecisionLog &log,
+    Gateway(std::string settingsPath, GatewaySettings settings, const base::Clock &clock, telemetry::EventLog &log,
             const GatewayComponentsFactory &makeComponents);
     ~Gateway() override;
 
@@ -58,7 +58,7 @@
     const std::string m_settingsPath;
     GatewaySettings m_settings;
     const base::Clock &m_clock;
-    telemetry::DecisionLog &m_log;
+    telemetry::EventLog &m_log;
     TableAge m_tableAge;
     boost::asio::io_context m_controlLoop;
     boost::asio::io_context m_trafficLoop;
--- a/carawaylatch/gateway/testing/controlplanetest.cpp
+++ b/carawaylatch/gateway/testing/controlplanetest.cpp
@@ -93,7 +93,7 @@
 struct Router
 {
     Router(boost::asio::io_context &loop, const base::Clock &clock, FakeStore &store, FakeEngines &engines, const FleetDecoder &decoder,
-           telemetry::DecisionLog &log, const std::string &id)
+           telemetry::EventLog &log, const std::string &id)
         : clients(store)
         , plane(loop, clock, settings(id), clients, engines, decoder, log, age, [this](std::shared_ptr<const proxy::FleetView> view) {
             const std::uint64_t version = view->table ? view->table->version : 0;
@@ -131,7 +131,7 @@
 
 struct TestCluster
 {
-    TestCluster(boost::asio::io_context &loop, const base::Clock &clock, telemetry::DecisionLog &log)
+    TestCluster(boost::asio::io_context &loop, const base::Clock &clock, telemetry::EventLog &log)
         : store(loop)
         , engines(loop, clock)
         , m_loop(loop)
@@ -185,7 +185,7 @@
 private:
     boost::asio::io_context &m_loop;
     const base::Clock &m_clock;
-    telemetry::DecisionLog &m_log;
+    telemetry::EventLog &m_log;
     PlainTextDecoder m_decoder;
 };
 
--- a/carawaylatch/gateway/testing/fakes.h
+++ b/carawaylatch/gateway/testing/fakes.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "carawaylatch/gateway/decoder.h"
-#include "carawaylatch/telemetry/decisionlog.h"
+#include "carawaylatch/telemetry/eventlog.h"
 
 namespace carawaylatch::gateway::testing
 {
@@ -92,7 +92,7 @@
     int m_descriptor;
 
 public:
-    telemetry::DecisionLog log;
+    telemetry::EventLog log;
 };
 
 } // namespace carawaylatch::gateway::testing
--- a/carawaylatch/proxy/peerexchange.cpp
+++ b/carawaylatch/proxy/peerexchange.cpp
@@ -299,7 +299,7 @@
 };
 
 PeerExchange::PeerExchange(boost::asio::io_context &loop, const base::Clock &clock, base::Endpoint self, const std::string &id, LoadReportSource &source,
-                           telemetry::DecisionLog &log)
+                           telemetry::EventLog &log)
     : m_loop(loop)
     , m_clock(clock)
     , m_self(std::move(self))
--- a/carawaylatch/proxy/peerexchange.h
+++ b/carawaylatch/proxy/peerexchange.h
@@ -23,7 +23,7 @@
 #include "carawaylatch/base/time.h"
 #include "carawaylatch/proxy/loadreport.h"
 #include "carawaylatch/proxy/socket.h"
-#include "carawaylatch/telemetry/decisionlog.h"
+#include "carawaylatch/telemetry/eventlog.h"
 
 namespace carawaylatch::proxy
 {
@@ -54,7 +54,7 @@
     // All references must outlive the exchange. `self` is the endpoint to which other
     // routers connect, and `id` identifies this router in reports.
     PeerExchange(boost::asio::io_context &loop, const base::Clock &clock, base::Endpoint self, const std::string &id, LoadReportSource &source,
-                 telemetry::DecisionLog &log);
+                 telemetry::EventLog &log);
     ~PeerExchange();
     PeerExchange(const PeerExchange &) = delete;
     PeerExchange &operator=(const PeerExchange &) = delete;
@@ -83,7 +83,7 @@
     const base::Clock &m_clock;
     const base::Endpoint m_self;
     LoadReportSource &m_source;
-    telemetry::DecisionLog &m_log;
+    telemetry::EventLog &m_log;
     const std::uint64_t m_sender;
     const std::uint64_t m_incarnation;
     Tcp::acceptor m_acceptor;
--- a/carawaylatch/proxy/testing/peerexchangetest.cpp
+++ b/carawaylatch/proxy/testing/peerexchangetest.cpp
@@ -61,7 +61,7 @@
     boost::asio::io_context m_loop{1};
     base::SteadyClock m_clock;
     int m_null = -1;
-    std::unique_ptr<telemetry::DecisionLog> m_log;
+    std::unique_ptr<telemetry::EventLog> m_log;
     std::vector<std::unique_ptr<Source>> m_sources;
     std::vector<std::unique_ptr<PeerExchange>> m_exchanges;
     std::vector<base::Endpoint> m_routers;
@@ -117,7 +117,7 @@
     void setUp() override
     {
         m_null = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
-        m_log = std::make_unique<telemetry::DecisionLog>(m_null, 10'000, m_clock);
+        m_log = std::make_unique<telemetry::EventLog>(m_null, 10'000, m_clock);
         for (int i = 0; i < 3; ++i) {
             m_routers.push_back(freeEndpoint(m_loop));
         }
--- a/carawaylatch/proxy/trafficplane.cpp
+++ b/carawaylatch/proxy/trafficplane.cpp
@@ -26,7 +26,7 @@
 }
 
 // Appends a histogram in the Prometheus text format; the last bucket has no upper edge.
-void appendHistogram(std::string &out, std::string_view name, std::string_view kind, const telemetry::LatencyCounts &counts)
+void appendHistogram(std::string &out, std::string_view name, std::string_view kind, const telemetry::LatencyHistogram &counts)
 {
     constexpr std::size_t BucketStep = 4; // merges fine buckets, so that each exported edge is twice the previous one
     const std::string start = "carawaylatch_gateway_" + std::string(name);
@@ -59,7 +59,7 @@
 };
 
 TrafficPlane::TrafficPlane(boost::asio::io_context &loop, const base::Clock &clock, const TrafficSettings &settings, const Dialect &dialect,
-                           TrafficObserver &observer, telemetry::DecisionLog &log, std::function<base::Duration()> tableAge)
+                           TrafficObserver &observer, telemetry::EventLog &log, std::function<base::Duration()> tableAge)
     : m_loop(loop)
     , m_clock(clock)
     , m_settings(settings)
@@ -343,7 +343,7 @@
     return m_counts;
 }
 
-telemetry::DecisionLog &TrafficPlane::log()
+telemetry::EventLog &TrafficPlane::log()
 {
     return m_log;
 }
--- a/carawaylatch/proxy/trafficplane.h
+++ b/carawaylatch/proxy/trafficplane.h
@@ -32,8 +32,8 @@
 #include "carawaylatch/proxy/upstreamtracker.h"
 #include "carawaylatch/proxy/waitqueue.h"
 #include "carawaylatch/relay/retrybudget.h"
-#include "carawaylatch/telemetry/decisionlog.h"
-#include "carawaylatch/telemetry/latencycounts.h"
+#include "carawaylatch/telemetry/eventlog.h"
+#include "carawaylatch/telemetry/latencyhistogram.h"
 
 namespace carawaylatch::proxy
 {
@@ -69,8 +69,8 @@
     std::uint64_t reads = 0; // reads of response body bytes from upstreams
     std::uint64_t mismatchedResponses = 0;
     std::uint64_t resumed = 0;
-    std::array<telemetry::LatencyCounts, CallKindCount> firstByte{}; // latency of served requests, by CallKind
-    std::array<telemetry::LatencyCounts, CallKindCount> total{}; // latency of served requests, by CallKind
+    std::array<telemetry::LatencyHistogram, CallKindCount> firstByte{}; // latency of served requests, by CallKind
+    std::array<telemetry::LatencyHistogram, CallKindCount> total{}; // latency of served requests, by CallKind
 };
 
 // Receives observations of the traffic thread for the control thread.
@@ -90,7 +90,7 @@
     // All references must outlive the plane. `tableAge` returns the time since the
     // configuration was last confirmed, on a clock that includes time suspended.
     TrafficPlane(boost::asio::io_context &loop, const base::Clock &clock, const TrafficSettings &settings, const Dialect &dialect, TrafficObserver &observer,
-                 telemetry::DecisionLog &log, std::function<base::Duration()> tableAge);
+                 telemetry::EventLog &log, std::function<base::Duration()> tableAge);
     ~TrafficPlane() override;
 
     // Binds all addresses. Unavailable if one is in use.
@@ -121,7 +121,7 @@
     [[nodiscard]] std::shared_ptr<const FleetView> view() const;
     [[nodiscard]] UpstreamTracker &tracker();
     [[nodiscard]] TrafficCounts &counts();
-    [[nodiscard]] telemetry::DecisionLog &log();
+    [[nodiscard]] telemetry::EventLog &log();
     [[nodiscard]] TrafficObserver &observer();
     [[nodiscard]] base::Random &random();
     [[nodiscard]] ParserLimits parserLimits() const;
@@ -170,7 +170,7 @@
     TrafficSettings m_settings;
     const Dialect &m_dialect;
     TrafficObserver &m_observer;
-    telemetry::DecisionLog &m_log;
+    telemetry::EventLog &m_log;
     std::function<base::Duration()> m_tableAge;
     base::TimerService m_timers;
     boost::asio::steady_timer m_timer;
--- a/carawaylatch/router/operatordesk.cpp
+++ b/carawaylatch/router/operatordesk.cpp
@@ -2,7 +2,7 @@
 #include "carawaylatch/router/operatordesk.h"
 
 #include "carawaylatch/telemetry/dashboard.h"
-#include "carawaylatch/telemetry/processcost.h"
+#include "carawaylatch/telemetry/processusage.h"
 
 namespace carawaylatch::router
 {
@@ -70,21 +70,21 @@
     using telemetry::ControlChannel;
     auto &metrics = m_parts.metrics;
     const auto peers = m_parts.transport.counters();
-    metrics.advanceControl(ControlChannel::Peer, peers.sentMessages + peers.receivedMessages, peers.sentBytes + peers.receivedBytes);
+    metrics.raiseControlTo(ControlChannel::Peer, peers.sentMessages + peers.receivedMessages, peers.sentBytes + peers.receivedBytes);
     // Both enumerations name the same reasons in the same order.
     static_assert(static_cast<std::size_t>(telemetry::PeerRefusal::Replayed) == static_cast<std::size_t>(peer::PeerRefusal::Replayed));
     for (std::size_t i = 0; i < peers.refused.size(); ++i) {
-        metrics.advancePeerRefusals(static_cast<telemetry::PeerRefusal>(i), peers.refused.at(i));
+        metrics.raisePeerRefusalsTo(static_cast<telemetry::PeerRefusal>(i), peers.refused.at(i));
     }
     const auto calls = m_parts.objects.calls();
-    metrics.advanceControl(ControlChannel::Platform, calls.reads + calls.writes, 0);
+    metrics.raiseControlTo(ControlChannel::Platform, calls.reads + calls.writes, 0);
 }
 
 void OperatorDesk::sample(base::TimePoint now)
 {
     noteControlTraffic();
     const base::Duration used = m_parts.loop.processorTime();
-    m_parts.metrics.setControlCost(used, telemetry::readProcessCost().residentBytes);
+    m_parts.metrics.setResourceUsage(used, telemetry::readProcessUsage().residentBytes);
     const std::lock_guard lock(m_mutex);
     m_series.sample(now, m_parts.metrics.totals());
     if (now > m_sampledAt) {
--- a/carawaylatch/router/router.cpp
+++ b/carawaylatch/router/router.cpp
@@ -356,7 +356,7 @@
 
 void Router::Impl::applyTables(const std::shared_ptr<const config::Tables> &tables, base::TimePoint now)
 {
-    m_metrics.learnTables(*tables);
+    m_metrics.registerTables(*tables);
     m_metrics.setRevision(tables->revision);
     m_admissionController.configure(*tables, now);
     m_state.setTables(tables);
--- a/carawaylatch/router/statusbuilder.cpp
+++ b/carawaylatch/router/statusbuilder.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "carawaylatch/router/shownstate.h"
-#include "carawaylatch/telemetry/processcost.h"
+#include "carawaylatch/telemetry/processusage.h"
 
 namespace carawaylatch::router
 {
@@ -156,7 +156,7 @@
     }
     report.totals = sources.metrics.totals();
     report.controlCoreShare = sources.controlCoreShare;
-    report.residentBytes = telemetry::readProcessCost().residentBytes;
+    report.residentBytes = telemetry::readProcessUsage().residentBytes;
     return report;
 }
 
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -264,7 +264,7 @@
         metrics.countHedge();
     }
     for (std::uint32_t i = 0; i < report.staleAnswers; ++i) {
-        metrics.countStaleAnswer();
+        metrics.countStaleResponse();
     }
 }
 
--- a/carawaylatch/telemetry/decisionlog.cpp
+++ b/carawaylatch/telemetry/eventlog.cpp
@@ -1,6 +1,6 @@
 // A pipe that polls as writable takes PIPE_BUF bytes without blocking, so the
 // buffer is written in pieces of at most that size.
-#include "carawaylatch/telemetry/decisionlog.h"
+#include "carawaylatch/telemetry/eventlog.h"
 
 #include <poll.h>
 #include <unistd.h>
@@ -11,7 +11,7 @@
 namespace carawaylatch::telemetry
 {
 
-DecisionLog::DecisionLog(int descriptor, std::size_t maxBufferedBytes, const base::Clock &clock)
+EventLog::EventLog(int descriptor, std::size_t maxBufferedBytes, const base::Clock &clock)
     : m_descriptor(descriptor)
     , m_maxBufferedBytes(maxBufferedBytes)
     , m_clock(clock)
@@ -19,7 +19,7 @@
 {
 }
 
-void DecisionLog::write(base::LogEvent event, std::initializer_list<base::LogField> fields)
+void EventLog::write(base::LogEvent event, std::initializer_list<base::LogField> fields)
 {
     const std::string seconds = base::formatSeconds(m_clock.now() - m_start);
     const std::string line = base::formatLogEvent(event, fields, seconds) + '\n';
@@ -31,7 +31,7 @@
 }
 
 // The lock is held.
-void DecisionLog::append(const std::string &line)
+void EventLog::append(const std::string &line)
 {
     if (m_buffer.size() + line.size() > m_maxBufferedBytes) {
         ++m_dropped;
@@ -41,7 +41,7 @@
     m_reportedDropped = m_dropped;
 }
 
-void DecisionLog::flush()
+void EventLog::flush()
 {
     const std::lock_guard lock(m_mutex);
     std::size_t written = 0;
@@ -60,7 +60,7 @@
     m_buffer.erase(0, written);
 }
 
-std::uint64_t DecisionLog::dropped() const
+std::uint64_t EventLog::dropped() const
 {
     const std::lock_guard lock(m_mutex);
     return m_dropped;
--- a/carawaylatch/telemetry/decisionlog.h
+++ b/carawaylatch/telemetry/eventlog.h
@@ -18,11 +18,11 @@
 namespace carawaylatch::telemetry
 {
 
-class DecisionLog
+class EventLog
 {
 public:
     // `descriptor` stays open for the log's life. `clock` outlives the log.
-    DecisionLog(int descriptor, std::size_t maxBufferedBytes, const base::Clock &clock);
+    EventLog(int descriptor, std::size_t maxBufferedBytes, const base::Clock &clock);
 
     // Safe from any thread.
     void write(base::LogEvent event, std::initializer_list<base::LogField> fields);
--- a/carawaylatch/telemetry/latencycounts.cpp
+++ b/carawaylatch/telemetry/latencyhistogram.cpp
@@ -5,7 +5,7 @@
 // alike. The edges are a table made once; finding a bucket is a binary search
 // over it. Counts only grow, so that the difference of two copies is the count
 // of the time between them and no window needs a lock or a reset.
-#include "carawaylatch/telemetry/latencycounts.h"
+#include "carawaylatch/telemetry/latencyhistogram.h"
 
 #include <algorithm>
 #include <cmath>
@@ -52,7 +52,7 @@
     return edges().at(std::min(bucket, LatencyBucketCount - 1));
 }
 
-std::uint64_t LatencyCounts::total() const
+std::uint64_t LatencyHistogram::total() const
 {
     std::uint64_t sum = 0;
     for (const auto it : counts) {
@@ -61,7 +61,7 @@
     return sum;
 }
 
-base::Duration LatencyCounts::quantile(double share) const
+base::Duration LatencyHistogram::quantile(double share) const
 {
     const auto all = total();
     if (all == 0) {
@@ -78,23 +78,23 @@
     return latencyBucketEdge(LatencyBucketCount - 1);
 }
 
-LatencyCounts LatencyCounts::since(const LatencyCounts &earlier) const
+LatencyHistogram LatencyHistogram::since(const LatencyHistogram &earlier) const
 {
-    LatencyCounts difference;
+    LatencyHistogram difference;
     for (std::size_t i = 0; i < counts.size(); ++i) {
         difference.counts.at(i) = counts.at(i) - std::min(counts.at(i), earlier.counts.at(i));
     }
     return difference;
 }
 
-void LatencyCounter::add(base::Duration duration)
+void LatencyRecorder::add(base::Duration duration)
 {
     m_counts.at(latencyBucket(duration)).fetch_add(1, std::memory_order_relaxed);
 }
 
-LatencyCounts LatencyCounter::counts() const
+LatencyHistogram LatencyRecorder::counts() const
 {
-    LatencyCounts copy;
+    LatencyHistogram copy;
     for (std::size_t i = 0; i < m_counts.size(); ++i) {
         copy.counts.at(i) = m_counts.at(i).load(std::memory_order_relaxed);
     }
--- a/carawaylatch/telemetry/latencycounts.h
+++ b/carawaylatch/telemetry/latencyhistogram.h
@@ -26,7 +26,7 @@
 // Returns the upper edge of a bucket.
 [[nodiscard]] base::Duration latencyBucketEdge(std::size_t bucket);
 
-struct LatencyCounts
+struct LatencyHistogram
 {
     std::array<std::uint64_t, LatencyBucketCount> counts{};
 
@@ -35,15 +35,15 @@
     // the upper edge of its bucket; zero without any. Share is in (0, 1].
     [[nodiscard]] base::Duration quantile(double share) const;
     // Returns what was counted after `earlier`, a former copy of the same counts.
-    [[nodiscard]] LatencyCounts since(const LatencyCounts &earlier) const;
+    [[nodiscard]] LatencyHistogram since(const LatencyHistogram &earlier) const;
 };
 
 // The shared form: any thread adds, any thread takes a copy.
-class LatencyCounter
+class LatencyRecorder
 {
 public:
     void add(base::Duration duration);
-    [[nodiscard]] LatencyCounts counts() const;
+    [[nodiscard]] LatencyHistogram counts() const;
 
 private:
     std::array<std::atomic<std::uint64_t>, LatencyBucketCount> m_counts{};
--- a/carawaylatch/telemetry/metrics.cpp
+++ b/carawaylatch/telemetry/metrics.cpp
@@ -241,7 +241,7 @@
     prometheus::Counter &retries;
     prometheus::Counter &hedges;
     prometheus::Counter &wastedTokens;
-    prometheus::Counter &staleAnswers;
+    prometheus::Counter &staleResponses;
     prometheus::Gauge &controlSeconds;
     prometheus::Gauge &residentBytes;
     prometheus::Gauge &revision;
@@ -255,9 +255,9 @@
     std::mutex upstreamMutex; // guards upstreamGauges
     std::map<std::string, prometheus::Gauge *, std::less<>> upstreamGauges;
 
-    LatencyCounter firstTokenInteractive;
-    LatencyCounter firstTokenBatch;
-    LatencyCounter tokenGap;
+    LatencyRecorder firstTokenInteractive;
+    LatencyRecorder firstTokenBatch;
+    LatencyRecorder tokenGap;
     std::array<std::atomic<std::uint64_t>, OutcomeCount> requestsByOutcome{};
     std::atomic<std::uint64_t> promptTokens{0};
     std::atomic<std::uint64_t> cachedTokens{0};
@@ -304,7 +304,7 @@
     , retries(counterFamily(registry, "carawaylatch_retries_total", "Attempts after a failed one.").Add({}))
     , hedges(counterFamily(registry, "carawaylatch_hedges_total", "Second attempts sent beside a slow one.").Add({}))
     , wastedTokens(counterFamily(registry, "carawaylatch_wasted_tokens_total", "Prompt tokens computed again although a live upstream held them.").Add({}))
-    , staleAnswers(counterFamily(registry, "carawaylatch_stale_answers_total", "Answers discarded since their echo did not match.").Add({}))
+    , staleResponses(counterFamily(registry, "carawaylatch_stale_answers_total", "Answers discarded since their echo did not match.").Add({}))
     , controlSeconds(gaugeFamily(registry, "carawaylatch_control_cpu_seconds", "Processor time of the control thread since the start.").Add({}))
     , residentBytes(gaugeFamily(registry, "carawaylatch_resident_bytes", "Memory that the process holds.").Add({}))
     , revision(gaugeFamily(registry, "carawaylatch_config_revision", "Configuration revision in force.").Add({}))
@@ -336,7 +336,7 @@
 
 Metrics::~Metrics() = default;
 
-void Metrics::learnTables(const config::Tables &tables)
+void Metrics::registerTables(const config::Tables &tables)
 {
     const std::lock_guard lock(m_d->admitMutex);
     for (const auto &it : tables.customers) {
@@ -413,9 +413,9 @@
     m_d->wastedTokens.Increment(static_cast<double>(tokens));
 }
 
-void Metrics::countStaleAnswer()
+void Metrics::countStaleResponse()
 {
-    m_d->staleAnswers.Increment();
+    m_d->staleResponses.Increment();
 }
 
 void Metrics::countPeerRefusal(PeerRefusal reason, std::uint64_t bytes)
@@ -430,18 +430,18 @@
     m_d->controlBytes.at(static_cast<std::size_t>(channel))->Increment(static_cast<double>(bytes));
 }
 
-void Metrics::advancePeerRefusals(PeerRefusal reason, std::uint64_t messages)
+void Metrics::raisePeerRefusalsTo(PeerRefusal reason, std::uint64_t messages)
 {
     advance(*m_d->peerRefusals.at(static_cast<std::size_t>(reason)), messages);
 }
 
-void Metrics::advanceControl(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes)
+void Metrics::raiseControlTo(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes)
 {
     advance(*m_d->controlMessages.at(static_cast<std::size_t>(channel)), messages);
     advance(*m_d->controlBytes.at(static_cast<std::size_t>(channel)), bytes);
 }
 
-void Metrics::setControlCost(base::Duration processorTime, std::uint64_t residentBytes)
+void Metrics::setResourceUsage(base::Duration processorTime, std::uint64_t residentBytes)
 {
     m_d->controlSeconds.Set(base::toSeconds(processorTime));
     m_d->residentBytes.Set(static_cast<double>(residentBytes));
@@ -513,7 +513,7 @@
     totals.wastedTokens = whole(m_d->wastedTokens);
     totals.retries = whole(m_d->retries);
     totals.hedges = whole(m_d->hedges);
-    totals.staleAnswers = whole(m_d->staleAnswers);
+    totals.staleResponses = whole(m_d->staleResponses);
     totals.ordersDone = order(OrderOutcome::Done);
     totals.ordersNotRun = order(OrderOutcome::NotRun);
     totals.ordersUnknown = order(OrderOutcome::Unknown);
--- a/carawaylatch/telemetry/metrics.h
+++ b/carawaylatch/telemetry/metrics.h
@@ -5,7 +5,7 @@
 // in the Prometheus text format.
 //
 //     Metrics metrics;
-//     metrics.learnTables(tables);    // with each configuration in force
+//     metrics.registerTables(tables);    // with each configuration in force
 //     metrics.recordFirstToken(customer, TrafficClass::Interactive, wait);
 //     answer.body = metrics.renderText();
 //
@@ -28,7 +28,7 @@
 #include "carawaylatch/base/error.h"
 #include "carawaylatch/base/ids.h"
 #include "carawaylatch/base/time.h"
-#include "carawaylatch/telemetry/latencycounts.h"
+#include "carawaylatch/telemetry/latencyhistogram.h"
 
 namespace carawaylatch::config
 {
@@ -107,16 +107,16 @@
     std::uint64_t deliveredTokens = 0;
     std::uint64_t retries = 0;
     std::uint64_t hedges = 0;
-    std::uint64_t staleAnswers = 0;
+    std::uint64_t staleResponses = 0;
     std::uint64_t ordersDone = 0;
     std::uint64_t ordersNotRun = 0;
     std::uint64_t ordersUnknown = 0;
     std::uint64_t controlMessages = 0;
     std::uint64_t controlBytes = 0;
     std::int64_t openStreams = 0;
-    LatencyCounts firstTokenInteractive;
-    LatencyCounts firstTokenBatch;
-    LatencyCounts tokenGap;
+    LatencyHistogram firstTokenInteractive;
+    LatencyHistogram firstTokenBatch;
+    LatencyHistogram tokenGap;
 };
 
 class Metrics
@@ -130,7 +130,7 @@
     // Admits the names of a configuration to series of their own, in the order
     // of its rows and up to the bounds. Names stay admitted when a later
     // configuration drops them, since Prometheus series must not jump back.
-    void learnTables(const config::Tables &tables);
+    void registerTables(const config::Tables &tables);
 
     // Histograms for each customer and class. Safe for use from any thread.
     void recordFirstToken(const base::CustomerId &customer, base::TrafficClass trafficClass, base::Duration wait);
@@ -148,18 +148,18 @@
     // Adds prompt tokens that were computed again although a live upstream held them.
     void countWastedTokens(std::uint64_t tokens);
     // Counts an answer of another attempt, incarnation, weights version or salt.
-    void countStaleAnswer();
+    void countStaleResponse();
     void countPeerRefusal(PeerRefusal reason, std::uint64_t bytes);
     // Adds control messages and their bytes, sent or received.
     void countControl(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes);
 
     // Bring counters up to totals that a transport counts itself; a smaller total changes nothing.
-    void advancePeerRefusals(PeerRefusal reason, std::uint64_t messages);
-    void advanceControl(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes);
+    void raisePeerRefusalsTo(PeerRefusal reason, std::uint64_t messages);
+    void raiseControlTo(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes);
 
     // Gauges. Safe for use from any thread.
     // Sets the processor time spent on control since the start and the memory that the process holds.
-    void setControlCost(base::Duration processorTime, std::uint64_t residentBytes);
+    void setResourceUsage(base::Duration processorTime, std::uint64_t residentBytes);
     void setUpstreamState(const base::UpstreamId &upstream, UpstreamState state);
     void removeUpstream(const base::UpstreamId &upstream);
     void setRevision(base::Revision revision);
--- a/carawaylatch/telemetry/processcost.cpp
+++ b/carawaylatch/telemetry/processusage.cpp
@@ -2,7 +2,7 @@
 //
 // The control plane's share of a core is the control thread's processor time,
 // read on that thread. Resident memory is the second field of statm, in pages.
-#include "carawaylatch/telemetry/processcost.h"
+#include "carawaylatch/telemetry/processusage.h"
 
 #include <ctime>
 #include <fstream>
@@ -22,9 +22,9 @@
 
 } // namespace
 
-ProcessCost readProcessCost()
+ProcessUsage readProcessUsage()
 {
-    ProcessCost cost;
+    ProcessUsage cost;
     rusage usage{};
     if (getrusage(RUSAGE_SELF, &usage) == 0) {
         cost.processorTime = fromTimeval(usage.ru_utime) + fromTimeval(usage.ru_stime);
--- a/carawaylatch/telemetry/statusreport.cpp
+++ b/carawaylatch/telemetry/statusreport.cpp
@@ -95,7 +95,7 @@
             {"concurrency_share", customer.concurrencyShare}};
 }
 
-ordered_json latencyJson(const LatencyCounts &counts)
+ordered_json latencyJson(const LatencyHistogram &counts)
 {
     return {{"count", counts.total()},
             {"p50_ms", base::toMilliseconds(counts.quantile(0.5))},
@@ -117,7 +117,7 @@
             {"delivered_tokens", totals.deliveredTokens},
             {"retries", totals.retries},
             {"hedges", totals.hedges},
-            {"stale_answers", totals.staleAnswers},
+            {"stale_answers", totals.staleResponses},
             {"orders_done", totals.ordersDone},
             {"orders_not_run", totals.ordersNotRun},
             {"orders_unknown", totals.ordersUnknown},
--- a/carawaylatch/telemetry/testing/dashboardtest.cpp
+++ b/carawaylatch/telemetry/testing/dashboardtest.cpp
@@ -56,7 +56,7 @@
 {
     CPPUNIT_TEST_SUITE(DashboardTest);
     CPPUNIT_TEST(testPageEscapesEveryName);
-    CPPUNIT_TEST(testPageHoldsNoScriptAndLoadsNothing);
+    CPPUNIT_TEST(testPageHasNoScriptAndNoExternalResource);
     CPPUNIT_TEST(testStatusJson);
     CPPUNIT_TEST(testExplainJson);
     CPPUNIT_TEST(testSeriesIsBounded);
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(contains(page, "&lt;script&gt;alert(&quot;x&quot;)&lt;/script&gt;&amp;&#39;&quot;"));
     }
 
-    void testPageHoldsNoScriptAndLoadsNothing()
+    void testPageHasNoScriptAndNoExternalResource()
     {
         DashboardSeries series;
         series.sample(base::TimePoint{base::seconds{10}}, totalsAfter(1));
--- a/carawaylatch/telemetry/testing/metricstest.cpp
+++ b/carawaylatch/telemetry/testing/metricstest.cpp
@@ -57,7 +57,7 @@
     void testCardinalityIsBounded()
     {
         Metrics metrics({.maxCustomers = 3, .maxRoutes = 1, .maxUpstreams = 2});
-        metrics.learnTables(tablesOf({"a", "b", "c", "d", "e"}));
+        metrics.registerTables(tablesOf({"a", "b", "c", "d", "e"}));
         for (const auto *name : {"a", "b", "c", "d", "e", "never-configured"}) {
             metrics.recordQueueWait(CustomerId(name), TrafficClass::Batch, base::milliseconds{3});
             metrics.countRequest(base::RouteName(name), RequestOutcome::Completed);
@@ -73,8 +73,8 @@
     void testAdmittedNamesStayAdmitted()
     {
         Metrics metrics({.maxCustomers = 2});
-        metrics.learnTables(tablesOf({"a"}));
-        metrics.learnTables(tablesOf({"b", "c"}));
+        metrics.registerTables(tablesOf({"a"}));
+        metrics.registerTables(tablesOf({"b", "c"}));
         for (const auto *name : {"a", "b", "c"}) {
             metrics.recordPrompt(CustomerId(name), TrafficClass::Interactive, 100, 40);
         }
@@ -87,7 +87,7 @@
     void testLabelsAreEscaped()
     {
         Metrics metrics;
-        metrics.learnTables(tablesOf({"wood \"chips\"\\\nDakar"}));
+        metrics.registerTables(tablesOf({"wood \"chips\"\\\nDakar"}));
         metrics.recordFirstToken(CustomerId("wood \"chips\"\\\nDakar"), TrafficClass::Interactive, base::milliseconds{80});
         CPPUNIT_ASSERT(metrics.renderText().find(R"(customer="wood \"chips\"\\\nDakar")") != std::string::npos);
     }
@@ -103,9 +103,9 @@
         metrics.countWastedTokens(12);
         metrics.countControl(ControlChannel::Peer, 2, 300);
         metrics.countControl(ControlChannel::Platform, 1, 50);
-        metrics.advanceControl(ControlChannel::Peer, 2, 300);
-        metrics.advancePeerRefusals(PeerRefusal::Replayed, 5);
-        metrics.advancePeerRefusals(PeerRefusal::Replayed, 4);
+        metrics.raiseControlTo(ControlChannel::Peer, 2, 300);
+        metrics.raisePeerRefusalsTo(PeerRefusal::Replayed, 5);
+        metrics.raisePeerRefusalsTo(PeerRefusal::Replayed, 4);
         metrics.streamOpened();
         const auto totals = metrics.totals();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, totals.requests);
@@ -132,7 +132,7 @@
                 for (std::uint64_t n = 0; n < Records; ++n) {
                     metrics.recordTokenGap(CustomerId(std::to_string(n % 7)), TrafficClass::Batch, base::milliseconds{20});
                     if (n % 50 == 0) {
-                        metrics.learnTables(tablesOf({std::to_string(i), std::to_string(n % 7)}));
+                        metrics.registerTables(tablesOf({std::to_string(i), std::to_string(n % 7)}));
                     }
                 }
             });
@@ -147,7 +147,7 @@
     {
         base::Random random(carawaylatch::testing::seed());
         for (int round = 0; round < 50; ++round) {
-            LatencyCounter counter;
+            LatencyRecorder counter;
             std::vector<base::Duration> values;
             const auto n = 1 + random.below(200);
             for (std::uint64_t i = 0; i < n; ++i) {
--- a/cmake/gateway.cmake
+++ b/cmake/gateway.cmake
@@ -7,6 +7,6 @@
     carawaylatch/base/time.cpp carawaylatch/base/timerservice.cpp
     carawaylatch/config/inidocument.cpp carawaylatch/config/valuetext.cpp
     carawaylatch/fleet/lease.cpp carawaylatch/fleet/weightscontroller.cpp
-    carawaylatch/peer/http2session.cpp carawaylatch/relay/retrybudget.cpp carawaylatch/telemetry/decisionlog.cpp carawaylatch/telemetry/latencycounts.cpp)
+    carawaylatch/peer/http2session.cpp carawaylatch/relay/retrybudget.cpp carawaylatch/telemetry/eventlog.cpp carawaylatch/telemetry/latencyhistogram.cpp)
 target_include_directories(carawaylatch-gateway PRIVATE ${CMAKE_SOURCE_DIR})
 target_link_libraries(carawaylatch-gateway PRIVATE Threads::Threads PkgConfig::INIH PkgConfig::NGHTTP2 absl::flags absl::flags_parse absl::flags_usage)
--- a/daemon/gateway/main.cpp
+++ b/daemon/gateway/main.cpp
@@ -62,7 +62,7 @@
     }
     signal(SIGPIPE, SIG_IGN);
     const carawaylatch::base::SteadyClock clock;
-    carawaylatch::telemetry::DecisionLog log(STDOUT_FILENO, LogBufferBytes, clock);
+    carawaylatch::telemetry::EventLog log(STDOUT_FILENO, LogBufferBytes, clock);
     carawaylatch::gateway::Gateway gateway(path, std::move(settings.value()), clock, log, platform::makeParts);
     if (const auto started = gateway.start(); !started) {
         log.write(carawaylatch::base::LogEvent::GatewayCannotStart, {{"reason", started.error().message}});
--- a/standin/enginemodel.cpp
+++ b/standin/enginemodel.cpp
@@ -110,14 +110,14 @@
     return progress;
 }
 
-base::Result<JobOrigin> EngineModel::origin(base::AttemptId attempt) const
+base::Result<JobContext> EngineModel::origin(base::AttemptId attempt) const
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_jobs.find(attempt);
     if (it == m_jobs.end()) {
         return base::fail(base::ErrorKind::NotFound, "no such stream; start the request again");
     }
-    return JobOrigin{it->second->weights, it->second->request.salt};
+    return JobContext{it->second->weights, it->second->request.salt};
 }
 
 void EngineModel::cancel(base::AttemptId attempt)
@@ -136,7 +136,7 @@
 base::Result<void> EngineModel::loadWeights(base::FenceToken fence, base::WeightsVersion weights)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_options.fencing == FenceCheck::On && fence < m_fence) {
+    if (m_options.fencing == FencingCheck::On && fence < m_fence) {
         ++m_counters.staleOrders;
         return base::fail(base::ErrorKind::Conflict, "fencing number " + std::to_string(fence.value) + " is older than " + std::to_string(m_fence.value));
     }
--- a/standin/enginemodel.h
+++ b/standin/enginemodel.h
@@ -28,7 +28,7 @@
 namespace carawaylatch::standin
 {
 
-enum class FenceCheck {
+enum class FencingCheck {
     Off,
     On,
 };
@@ -38,7 +38,7 @@
     base::Endpoint endpoint{"127.0.0.1", 0};
     base::ModelId model{"clause-1"};
     base::WeightsVersion weights{1};
-    FenceCheck fencing = FenceCheck::On;
+    FencingCheck fencing = FencingCheck::On;
     std::uint32_t blockBytes = 4000;
     std::size_t capacityBlocks = 4000;
     std::uint32_t maxRunning = 16; // jobs in the batch
@@ -99,7 +99,7 @@
 };
 
 // Under what a job runs.
-struct JobOrigin
+struct JobContext
 {
     base::WeightsVersion weights;
     base::CacheSalt salt;
@@ -121,7 +121,7 @@
     [[nodiscard]] base::Result<base::WeightsVersion> submit(JobRequest request);
     // Waits for progress from token `from` on; NotFound if the job isn't held.
     [[nodiscard]] base::Result<JobProgress> wait(base::AttemptId attempt, std::uint64_t from, base::Duration atMost);
-    [[nodiscard]] base::Result<JobOrigin> origin(base::AttemptId attempt) const;
+    [[nodiscard]] base::Result<JobContext> origin(base::AttemptId attempt) const;
     void cancel(base::AttemptId attempt);
 
     // Starts a load of weights; Conflict for an old fencing number where that is checked.
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -62,7 +62,7 @@
     options.endpoint = listenEndpoint();
     options.model = base::ModelId(absl::GetFlag(FLAGS_model));
     options.weights = {absl::GetFlag(FLAGS_weights)};
-    options.fencing = absl::GetFlag(FLAGS_fencing) ? FenceCheck::On : FenceCheck::Off;
+    options.fencing = absl::GetFlag(FLAGS_fencing) ? FencingCheck::On : FencingCheck::Off;
     options.blockBytes = absl::GetFlag(FLAGS_block_bytes);
     options.capacityBlocks = absl::GetFlag(FLAGS_capacity_blocks);
     options.maxRunning = absl::GetFlag(FLAGS_max_running);
