--- a/carawaylatch/telemetry/dashboard.cpp
+++ b/carawaylatch/telemetry/dashboard.cpp
@@ -87,18 +87,18 @@
     if (rows.empty()) {
         return {};
     }
-    const auto classOf = [](const Column<Row> &it) {
+    const auto alignmentClass = [](const Column<Row> &it) {
         return it.kind == Column<Row>::Kind::Text ? " class=\"t\"" : "";
     };
     std::string out = "<h2>" + std::string(title) + "</h2><div class=\"scroll\"><table><tr>";
     for (const auto &it : columns) {
-        out += std::string("<th") + classOf(it) + ">" + std::string(it.heading) + "</th>";
+        out += std::string("<th") + alignmentClass(it) + ">" + std::string(it.heading) + "</th>";
     }
     out += "</tr>\n";
     for (const auto &row : rows) {
         out += "<tr>";
         for (const auto &it : columns) {
-            out += std::string("<td") + classOf(it) + ">" + it.cell(row) + "</td>";
+            out += std::string("<td") + alignmentClass(it) + ">" + it.cell(row) + "</td>";
         }
         out += "</tr>\n";
     }
@@ -270,13 +270,13 @@
 std::string tilesHtml(const StatusReport &report)
 {
     const auto &totals = report.totals;
-    const auto shareOf = [](std::uint64_t part, std::uint64_t whole) {
+    const auto ratio = [](std::uint64_t part, std::uint64_t whole) {
         return whole == 0 ? 0.0 : static_cast<double>(part) / static_cast<double>(whole);
     };
     std::string out = "<div class=\"tiles\">";
     out += tile(percentText(hitRate(totals)), "prefix hit rate");
     out += tile(durationText(totals.firstTokenInteractive.quantile(0.99)), "first token p99, interactive");
-    out += tile(percentText(shareOf(totals.wastedTokens, totals.promptTokens)), "wasted recomputation");
+    out += tile(percentText(ratio(totals.wastedTokens, totals.promptTokens)), "wasted recomputation");
     out += tile(countText(static_cast<double>(totals.openStreams)), "open streams");
     out += tile(countText(static_cast<double>(totals.requests)), "requests since start");
     out += tile(countText(static_cast<double>(totals.refused)), "refused");
@@ -294,7 +294,7 @@
 }
 
 template <typename Value>
-std::vector<std::optional<double>> valuesOf(const DashboardSeries &series, Value value)
+std::vector<std::optional<double>> seriesValues(const DashboardSeries &series, Value value)
 {
     std::vector<std::optional<double>> values;
     for (const auto &it : series.points()) {
@@ -313,24 +313,24 @@
     const auto span = spanText(series);
     const Chart hits{"Prefix hit rate",
                      {{"", "a",
-                       valuesOf(series,
-                                [](const Point &it) {
-                                    return it.hitRate;
-                                })}},
+                       seriesValues(series,
+                                    [](const Point &it) {
+                                        return it.hitRate;
+                                    })}},
                      1,
                      percentText,
                      span};
     const Chart first{"First token",
                       {{"p50", "a",
-                        valuesOf(series,
-                                 [&](const Point &it) {
-                                     return milliseconds(it.firstTokenP50);
-                                 })},
+                        seriesValues(series,
+                                     [&](const Point &it) {
+                                         return milliseconds(it.firstTokenP50);
+                                     })},
                        {"p99", "b",
-                        valuesOf(series,
-                                 [&](const Point &it) {
-                                     return milliseconds(it.firstTokenP99);
-                                 })}},
+                        seriesValues(series,
+                                     [&](const Point &it) {
+                                         return milliseconds(it.firstTokenP99);
+                                     })}},
                       100,
                       [](double ms) {
                           return durationText(base::fromSeconds(ms / 1000));
@@ -338,31 +338,31 @@
                       span};
     const Chart rates{"Requests/s",
                       {{"all", "a",
-                        valuesOf(series,
-                                 [](const Point &it) {
-                                     return Optional(it.requestsPerSecond);
-                                 })},
+                        seriesValues(series,
+                                     [](const Point &it) {
+                                         return Optional(it.requestsPerSecond);
+                                     })},
                        {"refused", "b",
-                        valuesOf(series,
-                                 [](const Point &it) {
-                                     return Optional(it.refusalsPerSecond);
-                                 })}},
+                        seriesValues(series,
+                                     [](const Point &it) {
+                                         return Optional(it.refusalsPerSecond);
+                                     })}},
                       1,
                       countText,
                       span};
     const Chart tokens{"Tokens/s",
                        {{"", "a",
-                         valuesOf(series,
-                                  [](const Point &it) {
-                                      return Optional(it.tokensPerSecond);
-                                  })}},
+                         seriesValues(series,
+                                      [](const Point &it) {
+                                          return Optional(it.tokensPerSecond);
+                                      })}},
                        10,
                        countText,
                        span};
     return "<div class=\"charts\">" + renderChart(hits) + renderChart(first) + renderChart(rates) + renderChart(tokens) + "</div>\n";
 }
 
-std::string headHtml(const RouterStatus &router)
+std::string headerHtml(const RouterStatus &router)
 {
     const bool isReady = router.readiness == Readiness::Ready;
     std::string out = "<h1>" + escapeHtml(router.id.value()) + " " + stateHtml(isReady ? StateText{"ready", "good"} : StateText{"not ready", "bad"}) + "</h1>";
@@ -379,7 +379,7 @@
     std::string out = "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta name=\"viewport\" content=\"width=device-width,initial-scale=1\">"
                       "<meta http-equiv=\"refresh\" content=\"5\"><title>"
                       + escapeHtml(report.router.id.value()) + " - carawaylatch</title><style>" + std::string(Style) + "</style></head><body><main>\n";
-    out += headHtml(report.router);
+    out += headerHtml(report.router);
     out += tilesHtml(report);
     out += chartsHtml(series);
     out += upstreamTable(report.upstreams);
--- a/carawaylatch/telemetry/dashboardseries.cpp
+++ b/carawaylatch/telemetry/dashboardseries.cpp
@@ -38,14 +38,14 @@
         point.requestsPerSecond = rate(totals.requests, last.requests, elapsed);
         point.refusalsPerSecond = rate(totals.refused, last.refused, elapsed);
         point.tokensPerSecond = rate(totals.deliveredTokens, last.deliveredTokens, elapsed);
-        const double prompts = rate(totals.promptTokens, last.promptTokens, elapsed);
-        if (prompts > 0) {
-            point.hitRate = rate(totals.cachedTokens, last.cachedTokens, elapsed) / prompts;
+        const double promptTokens = rate(totals.promptTokens, last.promptTokens, elapsed);
+        if (promptTokens > 0) {
+            point.hitRate = rate(totals.cachedTokens, last.cachedTokens, elapsed) / promptTokens;
         }
-        const auto waits = totals.firstTokenInteractive.since(last.firstTokenInteractive);
-        if (waits.total() > 0) {
-            point.firstTokenP50 = waits.quantile(0.5);
-            point.firstTokenP99 = waits.quantile(0.99);
+        const auto firstTokenTimes = totals.firstTokenInteractive.since(last.firstTokenInteractive);
+        if (firstTokenTimes.total() > 0) {
+            point.firstTokenP50 = firstTokenTimes.quantile(0.5);
+            point.firstTokenP99 = firstTokenTimes.quantile(0.99);
         }
         m_points.push_back(point);
         if (m_points.size() > m_capacity) {
--- a/carawaylatch/telemetry/eventlog.cpp
+++ b/carawaylatch/telemetry/eventlog.cpp
@@ -50,8 +50,8 @@
         if (poll(&descriptor, 1, 0) != 1 || (descriptor.revents & POLLOUT) == 0) {
             break;
         }
-        const std::size_t piece = std::min<std::size_t>(m_buffer.size() - written, PIPE_BUF);
-        const ssize_t n = ::write(m_descriptor, m_buffer.data() + written, piece);
+        const std::size_t chunkSize = std::min<std::size_t>(m_buffer.size() - written, PIPE_BUF);
+        const ssize_t n = ::write(m_descriptor, m_buffer.data() + written, chunkSize);
         if (n <= 0) {
             break;
         }
--- a/carawaylatch/telemetry/htmltext.cpp
+++ b/carawaylatch/telemetry/htmltext.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-std::string decimals(double value, const char *unit)
+std::string formatNumber(double value, const char *unit)
 {
     std::array<char, 64> buf{};
     const char *format = value >= 100 || value == static_cast<double>(static_cast<std::int64_t>(value)) ? "%.0f%s" : "%.1f%s";
@@ -54,7 +54,7 @@
 std::string durationText(base::Duration duration)
 {
     const auto ms = base::toMilliseconds(duration);
-    return ms < 1000 ? std::to_string(ms) + " ms" : decimals(base::toSeconds(duration), " s");
+    return ms < 1000 ? std::to_string(ms) + " ms" : formatNumber(base::toSeconds(duration), " s");
 }
 
 std::string uptimeText(base::Duration duration)
@@ -73,26 +73,26 @@
 std::string countText(double count)
 {
     if (count >= 1e9) {
-        return decimals(count / 1e9, "G");
+        return formatNumber(count / 1e9, "G");
     }
     if (count >= 1e6) {
-        return decimals(count / 1e6, "M");
+        return formatNumber(count / 1e6, "M");
     }
-    return count >= 1e4 ? decimals(count / 1e3, "k") : decimals(count, "");
+    return count >= 1e4 ? formatNumber(count / 1e3, "k") : formatNumber(count, "");
 }
 
 std::string bytesText(std::uint64_t bytes)
 {
     const auto value = static_cast<double>(bytes);
     if (value >= 1e9) {
-        return decimals(value / 1e9, " GB");
+        return formatNumber(value / 1e9, " GB");
     }
-    return value >= 1e6 ? decimals(value / 1e6, " MB") : decimals(value / 1e3, " kB");
+    return value >= 1e6 ? formatNumber(value / 1e6, " MB") : formatNumber(value / 1e3, " kB");
 }
 
 std::string percentText(double share)
 {
-    return decimals(share * 100, "%");
+    return formatNumber(share * 100, "%");
 }
 
 } // namespace carawaylatch::telemetry
--- a/carawaylatch/telemetry/latencyhistogram.cpp
+++ b/carawaylatch/telemetry/latencyhistogram.cpp
@@ -21,7 +21,7 @@
 
 using Edges = std::array<base::Duration, LatencyBucketCount>;
 
-Edges makeEdges()
+Edges computeEdges()
 {
     Edges edges{};
     double edge = base::toSeconds(FirstEdge);
@@ -34,7 +34,7 @@
 
 const Edges &edges()
 {
-    static const Edges Table = makeEdges();
+    static const Edges Table = computeEdges();
     return Table;
 }
 
@@ -63,15 +63,15 @@
 
 base::Duration LatencyHistogram::quantile(double share) const
 {
-    const auto all = total();
-    if (all == 0) {
+    const auto count = total();
+    if (count == 0) {
         return {};
     }
-    const auto rank = static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(all)));
-    std::uint64_t seen = 0;
+    const auto rank = static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(count)));
+    std::uint64_t cumulative = 0;
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        seen += counts.at(i);
-        if (seen >= rank) {
+        cumulative += counts.at(i);
+        if (cumulative >= rank) {
             return latencyBucketEdge(i);
         }
     }
@@ -92,7 +92,7 @@
     m_counts.at(latencyBucket(duration)).fetch_add(1, std::memory_order_relaxed);
 }
 
-LatencyHistogram LatencyRecorder::counts() const
+LatencyHistogram LatencyRecorder::snapshot() const
 {
     LatencyHistogram copy;
     for (std::size_t i = 0; i < m_counts.size(); ++i) {
--- a/carawaylatch/telemetry/latencyhistogram.h
+++ b/carawaylatch/telemetry/latencyhistogram.h
@@ -43,7 +43,7 @@
 {
 public:
     void add(base::Duration duration);
-    [[nodiscard]] LatencyHistogram counts() const;
+    [[nodiscard]] LatencyHistogram snapshot() const;
 
 private:
     std::array<std::atomic<std::uint64_t>, LatencyBucketCount> m_counts{};
--- a/carawaylatch/telemetry/metrics.cpp
+++ b/carawaylatch/telemetry/metrics.cpp
@@ -171,7 +171,7 @@
     return counters;
 }
 
-void advance(prometheus::Counter &counter, std::uint64_t total)
+void raiseTo(prometheus::Counter &counter, std::uint64_t total)
 {
     const auto now = static_cast<double>(total);
     if (now > counter.Value()) {
@@ -321,9 +321,9 @@
     auto &cell = slot.histograms.at(static_cast<std::size_t>(trafficClass)).at(static_cast<std::size_t>(measure));
     auto *histogram = cell.load(std::memory_order_acquire);
     if (histogram == nullptr) {
-        const auto &made = measures.at(static_cast<std::size_t>(measure));
+        const auto &measureFamily = measures.at(static_cast<std::size_t>(measure));
         // Add returns the same series to two threads that race here.
-        histogram = &made.family->Add({{"customer", slot.name}, {"class", std::string(trafficClassName(trafficClass))}}, *made.edges);
+        histogram = &measureFamily.family->Add({{"customer", slot.name}, {"class", std::string(trafficClassName(trafficClass))}}, *measureFamily.edges);
         cell.store(histogram, std::memory_order_release);
     }
     histogram->Observe(value);
@@ -432,13 +432,13 @@
 
 void Metrics::raisePeerRefusalsTo(PeerRefusal reason, std::uint64_t messages)
 {
-    advance(*m_d->peerRefusals.at(static_cast<std::size_t>(reason)), messages);
+    raiseTo(*m_d->peerRefusals.at(static_cast<std::size_t>(reason)), messages);
 }
 
 void Metrics::raiseControlTo(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes)
 {
-    advance(*m_d->controlMessages.at(static_cast<std::size_t>(channel)), messages);
-    advance(*m_d->controlBytes.at(static_cast<std::size_t>(channel)), bytes);
+    raiseTo(*m_d->controlMessages.at(static_cast<std::size_t>(channel)), messages);
+    raiseTo(*m_d->controlBytes.at(static_cast<std::size_t>(channel)), bytes);
 }
 
 void Metrics::setResourceUsage(base::Duration processorTime, std::uint64_t residentBytes)
@@ -492,14 +492,14 @@
 
 MetricsTotals Metrics::totals() const
 {
-    const auto whole = [](const auto &series) {
+    const auto toCount = [](const auto &series) {
         return static_cast<std::uint64_t>(series.Value());
     };
     const auto outcome = [this](RequestOutcome it) {
         return m_d->requestsByOutcome.at(static_cast<std::size_t>(it)).load(std::memory_order_relaxed);
     };
-    const auto order = [this, whole](OrderOutcome it) {
-        return whole(*m_d->orders.at(static_cast<std::size_t>(it)));
+    const auto order = [this, toCount](OrderOutcome it) {
+        return toCount(*m_d->orders.at(static_cast<std::size_t>(it)));
     };
     MetricsTotals totals;
     totals.completed = outcome(RequestOutcome::Completed);
@@ -510,21 +510,21 @@
     totals.promptTokens = m_d->promptTokens.load(std::memory_order_relaxed);
     totals.cachedTokens = m_d->cachedTokens.load(std::memory_order_relaxed);
     totals.deliveredTokens = m_d->deliveredTokens.load(std::memory_order_relaxed);
-    totals.wastedTokens = whole(m_d->wastedTokens);
-    totals.retries = whole(m_d->retries);
-    totals.hedges = whole(m_d->hedges);
-    totals.staleResponses = whole(m_d->staleResponses);
+    totals.wastedTokens = toCount(m_d->wastedTokens);
+    totals.retries = toCount(m_d->retries);
+    totals.hedges = toCount(m_d->hedges);
+    totals.staleResponses = toCount(m_d->staleResponses);
     totals.ordersDone = order(OrderOutcome::Done);
     totals.ordersNotRun = order(OrderOutcome::NotRun);
     totals.ordersUnknown = order(OrderOutcome::Unknown);
     for (std::size_t i = 0; i < ChannelCount; ++i) {
-        totals.controlMessages += whole(*m_d->controlMessages.at(i));
-        totals.controlBytes += whole(*m_d->controlBytes.at(i));
+        totals.controlMessages += toCount(*m_d->controlMessages.at(i));
+        totals.controlBytes += toCount(*m_d->controlBytes.at(i));
     }
     totals.openStreams = static_cast<std::int64_t>(m_d->openStreams.Value());
-    totals.firstTokenInteractive = m_d->firstTokenInteractive.counts();
-    totals.firstTokenBatch = m_d->firstTokenBatch.counts();
-    totals.tokenGap = m_d->tokenGap.counts();
+    totals.firstTokenInteractive = m_d->firstTokenInteractive.snapshot();
+    totals.firstTokenBatch = m_d->firstTokenBatch.snapshot();
+    totals.tokenGap = m_d->tokenGap.snapshot();
     return totals;
 }
 
--- a/carawaylatch/telemetry/svgchart.cpp
+++ b/carawaylatch/telemetry/svgchart.cpp
@@ -38,9 +38,9 @@
     return 10 * power;
 }
 
-double topOf(const Chart &chart)
+double axisTop(const Chart &chart)
 {
-    double top = chart.floorOfTop;
+    double top = chart.minimumTop;
     for (const auto &line : chart.lines) {
         for (const auto &value : line.values) {
             top = std::max(top, value.value_or(0));
@@ -49,7 +49,7 @@
     return roundUp(top);
 }
 
-std::string pathOf(const ChartLine &line, double top)
+std::string pathData(const ChartLine &line, double top)
 {
     std::string path;
     const double step = line.values.size() > 1 ? Width / static_cast<double>(line.values.size() - 1) : 0;
@@ -64,14 +64,14 @@
         std::snprintf(buf.data(), buf.size(), "%c%.1f %.1f", isDrawing ? 'L' : 'M', step * static_cast<double>(i), y);
         path += buf.data();
         // A point alone in its segment gets a length, else it would not show.
-        const bool isAlone = !isDrawing && (i + 1 == line.values.size() || !line.values[i + 1]);
-        path += isAlone ? "h2" : "";
+        const bool isSinglePoint = !isDrawing && (i + 1 == line.values.size() || !line.values[i + 1]);
+        path += isSinglePoint ? "h2" : "";
         isDrawing = true;
     }
     return path;
 }
 
-std::string newestOf(const Chart &chart)
+std::string newestValuesHtml(const Chart &chart)
 {
     std::string text;
     for (const auto &line : chart.lines) {
@@ -88,13 +88,13 @@
 
 std::string renderChart(const Chart &chart)
 {
-    const double top = topOf(chart);
-    std::string out = "<figure><figcaption><b>" + escapeHtml(chart.title) + "</b> " + newestOf(chart) + "</figcaption><div class=\"plot\">";
+    const double top = axisTop(chart);
+    std::string out = "<figure><figcaption><b>" + escapeHtml(chart.title) + "</b> " + newestValuesHtml(chart) + "</figcaption><div class=\"plot\">";
     out += "<div class=\"axis\"><span>" + escapeHtml(chart.format(top)) + "</span><span>" + escapeHtml(chart.format(top / 2)) + "</span><span>0</span></div>";
     out += "<svg viewBox=\"0 -2 600 124\" preserveAspectRatio=\"none\" role=\"img\" aria-label=\"" + escapeHtml(chart.title) + "\">";
     out += "<path class=\"grid\" d=\"M0 0H600M0 60H600M0 120H600\"/>";
     for (const auto &line : chart.lines) {
-        out += "<path class=\"line " + line.cssClass + "\" d=\"" + pathOf(line, top) + "\"/>";
+        out += "<path class=\"line " + line.cssClass + "\" d=\"" + pathData(line, top) + "\"/>";
     }
     return out + "</svg></div><div class=\"span\"><span>" + escapeHtml(chart.span) + "</span><span>now</span></div></figure>\n";
 }
--- a/carawaylatch/telemetry/svgchart.h
+++ b/carawaylatch/telemetry/svgchart.h
@@ -20,7 +20,7 @@
 {
     std::string title;
     std::vector<ChartLine> lines;
-    double floorOfTop = 0; // the axis reaches at least this value
+    double minimumTop = 0; // the axis reaches at least this value
     std::function<std::string(double)> format; // values with their unit
     std::string span; // time that the chart covers, such as "last 8 min"
 };
--- a/carawaylatch/telemetry/testing/dashboardtest.cpp
+++ b/carawaylatch/telemetry/testing/dashboardtest.cpp
@@ -34,10 +34,10 @@
     return report;
 }
 
-MetricsTotals totalsAfter(int rounds)
+MetricsTotals totalsAfterRequests(int requests)
 {
     Metrics metrics;
-    for (int i = 0; i < rounds; ++i) {
+    for (int i = 0; i < requests; ++i) {
         metrics.recordPrompt(base::CustomerId("c"), base::TrafficClass::Interactive, 100, 80);
         metrics.recordFirstToken(base::CustomerId("c"), base::TrafficClass::Interactive, base::milliseconds{90});
         metrics.countRequest(base::RouteName("r"), RequestOutcome::Completed);
@@ -76,10 +76,10 @@
     void testPageHasNoScriptAndNoExternalResource()
     {
         DashboardSeries series;
-        series.sample(base::TimePoint{base::seconds{10}}, totalsAfter(1));
-        series.sample(base::TimePoint{base::seconds{12}}, totalsAfter(5));
+        series.sample(base::TimePoint{base::seconds{10}}, totalsAfterRequests(1));
+        series.sample(base::TimePoint{base::seconds{12}}, totalsAfterRequests(5));
         StatusReport report;
-        report.totals = totalsAfter(5);
+        report.totals = totalsAfterRequests(5);
         const auto page = renderDashboard(report, series);
         for (const auto *part : {"<script", "src=", "href=", "http://", "https://", "@import", "url("}) {
             CPPUNIT_ASSERT_MESSAGE(part, !contains(page, part));
@@ -94,7 +94,7 @@
         report.router.incarnation.value = 0xfedcba9876543210;
         report.upstreams.front().state = UpstreamState::Leaving;
         report.upstreams.front().id = base::UpstreamId("not utf-8: \xff");
-        report.totals = totalsAfter(4);
+        report.totals = totalsAfterRequests(4);
         const auto json = renderStatusJson(report);
         for (const auto *part : {R"("incarnation": "fedcba9876543210")", R"("state": "leaving")", R"("leaving": true)", R"("hit_rate": 0.8)",
                                  R"("<script>alert(\"x\")</script>&'\"")", R"("ready": false)", R"("resident_bytes": 0)"}) {
@@ -116,7 +116,7 @@
     {
         DashboardSeries series(5);
         for (int i = 0; i < 20; ++i) {
-            series.sample(base::TimePoint{base::seconds{i}}, totalsAfter(1));
+            series.sample(base::TimePoint{base::seconds{i}}, totalsAfterRequests(1));
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{5}, series.points().size());
         CPPUNIT_ASSERT(series.points().back().time == base::TimePoint{base::seconds{19}});
@@ -126,15 +126,15 @@
     {
         DashboardSeries series;
         const base::TimePoint start{base::seconds{10}};
-        series.sample(start, totalsAfter(0));
+        series.sample(start, totalsAfterRequests(0));
         CPPUNIT_ASSERT_MESSAGE("one sample is no interval", series.points().empty());
-        series.sample(start + base::seconds{2}, totalsAfter(6));
-        series.sample(start + base::seconds{2}, totalsAfter(7));
+        series.sample(start + base::seconds{2}, totalsAfterRequests(6));
+        series.sample(start + base::seconds{2}, totalsAfterRequests(7));
         CPPUNIT_ASSERT_EQUAL_MESSAGE("no time between", std::size_t{1}, series.points().size());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.0, series.points().front().requestsPerSecond, 1e-9);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, series.points().front().hitRate.value(), 1e-9);
         CPPUNIT_ASSERT(series.points().front().firstTokenP99.value() >= base::milliseconds{90});
-        series.sample(start + base::seconds{4}, totalsAfter(6));
+        series.sample(start + base::seconds{4}, totalsAfterRequests(6));
         CPPUNIT_ASSERT_MESSAGE("a quiet interval has no hit rate", !series.points().back().hitRate);
     }
 
--- a/carawaylatch/telemetry/testing/metricstest.cpp
+++ b/carawaylatch/telemetry/testing/metricstest.cpp
@@ -22,7 +22,7 @@
 using base::CustomerId;
 using base::TrafficClass;
 
-config::Tables tablesOf(const std::vector<std::string> &customers)
+config::Tables tablesWithCustomers(const std::vector<std::string> &customers)
 {
     config::Tables tables;
     for (const auto &it : customers) {
@@ -31,7 +31,7 @@
     return tables;
 }
 
-std::size_t countOf(const std::string &text, const std::string &part)
+std::size_t countOccurrences(const std::string &text, const std::string &part)
 {
     std::size_t n = 0;
     for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + part.size())) {
@@ -57,24 +57,24 @@
     void testCardinalityIsBounded()
     {
         Metrics metrics({.maxCustomers = 3, .maxRoutes = 1, .maxUpstreams = 2});
-        metrics.registerTables(tablesOf({"a", "b", "c", "d", "e"}));
+        metrics.registerTables(tablesWithCustomers({"a", "b", "c", "d", "e"}));
         for (const auto *name : {"a", "b", "c", "d", "e", "never-configured"}) {
             metrics.recordQueueWait(CustomerId(name), TrafficClass::Batch, base::milliseconds{3});
             metrics.countRequest(base::RouteName(name), RequestOutcome::Completed);
             metrics.setUpstreamState(base::UpstreamId(name), UpstreamState::Live);
         }
         const auto text = metrics.renderText();
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("three customers and other", std::size_t{4}, countOf(text, "carawaylatch_queue_wait_seconds_count{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("three customers and other", std::size_t{4}, countOccurrences(text, "carawaylatch_queue_wait_seconds_count{"));
         CPPUNIT_ASSERT(text.find("carawaylatch_queue_wait_seconds_count{class=\"batch\",customer=\"other\"} 3") != std::string::npos);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("no admitted route", std::size_t{1}, countOf(text, "carawaylatch_requests_total{"));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("two upstreams", std::size_t{2}, countOf(text, "carawaylatch_upstream_state{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("no admitted route", std::size_t{1}, countOccurrences(text, "carawaylatch_requests_total{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("two upstreams", std::size_t{2}, countOccurrences(text, "carawaylatch_upstream_state{"));
     }
 
     void testAdmittedNamesStayAdmitted()
     {
         Metrics metrics({.maxCustomers = 2});
-        metrics.registerTables(tablesOf({"a"}));
-        metrics.registerTables(tablesOf({"b", "c"}));
+        metrics.registerTables(tablesWithCustomers({"a"}));
+        metrics.registerTables(tablesWithCustomers({"b", "c"}));
         for (const auto *name : {"a", "b", "c"}) {
             metrics.recordPrompt(CustomerId(name), TrafficClass::Interactive, 100, 40);
         }
@@ -87,7 +87,7 @@
     void testLabelsAreEscaped()
     {
         Metrics metrics;
-        metrics.registerTables(tablesOf({"wood \"chips\"\\\nDakar"}));
+        metrics.registerTables(tablesWithCustomers({"wood \"chips\"\\\nDakar"}));
         metrics.recordFirstToken(CustomerId("wood \"chips\"\\\nDakar"), TrafficClass::Interactive, base::milliseconds{80});
         CPPUNIT_ASSERT(metrics.renderText().find(R"(customer="wood \"chips\"\\\nDakar")") != std::string::npos);
     }
@@ -132,7 +132,7 @@
                 for (std::uint64_t n = 0; n < Records; ++n) {
                     metrics.recordTokenGap(CustomerId(std::to_string(n % 7)), TrafficClass::Batch, base::milliseconds{20});
                     if (n % 50 == 0) {
-                        metrics.registerTables(tablesOf({std::to_string(i), std::to_string(n % 7)}));
+                        metrics.registerTables(tablesWithCustomers({std::to_string(i), std::to_string(n % 7)}));
                     }
                 }
             });
@@ -157,7 +157,7 @@
             std::sort(values.begin(), values.end());
             for (const double share : {0.5, 0.95, 0.99, 1.0}) {
                 const auto exact = values.at(static_cast<std::size_t>(std::ceil(share * static_cast<double>(n))) - 1);
-                const auto found = counter.counts().quantile(share);
+                const auto found = counter.snapshot().quantile(share);
                 CPPUNIT_ASSERT(found >= exact);
                 CPPUNIT_ASSERT(base::toSeconds(found) <= base::toSeconds(exact) * 1.2 + 1e-6);
             }
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -18,29 +18,30 @@
 
 constexpr const char *JsonType = "application/json";
 constexpr const char *StreamType = "text/event-stream";
-constexpr base::Duration ReadSlice = base::milliseconds{200};
+constexpr base::Duration ReadTimeout = base::milliseconds{200};
 constexpr int StatusBadRequest = 400;
 constexpr int StatusNotFound = 404;
 constexpr int StatusConflict = 409;
 constexpr int StatusUnavailable = 503;
 
-void refuse(httplib::Response &response, int status, std::string_view type, std::string_view message)
+void setErrorResponse(httplib::Response &response, int status, std::string_view type, std::string_view message)
 {
     response.status = status;
     response.set_content(Json{{"error", {{"type", type}, {"message", message}}}}.dump(), JsonType);
 }
 
-std::string event(const Json &json)
+std::string formatEvent(const Json &json)
 {
     return "data: " + json.dump() + "\n\n";
 }
 
 std::string doneEvent(const JobProgress &progress)
 {
-    return event({{"done", true},
-                  {"finish_reason", "length"},
-                  {"count", progress.count},
-                  {"usage", {{"prompt_tokens", progress.promptTokens}, {"cached_tokens", progress.cachedTokens}, {"completion_tokens", progress.count}}}});
+    return formatEvent(
+        {{"done", true},
+         {"finish_reason", "length"},
+         {"count", progress.count},
+         {"usage", {{"prompt_tokens", progress.promptTokens}, {"cached_tokens", progress.cachedTokens}, {"completion_tokens", progress.count}}}});
 }
 
 std::string_view stateName(EngineState state)
@@ -49,7 +50,7 @@
     return StateNames[static_cast<std::size_t>(state)];
 }
 
-JobRequest jobFrom(const httplib::Request &request)
+JobRequest parseJob(const httplib::Request &request)
 {
     const Json json = Json::parse(request.body);
     JobRequest job;
@@ -67,7 +68,7 @@
 {
     std::uint64_t next = from;
     while (true) {
-        const auto result = model.wait(attempt, next, ReadSlice);
+        const auto result = model.wait(attempt, next, ReadTimeout);
         if (!result || result.value().isCancelled) {
             return false;
         }
@@ -75,7 +76,7 @@
         std::string out;
         next = progress.firstIndex;
         for (const auto &it : progress.tokens) {
-            out += event({{"index", next}, {"text", it}});
+            out += formatEvent({{"index", next}, {"text", it}});
             ++next;
         }
         if (progress.isDone) {
@@ -98,7 +99,7 @@
 
 Engine::Engine(const EngineOptions &options)
     : m_model(options)
-    , m_program(options.endpoint)
+    , m_httpServer(options.endpoint)
 {
     addStreamHandlers();
     addStateHandlers();
@@ -106,17 +107,17 @@
 
 bool Engine::start()
 {
-    return m_program.start();
+    return m_httpServer.start();
 }
 
 void Engine::stop()
 {
-    m_program.stop();
+    m_httpServer.stop();
 }
 
 const base::Endpoint &Engine::endpoint() const
 {
-    return m_program.endpoint();
+    return m_httpServer.endpoint();
 }
 
 EngineModel &Engine::model()
@@ -126,20 +127,20 @@
 
 void Engine::addStreamHandlers()
 {
-    auto &server = m_program.server();
-    const auto stream = [this](httplib::Response &response, base::AttemptId attempt, std::uint64_t from) {
+    auto &server = m_httpServer.server();
+    const auto sendStream = [this](httplib::Response &response, base::AttemptId attempt, std::uint64_t from) {
         response.set_header("X-Attempt-Id", http::toHex(attempt.value));
         response.set_header("X-Incarnation", http::toHex(m_model.incarnation().value));
         response.set_chunked_content_provider(StreamType, [this, attempt, from](std::size_t, httplib::DataSink &sink) {
             return writeStream(m_model, attempt, from, sink);
         });
     };
-    server.Post("/v1/completions", [this, stream](const httplib::Request &request, httplib::Response &response) {
+    server.Post("/v1/completions", [this, sendStream](const httplib::Request &request, httplib::Response &response) {
         JobRequest job;
         try {
-            job = jobFrom(request);
+            job = parseJob(request);
         } catch (const Json::exception &ec) {
-            refuse(response, StatusBadRequest, "invalid_request", ec.what());
+            setErrorResponse(response, StatusBadRequest, "invalid_request", ec.what());
             return;
         }
         const base::AttemptId attempt = job.attempt;
@@ -147,24 +148,24 @@
         const std::uint64_t from = job.firstIndex;
         const auto weights = m_model.submit(std::move(job));
         if (!weights) {
-            refuse(response, StatusUnavailable, weights.error().message, "nothing ran; try another engine");
+            setErrorResponse(response, StatusUnavailable, weights.error().message, "nothing ran; try another engine");
             return;
         }
         response.set_header("X-Weights-Version", std::to_string(weights.value().value));
         response.set_header("X-Cache-Salt", http::toHex(salt.value));
-        stream(response, attempt, from);
+        sendStream(response, attempt, from);
     });
-    server.Get("/v1/streams/([0-9a-f]+)", [this, stream](const httplib::Request &request, httplib::Response &response) {
+    server.Get("/v1/streams/([0-9a-f]+)", [this, sendStream](const httplib::Request &request, httplib::Response &response) {
         const base::AttemptId attempt{http::fromHex(std::string(request.matches[1]))};
         const std::uint64_t from = std::strtoull(request.get_param_value("from").c_str(), nullptr, 10);
-        const auto origin = m_model.origin(attempt);
-        if (!origin) {
-            refuse(response, StatusNotFound, "not_found", "no such stream");
+        const auto jobContext = m_model.jobContext(attempt);
+        if (!jobContext) {
+            setErrorResponse(response, StatusNotFound, "not_found", "no such stream");
             return;
         }
-        response.set_header("X-Weights-Version", std::to_string(origin.value().weights.value));
-        response.set_header("X-Cache-Salt", http::toHex(origin.value().salt.value));
-        stream(response, attempt, from);
+        response.set_header("X-Weights-Version", std::to_string(jobContext.value().weights.value));
+        response.set_header("X-Cache-Salt", http::toHex(jobContext.value().salt.value));
+        sendStream(response, attempt, from);
     });
     server.Delete("/v1/streams/([0-9a-f]+)", [this](const httplib::Request &request, httplib::Response &response) {
         m_model.cancel({http::fromHex(std::string(request.matches[1]))});
@@ -174,7 +175,7 @@
 
 void Engine::addStateHandlers()
 {
-    auto &server = m_program.server();
+    auto &server = m_httpServer.server();
     server.Get("/v1/load", [this](const httplib::Request &, httplib::Response &response) {
         const LoadSnapshot load = m_model.loadReport();
         const auto &options = m_model.options();
@@ -209,9 +210,9 @@
             const base::WeightsVersion weights{json.at("weights_version").get<std::uint64_t>()};
             const auto done = m_model.loadWeights({json.at("fence").get<std::uint64_t>()}, weights);
             done ? response.set_content(Json{{"weights_version", weights.value}}.dump(), JsonType)
-                 : refuse(response, StatusConflict, "old_fence", done.error().message);
+                 : setErrorResponse(response, StatusConflict, "old_fence", done.error().message);
         } catch (const Json::exception &ec) {
-            refuse(response, StatusBadRequest, "invalid_request", ec.what());
+            setErrorResponse(response, StatusBadRequest, "invalid_request", ec.what());
         }
     });
     server.Post("/admin/leave", [this](const httplib::Request &, httplib::Response &response) {
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -22,7 +22,7 @@
     void addStateHandlers();
 
     EngineModel m_model;
-    http::HttpServer m_program;
+    http::HttpServer m_httpServer;
 };
 
 } // namespace carawaylatch::standin
--- a/standin/enginemodel.cpp
+++ b/standin/enginemodel.cpp
@@ -17,9 +17,9 @@
 {
 
 constexpr std::size_t BytesPerToken = 4;
-constexpr base::Duration HoldUnread = base::seconds{3}; // a job without a reader is dropped after this
+constexpr base::Duration UnreadJobTimeout = base::seconds{3}; // a job without a reader is dropped after this
 constexpr base::Duration SnapshotInterval = base::milliseconds{50};
-constexpr base::Duration KeepSnapshots = base::seconds{10};
+constexpr base::Duration SnapshotRetention = base::seconds{10};
 constexpr std::size_t EventsPerCall = 2000;
 constexpr std::size_t TokenDigits = 8;
 
@@ -77,10 +77,10 @@
     job->lastRead = now();
     job->weights = m_weights;
     m_jobs[job->request.attempt] = job;
-    const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const JobPointer &it) {
+    const auto position = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const JobPointer &it) {
         return it->request.priority > job->request.priority;
     });
-    m_waiting.insert(place, job);
+    m_waiting.insert(position, job);
     ++m_counters.jobs;
     return m_weights;
 }
@@ -93,24 +93,24 @@
         return base::fail(base::ErrorKind::NotFound, "no such stream; start the request again");
     }
     const JobPointer job = it->second;
-    const std::uint64_t base = job->request.firstIndex;
-    const std::size_t skip = from > base ? from - base : 0;
+    const std::uint64_t firstIndex = job->request.firstIndex;
+    const std::size_t skip = from > firstIndex ? from - firstIndex : 0;
     m_progress.wait_for(lock, atMost, [&] {
         return job->tokens.size() > skip || job->isDone || job->isCancelled;
     });
     job->lastRead = now();
     JobProgress progress;
-    progress.firstIndex = base + skip;
+    progress.firstIndex = firstIndex + skip;
     progress.tokens.assign(job->tokens.begin() + static_cast<std::ptrdiff_t>(std::min(skip, job->tokens.size())), job->tokens.end());
     progress.isDone = job->isDone;
     progress.isCancelled = job->isCancelled;
     progress.promptTokens = job->promptTokens;
     progress.cachedTokens = job->cachedTokens;
-    progress.count = base + job->tokens.size();
+    progress.count = firstIndex + job->tokens.size();
     return progress;
 }
 
-base::Result<JobContext> EngineModel::origin(base::AttemptId attempt) const
+base::Result<JobContext> EngineModel::jobContext(base::AttemptId attempt) const
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_jobs.find(attempt);
@@ -176,7 +176,7 @@
     const std::lock_guard lock(m_mutex);
     const base::TimePoint newest = now() - m_options.eventLag;
     std::uint64_t published = 0;
-    for (const auto &it : m_publishMarks) {
+    for (const auto &it : m_publishedSequences) {
         if (it.at <= newest) {
             published = it.sequence;
         }
@@ -210,14 +210,14 @@
 
 void EngineModel::step(base::TimePoint now)
 {
-    finishLoad(now);
+    advanceWeightLoad(now);
     admitWaiting(now);
     for (auto &[attempt, job] : m_jobs) {
         if (job->isRunning && !job->isDone && !job->isCancelled) {
-            advance(*job, now);
+            decodeToken(*job, now);
         }
     }
-    forgetUnread(now);
+    dropUnreadJobs(now);
     takeSnapshot(now);
 }
 
@@ -232,8 +232,8 @@
 
 void EngineModel::startPrefill(Job &job, base::TimePoint now)
 {
-    const std::size_t n = m_cache.match(job.keys, job.request.salt, job.weights);
-    job.cachedTokens = std::min<std::uint64_t>(job.promptTokens, n * m_options.blockBytes / BytesPerToken);
+    const std::size_t cachedBlocks = m_cache.match(job.keys, job.request.salt, job.weights);
+    job.cachedTokens = std::min<std::uint64_t>(job.promptTokens, cachedBlocks * m_options.blockBytes / BytesPerToken);
     const double missing = static_cast<double>(job.promptTokens - job.cachedTokens);
     m_prefillFreeAt = std::max(m_prefillFreeAt, now) + base::fromSeconds(missing / m_options.prefillTokensPerSecond);
     job.prefillDoneAt = m_prefillFreeAt;
@@ -242,7 +242,7 @@
     m_counters.cachedTokens += job.cachedTokens;
 }
 
-void EngineModel::advance(Job &job, base::TimePoint now)
+void EngineModel::decodeToken(Job &job, base::TimePoint now)
 {
     if (now < job.prefillDoneAt) {
         return;
@@ -258,7 +258,7 @@
 }
 
 // New weights load once the running jobs are done; the cache of the old ones goes.
-void EngineModel::finishLoad(base::TimePoint now)
+void EngineModel::advanceWeightLoad(base::TimePoint now)
 {
     if (!m_loading || runningCount() > 0 || !m_waiting.empty()) {
         return;
@@ -276,11 +276,11 @@
     m_state = m_state == EngineState::Loading ? EngineState::Live : m_state;
 }
 
-void EngineModel::forgetUnread(base::TimePoint now)
+void EngineModel::dropUnreadJobs(base::TimePoint now)
 {
     std::erase_if(m_jobs, [&](const auto &item) {
         const Job &job = *item.second;
-        const bool isUnread = now - job.lastRead > HoldUnread;
+        const bool isUnread = now - job.lastRead > UnreadJobTimeout;
         if (isUnread && !job.isDone && !job.isCancelled) {
             item.second->isCancelled = true;
             std::erase(m_waiting, item.second);
@@ -309,10 +309,10 @@
     snapshot.usedBlocks = m_cache.size();
     snapshot.at = now;
     m_snapshots.push_back(snapshot);
-    m_publishMarks.push_back({now, m_cache.lastSequence()});
-    while (now - m_snapshots.front().at > KeepSnapshots) {
+    m_publishedSequences.push_back({now, m_cache.lastSequence()});
+    while (now - m_snapshots.front().at > SnapshotRetention) {
         m_snapshots.pop_front();
-        m_publishMarks.pop_front();
+        m_publishedSequences.pop_front();
     }
 }
 
--- a/standin/enginemodel.h
+++ b/standin/enginemodel.h
@@ -121,7 +121,7 @@
     [[nodiscard]] base::Result<base::WeightsVersion> submit(JobRequest request);
     // Waits for progress from token `from` on; NotFound if the job isn't held.
     [[nodiscard]] base::Result<JobProgress> wait(base::AttemptId attempt, std::uint64_t from, base::Duration atMost);
-    [[nodiscard]] base::Result<JobContext> origin(base::AttemptId attempt) const;
+    [[nodiscard]] base::Result<JobContext> jobContext(base::AttemptId attempt) const;
     void cancel(base::AttemptId attempt);
 
     // Starts a load of weights; Conflict for an old fencing number where that is checked.
@@ -154,9 +154,9 @@
     void step(base::TimePoint now);
     void admitWaiting(base::TimePoint now);
     void startPrefill(Job &job, base::TimePoint now);
-    void advance(Job &job, base::TimePoint now);
-    void finishLoad(base::TimePoint now);
-    void forgetUnread(base::TimePoint now);
+    void decodeToken(Job &job, base::TimePoint now);
+    void advanceWeightLoad(base::TimePoint now);
+    void dropUnreadJobs(base::TimePoint now);
     void takeSnapshot(base::TimePoint now);
     [[nodiscard]] std::uint32_t runningCount() const;
 
@@ -175,12 +175,12 @@
     std::optional<base::WeightsVersion> m_loading;
     std::optional<base::TimePoint> m_loadDoneAt;
     std::deque<LoadSnapshot> m_snapshots;
-    struct PublishMark
+    struct PublishedSequence
     {
         base::TimePoint at;
         std::uint64_t sequence = 0;
     };
-    std::deque<PublishMark> m_publishMarks; // the last sequence at each time
+    std::deque<PublishedSequence> m_publishedSequences; // the last sequence at each time
     EngineCounters m_counters;
     std::jthread m_scheduler; // last: ends before the members it uses
 };
--- a/standin/kvstore.cpp
+++ b/standin/kvstore.cpp
@@ -12,9 +12,9 @@
 }
 
 KvStore::KvStore(const base::Endpoint &endpoint)
-    : m_program(endpoint)
+    : m_httpServer(endpoint)
 {
-    auto &server = m_program.server();
+    auto &server = m_httpServer.server();
     server.Put("/v1/kv/([0-9a-f]+)", [this](const httplib::Request &request, httplib::Response &response) {
         const std::lock_guard lock(m_mutex);
         m_manifests[std::string(request.matches[1])] = request.body;
@@ -33,17 +33,17 @@
 
 bool KvStore::start()
 {
-    return m_program.start();
+    return m_httpServer.start();
 }
 
 void KvStore::stop()
 {
-    m_program.stop();
+    m_httpServer.stop();
 }
 
 const base::Endpoint &KvStore::endpoint() const
 {
-    return m_program.endpoint();
+    return m_httpServer.endpoint();
 }
 
 } // namespace carawaylatch::standin
--- a/standin/kvstore.h
+++ b/standin/kvstore.h
@@ -22,7 +22,7 @@
 private:
     std::mutex m_mutex;
     std::map<std::string, std::string> m_manifests; // by block key in hex; guarded by m_mutex
-    http::HttpServer m_program;
+    http::HttpServer m_httpServer;
 };
 
 } // namespace carawaylatch::standin
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -76,37 +76,37 @@
 }
 
 // Serves until a signal; the signals were blocked before any thread started.
-template <typename Program>
-int serve(Program &program, const sigset_t &signals)
+template <typename Server>
+int serve(Server &server, const sigset_t &signals)
 {
-    if (!program.start()) {
+    if (!server.start()) {
         std::cerr << "can't listen on " << absl::GetFlag(FLAGS_listen) << "; choose a free --listen address of this machine\n";
         return ExitUnreachable;
     }
-    std::cout << "listening " << program.endpoint().address << ':' << program.endpoint().port << std::endl;
+    std::cout << "listening " << server.endpoint().address << ':' << server.endpoint().port << std::endl;
     int signal = 0;
     sigwait(&signals, &signal);
-    program.stop();
+    server.stop();
     return 0;
 }
 
 int run(std::string_view kind, const sigset_t &signals)
 {
     if (kind == "platform") {
-        Platform program({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_list_lag_ms)}});
-        return serve(program, signals);
+        Platform server({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_list_lag_ms)}});
+        return serve(server, signals);
     }
     if (kind == "engine") {
-        Engine program(engineOptions());
-        return serve(program, signals);
+        Engine server(engineOptions());
+        return serve(server, signals);
     }
     if (kind == "service") {
-        Service program({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_run_ms)}});
-        return serve(program, signals);
+        Service server({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_run_ms)}});
+        return serve(server, signals);
     }
     if (kind == "kvstore") {
-        KvStore program(listenEndpoint());
-        return serve(program, signals);
+        KvStore server(listenEndpoint());
+        return serve(server, signals);
     }
     std::cerr << "unknown stand-in '" << kind << "'; write platform, engine, service or kvstore\n";
     return ExitUsage;
@@ -124,8 +124,8 @@
         return std::string("carawaylatch-standin 0.1.0\n");
     };
     absl::SetFlagsUsageConfig(usage);
-    const auto words = absl::ParseCommandLine(argc, argv);
-    if (words.size() != 2) {
+    const auto arguments = absl::ParseCommandLine(argc, argv);
+    if (arguments.size() != 2) {
         std::cerr << "name one stand-in: platform, engine, service or kvstore\n";
         return carawaylatch::standin::ExitUsage;
     }
@@ -134,5 +134,5 @@
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    return carawaylatch::standin::run(words[1], signals);
+    return carawaylatch::standin::run(arguments[1], signals);
 }
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -34,7 +34,7 @@
     Up,
     Down,
     Slow,
-    LoseAnswers,
+    LoseResponses,
 };
 
 struct Fault
@@ -47,13 +47,13 @@
 };
 
 // The object that a call names, empty for lists and watches.
-std::string objectOf(const httplib::Request &request)
+std::string objectName(const httplib::Request &request)
 {
     constexpr std::string_view Path = "/v1/objects/";
     return request.path.starts_with(Path) ? request.path.substr(Path.size()) : std::string();
 }
 
-int statusOf(base::ErrorKind kind)
+int httpStatus(base::ErrorKind kind)
 {
     switch (kind) {
     case base::ErrorKind::NotFound:
@@ -69,13 +69,13 @@
     }
 }
 
-void answerError(httplib::Response &response, const base::Error &error)
+void setErrorResponse(httplib::Response &response, const base::Error &error)
 {
-    response.status = statusOf(error.kind);
+    response.status = httpStatus(error.kind);
     response.set_content(Json{{"error", {{"message", error.message}}}}.dump(), JsonType);
 }
 
-std::uint64_t numberOf(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -88,7 +88,7 @@
     if (request.has_header("If-None-Match")) {
         return {};
     }
-    return {request.has_header("If-Match") ? numberOf(request.get_header_value("If-Match")) : UINT64_MAX};
+    return {request.has_header("If-Match") ? parseNumber(request.get_header_value("If-Match")) : UINT64_MAX};
 }
 
 } // namespace
@@ -98,15 +98,15 @@
 public:
     explicit Impl(const PlatformOptions &options)
         : m_listLag(options.listLag)
-        , m_program(options.endpoint)
+        , m_httpServer(options.endpoint)
     {
         addObjectHandlers();
         addAdminHandlers();
     }
 
-    http::HttpServer &program()
+    http::HttpServer &httpServer()
     {
-        return m_program;
+        return m_httpServer;
     }
     store::MemoryStore &store()
     {
@@ -116,7 +116,7 @@
     void setFault(const Json &json)
     {
         static const std::map<std::string, FaultMode> Modes{
-            {"up", FaultMode::Up}, {"down", FaultMode::Down}, {"slow", FaultMode::Slow}, {"lose_answers", FaultMode::LoseAnswers}};
+            {"up", FaultMode::Up}, {"down", FaultMode::Down}, {"slow", FaultMode::Slow}, {"lose_answers", FaultMode::LoseResponses}};
         const std::uint64_t count = json.value("count", std::uint64_t{0});
         const Fault fault{Modes.at(json.at("mode").get<std::string>()), base::milliseconds{json.value("delay_ms", 0)}, count == 0 ? UINT64_MAX : count,
                           json.value("skip", std::uint64_t{0}), json.value("prefix", "")};
@@ -129,36 +129,36 @@
 
     void addObjectHandlers()
     {
-        auto &server = m_program.server();
-        server.Get("/v1/objects/(.+)", faulty(m_reads, [this](const auto &request, auto &response) {
+        auto &server = m_httpServer.server();
+        server.Get("/v1/objects/(.+)", withFaults(m_reads, [this](const auto &request, auto &response) {
                        const auto object = m_store.read(std::string(request.matches[1]));
-                       object ? response.set_content(store::encodeObject(object.value()), JsonType) : answerError(response, object.error());
+                       object ? response.set_content(store::encodeObject(object.value()), JsonType) : setErrorResponse(response, object.error());
                    }));
-        server.Put("/v1/objects/(.+)", faulty(m_writes, [this](const auto &request, auto &response) {
+        server.Put("/v1/objects/(.+)", withFaults(m_writes, [this](const auto &request, auto &response) {
                        const auto version = m_store.write(std::string(request.matches[1]), request.body, expectedVersion(request));
-                       version ? response.set_content(store::encodeVersion(version.value()), JsonType) : answerError(response, version.error());
+                       version ? response.set_content(store::encodeVersion(version.value()), JsonType) : setErrorResponse(response, version.error());
                    }));
-        server.Delete("/v1/objects/(.+)", faulty(m_writes, [this](const auto &request, auto &response) {
+        server.Delete("/v1/objects/(.+)", withFaults(m_writes, [this](const auto &request, auto &response) {
                           const auto done = m_store.remove(std::string(request.matches[1]), expectedVersion(request));
-                          done ? response.set_content("{}", JsonType) : answerError(response, done.error());
+                          done ? response.set_content("{}", JsonType) : setErrorResponse(response, done.error());
                       }));
-        server.Get("/v1/list", faulty(m_reads, [this](const auto &request, auto &response) {
+        server.Get("/v1/list", withFaults(m_reads, [this](const auto &request, auto &response) {
                        response.set_content(store::encodeChanges(m_store.list(request.get_param_value("prefix")).value()), JsonType);
                    }));
-        server.Get("/v1/watch", faulty(m_watches, [this](const auto &request, auto &response) {
-                       const base::Duration wait = std::min<base::Duration>(MaxWatchWait, base::milliseconds{numberOf(request.get_param_value("wait_ms"))});
-                       const store::Version since{numberOf(request.get_param_value("since"))};
+        server.Get("/v1/watch", withFaults(m_watches, [this](const auto &request, auto &response) {
+                       const base::Duration wait = std::min<base::Duration>(MaxWatchWait, base::milliseconds{parseNumber(request.get_param_value("wait_ms"))});
+                       const store::Version since{parseNumber(request.get_param_value("since"))};
                        const auto changes = m_store.watch(request.get_param_value("prefix"), since, wait);
-                       changes ? response.set_content(store::encodeChanges(changes.value()), JsonType) : answerError(response, changes.error());
+                       changes ? response.set_content(store::encodeChanges(changes.value()), JsonType) : setErrorResponse(response, changes.error());
                    }));
-        server.Get("/v1/vms", faulty(m_reads, [this](const auto &, auto &response) {
+        server.Get("/v1/vms", withFaults(m_reads, [this](const auto &, auto &response) {
                        response.set_content(store::encodeVms(m_store.vms().value()), JsonType);
                    }));
     }
 
     void addAdminHandlers()
     {
-        auto &server = m_program.server();
+        auto &server = m_httpServer.server();
         server.Post("/admin/faults", [this](const httplib::Request &request, httplib::Response &response) {
             setFault(Json::parse(request.body));
             response.set_content("{}", JsonType);
@@ -166,10 +166,10 @@
         server.Post("/admin/vms", [this](const httplib::Request &request, httplib::Response &response) {
             auto vms = store::decodeVms(request.body);
             if (!vms) {
-                answerError(response, vms.error());
+                setErrorResponse(response, vms.error());
                 return;
             }
-            showLater(std::move(vms).value());
+            publishVmsAfterLag(std::move(vms).value());
             response.set_content("{}", JsonType);
         });
         server.Get("/admin/counters", [this](const httplib::Request &, httplib::Response &response) {
@@ -178,7 +178,7 @@
     }
 
     // The fault that a call meets now; counts it down.
-    Fault takeFault(const httplib::Request &request)
+    Fault consumeFault(const httplib::Request &request)
     {
         const std::string domain = request.get_header_value("X-Failure-Domain");
         const std::lock_guard lock(m_mutex);
@@ -186,7 +186,7 @@
         if (it == m_faults.end()) {
             it = m_faults.find("");
         }
-        if (it == m_faults.end() || it->second.callsLeft == 0 || !objectOf(request).starts_with(it->second.prefix)) {
+        if (it == m_faults.end() || it->second.callsLeft == 0 || !objectName(request).starts_with(it->second.prefix)) {
             return {};
         }
         if (it->second.skip > 0) {
@@ -197,27 +197,27 @@
         return it->second;
     }
 
-    Handler faulty(std::atomic<std::uint64_t> &counter, Handler handler)
+    Handler withFaults(std::atomic<std::uint64_t> &counter, Handler handler)
     {
         return [this, &counter, handler = std::move(handler)](const httplib::Request &request, httplib::Response &response) {
             ++counter;
-            const Fault fault = takeFault(request);
+            const Fault fault = consumeFault(request);
             if (fault.mode == FaultMode::Down) {
-                answerError(response, base::fail(base::ErrorKind::Unavailable, "the platform is down"));
+                setErrorResponse(response, base::fail(base::ErrorKind::Unavailable, "the platform is down"));
                 return;
             }
             if (fault.mode == FaultMode::Slow) {
                 std::this_thread::sleep_for(fault.delay);
             }
             handler(request, response);
-            if (fault.mode == FaultMode::LoseAnswers) {
-                loseAnswer(response);
+            if (fault.mode == FaultMode::LoseResponses) {
+                truncateResponse(response);
             }
         };
     }
 
     // A body that ends before its announced length closes the connection.
-    static void loseAnswer(httplib::Response &response)
+    static void truncateResponse(httplib::Response &response)
     {
         response.body.clear();
         response.headers.clear();
@@ -226,12 +226,12 @@
         });
     }
 
-    void showLater(std::vector<store::VmRecord> vms)
+    void publishVmsAfterLag(std::vector<store::VmRecord> vms)
     {
         const std::lock_guard lock(m_mutex);
-        m_showing.emplace_back([this, vms = std::move(vms)](const std::stop_token &stop) mutable {
-            const auto showAt = std::chrono::steady_clock::now() + m_listLag;
-            while (!stop.stop_requested() && std::chrono::steady_clock::now() < showAt) {
+        m_vmPublishers.emplace_back([this, vms = std::move(vms)](const std::stop_token &stop) mutable {
+            const auto publishAt = std::chrono::steady_clock::now() + m_listLag;
+            while (!stop.stop_requested() && std::chrono::steady_clock::now() < publishAt) {
                 std::this_thread::sleep_for(base::milliseconds{10});
             }
             m_store.setVms(std::move(vms));
@@ -245,8 +245,8 @@
     std::atomic<std::uint64_t> m_watches = 0;
     std::mutex m_mutex;
     std::map<std::string, Fault> m_faults; // by failure domain, "" for all; guarded by m_mutex
-    http::HttpServer m_program;
-    std::vector<std::jthread> m_showing; // guarded by m_mutex; ends before the store
+    http::HttpServer m_httpServer;
+    std::vector<std::jthread> m_vmPublishers; // guarded by m_mutex; ends before the store
 };
 
 Platform::Platform(const PlatformOptions &options)
@@ -261,17 +261,17 @@
 
 bool Platform::start()
 {
-    return m_impl->program().start();
+    return m_impl->httpServer().start();
 }
 
 void Platform::stop()
 {
-    m_impl->program().stop();
+    m_impl->httpServer().stop();
 }
 
 const base::Endpoint &Platform::endpoint() const
 {
-    return m_impl->program().endpoint();
+    return m_impl->httpServer().endpoint();
 }
 
 void Platform::injectFault(const PlatformFault &fault)
--- a/standin/service.cpp
+++ b/standin/service.cpp
@@ -39,21 +39,21 @@
     explicit Impl(const ServiceOptions &options)
         : m_runTime(options.runTime)
         , m_incarnation(base::newIncarnation())
-        , m_program(options.endpoint)
+        , m_httpServer(options.endpoint)
     {
         addStateHandlers();
-        addRunHandlers();
+        addCallHandlers();
     }
 
-    http::HttpServer &program()
+    http::HttpServer &httpServer()
     {
-        return m_program;
+        return m_httpServer;
     }
 
 private:
     void addStateHandlers()
     {
-        auto &server = m_program.server();
+        auto &server = m_httpServer.server();
         server.Get("/v1/load", [this](const httplib::Request &, httplib::Response &response) {
             const std::lock_guard lock(m_mutex);
             response.set_content(Json{{"incarnation", http::toHex(m_incarnation.value)}, {"state", m_state}, {"running", m_running}, {"age_ms", 0}}.dump(),
@@ -81,12 +81,12 @@
         });
     }
 
-    void addRunHandlers()
+    void addCallHandlers()
     {
         const auto handler = [this](const httplib::Request &request, httplib::Response &response) {
-            run(request, response);
+            handleCall(request, response);
         };
-        auto &server = m_program.server();
+        auto &server = m_httpServer.server();
         server.Get("/.*", handler);
         server.Post("/.*", handler);
         server.Put("/.*", handler);
@@ -94,11 +94,11 @@
         server.Patch("/.*", handler);
     }
 
-    void run(const httplib::Request &request, httplib::Response &response)
+    void handleCall(const httplib::Request &request, httplib::Response &response)
     {
         response.set_header("X-Attempt-Id", request.get_header_value("X-Attempt-Id"));
         response.set_header("X-Incarnation", http::toHex(m_incarnation.value));
-        const std::string fault = begin(request);
+        const std::string fault = startCall(request);
         if (fault == "refuse" || fault == "leaving") {
             response.status = StatusUnavailable;
             const std::string type = fault == "leaving" ? fault : "overloaded";
@@ -106,19 +106,19 @@
             return;
         }
         std::this_thread::sleep_for(m_runTime);
-        end();
-        const Json answer{{"ran", request.path}, {"order", request.get_header_value("X-Order-Key")}, {"bytes", request.body.size()}};
+        finishCall();
+        const Json result{{"ran", request.path}, {"order", request.get_header_value("X-Order-Key")}, {"bytes", request.body.size()}};
         if (fault == "lose_answers") {
             response.set_content_provider(1, JsonType, [](std::size_t, std::size_t, httplib::DataSink &) {
                 return false;
             });
             return;
         }
-        response.set_content(answer.dump(), JsonType);
+        response.set_content(result.dump(), JsonType);
     }
 
     // Journals the call unless it is refused; returns the fault that it meets.
-    std::string begin(const httplib::Request &request)
+    std::string startCall(const httplib::Request &request)
     {
         const std::lock_guard lock(m_mutex);
         std::string fault = m_state == "leaving" ? m_state : "up";
@@ -136,7 +136,7 @@
         return fault;
     }
 
-    void end()
+    void finishCall()
     {
         const std::lock_guard lock(m_mutex);
         --m_running;
@@ -151,7 +151,7 @@
     std::uint64_t m_faultCalls = 0;
     std::string m_state = "live";
     int m_running = 0;
-    http::HttpServer m_program;
+    http::HttpServer m_httpServer;
 };
 
 Service::Service(const ServiceOptions &options)
@@ -166,17 +166,17 @@
 
 bool Service::start()
 {
-    return m_impl->program().start();
+    return m_impl->httpServer().start();
 }
 
 void Service::stop()
 {
-    m_impl->program().stop();
+    m_impl->httpServer().stop();
 }
 
 const base::Endpoint &Service::endpoint() const
 {
-    return m_impl->program().endpoint();
+    return m_impl->httpServer().endpoint();
 }
 
 } // namespace carawaylatch::standin
