--- a/carawaylatch/telemetry/dashboard.cpp
+++ b/carawaylatch/telemetry/dashboard.cpp
@@ -1,10 +1,10 @@
-// The operators' page.
+// Renders the operators' page.
 //
-// From top to bottom in the order of an operator's questions: is this router
-// ready, are callers served (tiles), how did that change (charts), which
-// upstream or customer stands out (tables). Colours mark states, and each state
-// is written out too. Wide tables scroll inside their own box, so that the page
-// itself never scrolls sideways on a phone.
+// The page shows, from top to bottom, the readiness of this router, the totals
+// of its traffic (tiles), their recent course (charts) and the state of each
+// upstream, customer, router, pool and route (tables). States are written out
+// and not marked by colour alone. Wide tables scroll inside their own box, so
+// that the page itself never scrolls horizontally on a phone.
 #include "carawaylatch/telemetry/dashboard.h"
 
 #include <algorithm>
@@ -69,7 +69,7 @@
     return "<span class=\"state " + std::string(state.cssClass) + "\">" + std::string(state.name) + "</span>";
 }
 
-// One column: its heading, its side and the cell of a row as HTML.
+// A table column: its heading, its alignment and a function that renders a row's cell as HTML.
 template <typename Row>
 struct Column
 {
--- a/carawaylatch/telemetry/dashboard.h
+++ b/carawaylatch/telemetry/dashboard.h
@@ -1,7 +1,10 @@
-// The operators' page: plain HTML with SVG charts, made by the router itself.
+// The operators' page: static HTML with inline SVG charts, rendered by the
+// router.
 //
-// It holds no script and loads nothing; it refreshes by a meta tag and reads
-// well at the width of a phone. All names are escaped.
+// The page contains no script and loads no external resource. It refreshes with
+// a meta tag every 5 seconds and its layout adapts to the width of a phone. All
+// names are HTML-escaped, because they come from operators' tables and from
+// other processes.
 #pragma once
 
 #include <string>
@@ -12,7 +15,7 @@
 namespace carawaylatch::telemetry
 {
 
-// Returns the whole page.
+// Returns the whole page as an HTML document.
 [[nodiscard]] std::string renderDashboard(const StatusReport &report, const DashboardSeries &series);
 
 } // namespace carawaylatch::telemetry
--- a/carawaylatch/telemetry/dashboardseries.cpp
+++ b/carawaylatch/telemetry/dashboardseries.cpp
@@ -1,8 +1,9 @@
-// Points from differences of totals.
+// Computes points from the differences of totals.
 //
-// Totals only grow, so a point needs nothing but two samples: rates are the
-// difference over the time between them, quantiles come from the counts of that
-// time alone. A sample that follows at once, without time between, is ignored.
+// Totals never decrease, so two samples are enough for a point: a rate is the
+// difference divided by the time between the samples, and quantiles come from
+// the histogram of that interval. A sample that is not later than the previous
+// one is ignored, because a rate needs an interval above zero.
 #include "carawaylatch/telemetry/dashboardseries.h"
 
 #include <algorithm>
--- a/carawaylatch/telemetry/dashboardseries.h
+++ b/carawaylatch/telemetry/dashboardseries.h
@@ -1,8 +1,8 @@
-// A short history of the router's rates for its own page.
+// A bounded history of the router's rates for the operators' page.
 //
-// The control loop samples the totals every few seconds; each sample becomes
-// one point of what happened since the sample before. The ring keeps the newest
-// `capacity` points and drops the oldest. One thread writes; the page is
+// The control loop samples the totals every few seconds; each sample adds one
+// point for the interval since the previous sample. The newest `capacity`
+// points are kept. Not thread-safe: one thread adds samples, and the page is
 // rendered from a copy.
 #pragma once
 
@@ -16,15 +16,16 @@
 namespace carawaylatch::telemetry
 {
 
+// Rates and quantiles of one interval; `time` is its end.
 struct DashboardPoint
 {
     base::TimePoint time;
     double requestsPerSecond = 0;
     double refusalsPerSecond = 0;
     double tokensPerSecond = 0;
-    std::optional<double> hitRate; // nothing without a prompt in the interval
-    std::optional<base::Duration> firstTokenP50; // interactive
-    std::optional<base::Duration> firstTokenP99; // interactive
+    std::optional<double> hitRate; // 0 to 1; empty if the interval has no prompt tokens
+    std::optional<base::Duration> firstTokenP50; // of interactive requests; empty without one
+    std::optional<base::Duration> firstTokenP99; // of interactive requests; empty without one
 };
 
 class DashboardSeries
@@ -32,7 +33,7 @@
 public:
     explicit DashboardSeries(std::size_t capacity = 240);
 
-    // Adds the point between the former sample and this one; the first sample adds none.
+    // Adds a point for the interval since the previous sample; the first sample adds none.
     void sample(base::TimePoint now, const MetricsTotals &totals);
 
     [[nodiscard]] const std::deque<DashboardPoint> &points() const
--- a/carawaylatch/telemetry/eventlog.cpp
+++ b/carawaylatch/telemetry/eventlog.cpp
@@ -1,5 +1,5 @@
-// A pipe that polls as writable takes PIPE_BUF bytes without blocking, so the
-// buffer is written in pieces of at most that size.
+// Writes the buffer in chunks of at most PIPE_BUF bytes: a pipe that poll(2)
+// reports as writable accepts that many bytes without blocking.
 #include "carawaylatch/telemetry/eventlog.h"
 
 #include <poll.h>
@@ -30,7 +30,7 @@
     append(line);
 }
 
-// The lock is held.
+// Requires m_mutex.
 void EventLog::append(const std::string &line)
 {
     if (m_buffer.size() + line.size() > m_maxBufferedBytes) {
--- a/carawaylatch/telemetry/eventlog.h
+++ b/carawaylatch/telemetry/eventlog.h
@@ -1,8 +1,11 @@
-// Log events on a descriptor, through a bounded buffer that never blocks.
+// Writes log events to a file descriptor through a bounded buffer, without
+// blocking the caller.
 //
-// write() appends a line to the buffer; when the buffer is full the line is
-// dropped and counted. flush() writes what the descriptor takes at once. The
-// next line that fits after a loss tells how many were lost.
+// write() appends a line to the buffer; if the buffer is full, the line is
+// dropped and counted. flush() writes as much as the descriptor accepts without
+// blocking. After lines were dropped, a LogLinesDropped event with the total
+// precedes the next line that fits. A slow log reader thus costs lines and never
+// delays traffic.
 //
 //     E2420 RequestEnded t=12.345 id=9c41 route=r-1 status=200 ...
 #pragma once
@@ -21,13 +24,14 @@
 class EventLog
 {
 public:
-    // `descriptor` stays open for the log's life. `clock` outlives the log.
+    // `descriptor` must stay open and `clock` must exist for the lifetime of the log.
     EventLog(int descriptor, std::size_t maxBufferedBytes, const base::Clock &clock);
 
-    // Safe from any thread.
+    // Thread-safe. Appends one line; drops and counts it if the buffer has no room.
     void write(base::LogEvent event, std::initializer_list<base::LogField> fields);
+    // Thread-safe. Writes buffered bytes until the descriptor would block or fails.
     void flush();
-    // Lines dropped since the start.
+    // Returns the number of lines dropped since the start.
     [[nodiscard]] std::uint64_t dropped() const;
 
 private:
--- a/carawaylatch/telemetry/explainreport.cpp
+++ b/carawaylatch/telemetry/explainreport.cpp
@@ -1,6 +1,6 @@
-// The explanation of a placement as JSON, in the form of the status report:
-// units in field names, durations in whole milliseconds, bytes that are not
-// UTF-8 replaced.
+// Renders the explanation of a placement as JSON, with the conventions of the
+// status report: field names carry units, durations are whole milliseconds and
+// bytes that are not valid UTF-8 are replaced.
 #include "carawaylatch/telemetry/explainreport.h"
 
 #include <nlohmann/json.hpp>
--- a/carawaylatch/telemetry/explainreport.h
+++ b/carawaylatch/telemetry/explainreport.h
@@ -1,4 +1,7 @@
-// Why a request would go where it would go: the answer of POST /v1/explain.
+// The explanation of a placement decision: the response of POST /v1/explain.
+//
+// It lists the considered upstreams with their scores, so that an operator can
+// see why a request would be sent to one of them or refused.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +15,15 @@
 namespace carawaylatch::telemetry
 {
 
-// One upstream that the placement weighed.
+// An upstream that the placement considered.
 struct ExplainCandidate
 {
     base::UpstreamId upstream;
     base::Duration expectedWait{}; // in the upstream's queue
-    std::uint64_t missingTokens = 0; // prompt tokens it would have to compute
-    std::uint64_t cachedTokens = 0; // prompt tokens it is believed to hold
-    base::Duration score{}; // expected time to the first token; the least wins
-    std::string excluded; // why it can't be chosen, empty for a candidate
+    std::uint64_t missingTokens = 0; // prompt tokens to compute
+    std::uint64_t cachedTokens = 0; // prompt tokens expected in its cache
+    base::Duration score{}; // expected time to the first token; the lowest is chosen
+    std::string excluded; // why it is not eligible; empty if it is
 };
 
 struct ExplainReport
@@ -32,8 +35,8 @@
     std::string strategy;
     std::uint64_t promptTokens = 0;
     std::optional<base::UpstreamId> chosen;
-    std::string refusal; // error kind and remedy where nothing was chosen
-    std::vector<ExplainCandidate> candidates; // least score first
+    std::string refusal; // error kind and remedy if no upstream was chosen
+    std::vector<ExplainCandidate> candidates; // in ascending order of score
 };
 
 // Returns the report as JSON; docs/API.md gives its fields and units.
--- a/carawaylatch/telemetry/htmltext.cpp
+++ b/carawaylatch/telemetry/htmltext.cpp
@@ -1,7 +1,7 @@
-// Text of the operators' page.
+// Formats values for the operators' page.
 //
-// Numbers are cut to what a reader can use at a glance: three significant
-// digits, with a unit that keeps them below a thousand.
+// Numbers get a unit that keeps them short, and one decimal place if they are
+// below 100 and not whole.
 #include "carawaylatch/telemetry/htmltext.h"
 
 #include <array>
--- a/carawaylatch/telemetry/htmltext.h
+++ b/carawaylatch/telemetry/htmltext.h
@@ -1,4 +1,4 @@
-// Text of the operators' page: escaping and units.
+// Text functions of the operators' page: HTML escaping and values with units.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 namespace carawaylatch::telemetry
 {
 
-// Returns the text with the five characters that HTML gives a meaning replaced.
+// Returns the text with &, <, >, " and ' replaced by character references.
 [[nodiscard]] std::string escapeHtml(std::string_view text);
 
-// Return a value with its unit, such as "84 ms", "1.3 s", "2 h 5 min", "12.4k", "78 MB", "93%".
+// Format a value with its unit, such as "84 ms", "1.3 s", "2 h 5 min", "12.4k", "78 MB", "93%".
 [[nodiscard]] std::string durationText(base::Duration duration);
 [[nodiscard]] std::string uptimeText(base::Duration duration);
 [[nodiscard]] std::string countText(double count);
 [[nodiscard]] std::string bytesText(std::uint64_t bytes);
-[[nodiscard]] std::string percentText(double share);
+[[nodiscard]] std::string percentText(double share); // share is 0 to 1
 
 } // namespace carawaylatch::telemetry
--- a/carawaylatch/telemetry/latencyhistogram.cpp
+++ b/carawaylatch/telemetry/latencyhistogram.cpp
@@ -1,10 +1,10 @@
 // Buckets with exponentially growing edges.
 //
 // A fixed growth factor gives the same relative error at one millisecond and at
-// ten seconds, so one small array serves token intervals and waits in a queue
-// alike. The edges are a table made once; finding a bucket is a binary search
-// over it. Counts only grow, so that the difference of two copies is the count
-// of the time between them and no window needs a lock or a reset.
+// ten seconds, so one small array serves both token intervals and queue waits.
+// The edges are computed once, and a bucket is found by binary search. Counts
+// never decrease, so the difference of two snapshots is the histogram of the
+// interval between them, and no window needs a lock or a reset.
 #include "carawaylatch/telemetry/latencyhistogram.h"
 
 #include <algorithm>
--- a/carawaylatch/telemetry/latencyhistogram.h
+++ b/carawaylatch/telemetry/latencyhistogram.h
@@ -1,9 +1,9 @@
-// Counts of durations in buckets that grow by a fixed factor.
+// A latency histogram with exponentially growing buckets.
 //
-// Prometheus histograms carry what is scraped; this smaller form carries what
-// the router's own page and status show: it is copied as a plain value, two
-// copies subtract to the counts of the time between them, and a quantile is
-// exact to one bucket, 20%.
+// The Prometheus histograms serve scrapes; this smaller one serves the
+// operators' page and the status report. It is a plain value: two snapshots
+// subtract to the histogram of the interval between them. A quantile is exact to
+// one bucket, 20%.
 #pragma once
 
 #include <array>
@@ -16,14 +16,14 @@
 namespace carawaylatch::telemetry
 {
 
-// Buckets: the first ends at one millisecond, each next one 1.2 times higher;
-// the last, above 18 seconds, is open.
+// The upper edge of the first bucket is one millisecond, and each next edge is
+// 1.2 times higher. The last bucket has no upper bound and starts above 18 s.
 constexpr std::size_t LatencyBucketCount = 56;
 
-// Returns the bucket that counts a duration.
+// Returns the index of the bucket that counts a duration.
 [[nodiscard]] std::size_t latencyBucket(base::Duration duration);
 
-// Returns the upper edge of a bucket.
+// Returns the upper edge of a bucket; the last one for an index out of range.
 [[nodiscard]] base::Duration latencyBucketEdge(std::size_t bucket);
 
 struct LatencyHistogram
@@ -31,14 +31,15 @@
     std::array<std::uint64_t, LatencyBucketCount> counts{};
 
     [[nodiscard]] std::uint64_t total() const;
-    // Returns the duration below which the given share of durations lies, as
-    // the upper edge of its bucket; zero without any. Share is in (0, 1].
+    // Returns the upper edge of the bucket that contains the quantile `share`, in
+    // (0, 1]; zero if the histogram is empty.
     [[nodiscard]] base::Duration quantile(double share) const;
-    // Returns what was counted after `earlier`, a former copy of the same counts.
+    // Returns the durations counted after `earlier`, an older snapshot of the same histogram.
     [[nodiscard]] LatencyHistogram since(const LatencyHistogram &earlier) const;
 };
 
-// The shared form: any thread adds, any thread takes a copy.
+// A histogram with atomic counts. Thread-safe: any thread may add durations or
+// take a snapshot.
 class LatencyRecorder
 {
 public:
--- a/carawaylatch/telemetry/metrics.cpp
+++ b/carawaylatch/telemetry/metrics.cpp
@@ -1,18 +1,18 @@
 // Metrics on prometheus-cpp.
 //
-// prometheus-cpp finds a series by a map of labels under a lock, which is too
-// slow for one record a token. So each admitted customer has a slot of its own
-// that holds one pointer for each class and histogram. Slots stand in an open
-// addressed table of fixed size; they are only ever added, by the thread that
-// learns a configuration, and published by a release store, so that a traffic
-// thread finds its slot with one hash and, as a rule, one string comparison and
-// takes no lock. The pointer to a histogram starts empty and is filled at the
-// first record, under the lock of prometheus-cpp's family. Names that were not
-// admitted share the slot named "other".
+// prometheus-cpp looks up a series in a map of labels under a lock, which is too
+// slow for one record per token. Therefore each admitted customer has a slot
+// with one histogram pointer for each traffic class and measure. Slots are kept
+// in an open-addressing hash table of fixed size. They are never removed; the
+// thread that applies a configuration adds them with a release store, so that a
+// traffic thread finds a slot without a lock, with one hash and usually one
+// string comparison. A histogram pointer is null until the first record, which
+// creates the histogram under the lock of its prometheus-cpp family. All names
+// that were not admitted share the slot "other".
 //
-// Counters by route work the same way. Counters of an enumeration are arrays of
-// pointers, made at the start, so that every kind shows as zero before its
-// first event and an alert on its rate works from the first one on.
+// Counters by route work in the same way. Counters by an enumeration are arrays
+// of pointers that are created at the start, so that each value is exported as
+// zero before its first event and an alert on its rate includes the first one.
 #include "carawaylatch/telemetry/metrics.h"
 
 #include <prometheus/counter.h>
@@ -72,7 +72,7 @@
     return Values;
 }
 
-// What is measured for each customer and class.
+// The histograms of each customer and traffic class.
 enum class Measure {
     FirstToken,
     TokenGap,
@@ -85,7 +85,7 @@
 struct CustomerSlot
 {
     std::string name;
-    // Empty until the first record; written once.
+    // Null until the first record; two threads that race store the same pointer.
     std::array<std::array<std::atomic<prometheus::Histogram *>, MeasureCount>, ClassCount> histograms{};
 };
 
@@ -95,7 +95,7 @@
     std::array<std::atomic<prometheus::Counter *>, OutcomeCount> counters{};
 };
 
-// Names with a slot each: readers take no lock, slots are never removed.
+// A hash table of slots by name. Readers take no lock; slots are never removed.
 template <typename Slot>
 class SlotTable
 {
@@ -107,7 +107,7 @@
         m_other.name = OtherName;
     }
 
-    // Returns the name's slot, or the shared one.
+    // Returns the slot of the name, or the shared slot "other" if it has none.
     [[nodiscard]] Slot &find(std::string_view name)
     {
         const std::size_t mask = m_cells.size() - 1;
@@ -122,7 +122,7 @@
         }
     }
 
-    // Gives the name a slot while the bound allows. One thread at a time.
+    // Adds a slot for the name unless the table is full. Calls must be serialized.
     void admit(std::string_view name)
     {
         if (m_slots.size() >= m_maxNames || name == OtherName || &find(name) != &m_other) {
@@ -140,7 +140,7 @@
 
 private:
     const std::size_t m_maxNames;
-    // At most half full, so that a search ends at an empty cell.
+    // At most half full, so that linear probing ends at an empty cell.
     std::vector<std::atomic<Slot *>> m_cells;
     std::vector<std::unique_ptr<Slot>> m_slots;
     Slot m_other;
@@ -250,7 +250,7 @@
 
     SlotTable<CustomerSlot> customers;
     SlotTable<RouteSlot> routes;
-    std::mutex admitMutex; // guards admission to both tables
+    std::mutex admitMutex; // serializes admission to both tables
 
     std::mutex upstreamMutex; // guards upstreamGauges
     std::map<std::string, prometheus::Gauge *, std::less<>> upstreamGauges;
@@ -322,7 +322,7 @@
     auto *histogram = cell.load(std::memory_order_acquire);
     if (histogram == nullptr) {
         const auto &measureFamily = measures.at(static_cast<std::size_t>(measure));
-        // Add returns the same series to two threads that race here.
+        // Add() returns the same series to threads that race here.
         histogram = &measureFamily.family->Add({{"customer", slot.name}, {"class", std::string(trafficClassName(trafficClass))}}, *measureFamily.edges);
         cell.store(histogram, std::memory_order_release);
     }
--- a/carawaylatch/telemetry/metrics.h
+++ b/carawaylatch/telemetry/metrics.h
@@ -1,22 +1,22 @@
 // The router's metrics.
 //
-// One Metrics object lives as long as the router. Traffic threads record into
-// it without a lock on the way to a customer's series; GET /metrics renders it
-// in the Prometheus text format.
+// One Metrics object exists for the lifetime of the router. Traffic threads find
+// a customer's series without a lock; GET /metrics renders all series in the
+// Prometheus text format.
 //
 //     Metrics metrics;
-//     metrics.registerTables(tables);    // with each configuration in force
+//     metrics.registerTables(tables);    // for each new configuration
 //     metrics.recordFirstToken(customer, TrafficClass::Interactive, wait);
-//     answer.body = metrics.renderText();
+//     response.body = metrics.renderText();
 //
 // Cardinality is bounded: the first MetricsOptions::maxCustomers customers that
-// appear in a configuration have series of their own, every other name is
-// counted under customer="other". The same holds for routes; upstreams beyond their bound
-// have no gauge. A
-// series exists from its first record on, so that memory follows use.
+// appear in a configuration have series of their own, and every other name is
+// counted under customer="other". Routes are bounded in the same way; upstreams
+// beyond their bound have no gauge. A series is created by its first record, so
+// that memory use follows the customers with traffic.
 //
-// Units: durations are exported in seconds, as Prometheus expects, sizes in
-// bytes and lengths of prompts in tokens.
+// Units: durations are exported in seconds, as is usual for Prometheus, sizes in
+// bytes and prompt lengths in tokens.
 #pragma once
 
 #include <cstddef>
@@ -40,12 +40,13 @@
 
 // How a caller's request ended.
 enum class RequestOutcome {
-    Completed, // the whole answer was delivered
-    Refused, // nothing ran; the caller was told when to come back
-    Failed, // the caller got an explicit error
-    Cancelled, // the caller went away
+    Completed, // the whole response was delivered
+    Refused, // not executed; the response says after which time to retry
+    Failed, // the response is an error
+    Cancelled, // the caller closed the connection
 };
 
+// The outcome of an at-most-once call.
 enum class OrderOutcome {
     Done,
     NotRun,
@@ -61,7 +62,7 @@
     Unreachable,
 };
 
-// Why a message of another router was dropped.
+// Why a message from another router was dropped.
 enum class PeerRefusal {
     WrongKey,
     WrongVersion,
@@ -70,14 +71,14 @@
     Replayed,
 };
 
-// What the router spends control messages on.
+// The counterparts of the router's control messages.
 enum class ControlChannel {
     Peer, // other routers
     Platform, // object API calls
     Upstream, // load reports and cache events
 };
 
-// Names as they stand in labels, answers and pages, such as "not_run".
+// Names used in metric labels, responses and the operators' page, such as "not_run".
 [[nodiscard]] std::string_view requestOutcomeName(RequestOutcome outcome);
 [[nodiscard]] std::string_view orderOutcomeName(OrderOutcome outcome);
 [[nodiscard]] std::string_view upstreamStateName(UpstreamState state);
@@ -85,7 +86,8 @@
 [[nodiscard]] std::string_view controlChannelName(ControlChannel channel);
 [[nodiscard]] std::string_view trafficClassName(base::TrafficClass trafficClass);
 
-// Bounds of the series, each in names; what goes beyond is counted under "other".
+// Limits on the number of names with series of their own. Further customers and
+// routes are counted under "other"; further upstreams have no gauge.
 struct MetricsOptions
 {
     std::size_t maxCustomers = 640;
@@ -93,7 +95,7 @@
     std::size_t maxUpstreams = 1024;
 };
 
-// Sums since the start, as the status report and the page show them.
+// Totals since the start, for the status report and the operators' page.
 struct MetricsTotals
 {
     std::uint64_t requests = 0;
@@ -127,38 +129,42 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    // Admits the names of a configuration to series of their own, in the order
-    // of its rows and up to the bounds. Names stay admitted when a later
-    // configuration drops them, since Prometheus series must not jump back.
+    // Gives the customers and routes of a configuration series of their own, in
+    // the order of its rows and up to the limits. A name keeps its series when a
+    // later configuration removes it, because Prometheus counters must not
+    // decrease.
     void registerTables(const config::Tables &tables);
 
-    // Histograms for each customer and class. Safe for use from any thread.
+    // Histograms by customer and traffic class. Thread-safe.
     void recordFirstToken(const base::CustomerId &customer, base::TrafficClass trafficClass, base::Duration wait);
     void recordTokenGap(const base::CustomerId &customer, base::TrafficClass trafficClass, base::Duration gap);
     void recordQueueWait(const base::CustomerId &customer, base::TrafficClass trafficClass, base::Duration wait);
-    // Records one answered prompt; cachedTokens is the engine's own count.
+    // Records a completed prompt; cachedTokens is the count that the engine reports.
     void recordPrompt(const base::CustomerId &customer, base::TrafficClass trafficClass, std::uint64_t promptTokens, std::uint64_t cachedTokens);
 
-    // Counters. Safe for use from any thread.
+    // Counters. Thread-safe.
     void countRequest(const base::RouteName &route, RequestOutcome outcome);
     void countRefusal(base::ErrorKind kind);
     void countRetry();
     void countHedge();
     void countOrder(OrderOutcome outcome);
-    // Adds prompt tokens that were computed again although a live upstream held them.
+    // Adds prompt tokens that were recomputed although a live upstream had them cached.
     void countWastedTokens(std::uint64_t tokens);
-    // Counts an answer of another attempt, incarnation, weights version or salt.
+    // Counts a response that was discarded because it names another attempt,
+    // incarnation, weights version or cache salt than the request.
     void countStaleResponse();
     void countPeerRefusal(PeerRefusal reason, std::uint64_t bytes);
     // Adds control messages and their bytes, sent or received.
     void countControl(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes);
 
-    // Bring counters up to totals that a transport counts itself; a smaller total changes nothing.
+    // Raise counters to totals that a transport counts itself. A total below the
+    // counter is ignored.
     void raisePeerRefusalsTo(PeerRefusal reason, std::uint64_t messages);
     void raiseControlTo(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes);
 
-    // Gauges. Safe for use from any thread.
-    // Sets the processor time spent on control since the start and the memory that the process holds.
+    // Gauges. Thread-safe.
+    // Sets the processor time of the control thread since the start and the
+    // resident memory of the process.
     void setResourceUsage(base::Duration processorTime, std::uint64_t residentBytes);
     void setUpstreamState(const base::UpstreamId &upstream, UpstreamState state);
     void removeUpstream(const base::UpstreamId &upstream);
@@ -168,7 +174,7 @@
 
     // Returns all series in the Prometheus text format.
     [[nodiscard]] std::string renderText() const;
-    // Returns the sums that the status report and the page show.
+    // Returns the totals for the status report and the operators' page.
     [[nodiscard]] MetricsTotals totals() const;
 
 private:
--- a/carawaylatch/telemetry/processusage.cpp
+++ b/carawaylatch/telemetry/processusage.cpp
@@ -1,7 +1,8 @@
-// Process cost from getrusage, the thread clock and /proc/self/statm.
+// Resource usage from getrusage(2), the thread clock and /proc/self/statm.
 //
-// The control plane's share of a core is the control thread's processor time,
-// read on that thread. Resident memory is the second field of statm, in pages.
+// The control plane's share of a core is computed from the processor time of the
+// control thread, which is read on that thread. Resident memory is the second
+// field of statm, in pages.
 #include "carawaylatch/telemetry/processusage.h"
 
 #include <ctime>
--- a/carawaylatch/telemetry/processusage.h
+++ b/carawaylatch/telemetry/processusage.h
@@ -1,4 +1,4 @@
-// Reads what the process costs: processor time and resident memory.
+// Reads the resource usage of the process: processor time and resident memory.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,11 @@
     std::uint64_t residentBytes = 0;
 };
 
-// Returns the cost of this process; zeros where the kernel gives none.
+// Returns the usage of this process; a value that can't be read is zero.
 [[nodiscard]] ProcessUsage readProcessUsage();
 
-// Returns the processor time of the calling thread, so that the control thread can report its own.
+// Returns the processor time of the calling thread, with which the control thread
+// reports its own; zero if it can't be read.
 [[nodiscard]] base::Duration readThreadProcessorTime();
 
 } // namespace carawaylatch::telemetry
--- a/carawaylatch/telemetry/statusreport.cpp
+++ b/carawaylatch/telemetry/statusreport.cpp
@@ -1,9 +1,10 @@
-// The status report as JSON.
+// Renders the status report as JSON.
 //
-// Field names carry their unit (`_ms`, `_bytes`, `_per_second`). Identities of
-// 64 bits are strings of 16 hex digits, since a JSON reader may keep numbers as
-// doubles and would round them. Names come from operators' tables and may hold
-// any byte; bytes that are not UTF-8 are replaced and never make the answer fail.
+// Field names carry their unit (`_ms`, `_bytes`, `_per_second`). 64-bit
+// identifiers are strings of 16 hex digits, because a JSON parser may store
+// numbers as doubles and round them. Names come from operators' tables and may
+// contain any byte; bytes that are not valid UTF-8 are replaced, so that they
+// never fail the response.
 #include "carawaylatch/telemetry/statusreport.h"
 
 #include <nlohmann/json.hpp>
--- a/carawaylatch/telemetry/statusreport.h
+++ b/carawaylatch/telemetry/statusreport.h
@@ -1,9 +1,9 @@
-// What a router knows of itself and its surroundings, for operators.
+// The status of a router, its peers and its upstreams, for operators.
 //
-// The router fills one StatusReport from its snapshots when it is asked;
-// GET /v1/status answers it as JSON, `carawaylatchctl status` prints it, and the
-// page on the operators' port shows it. It is a plain value: no lock is held
-// while it is rendered. Rows are in the order in which the router lists them.
+// The router fills a StatusReport from its snapshots for each request.
+// GET /v1/status returns it as JSON, `carawaylatchctl status` prints it and the
+// operators' page shows it. It is a plain value, so that no lock is held while it
+// is rendered. Rows are in the order in which the router lists them.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
     NotReady,
 };
 
-// The router that answers.
+// The router that fills the report.
 struct RouterStatus
 {
     base::RouterId id;
@@ -31,7 +31,7 @@
     base::Incarnation incarnation{};
     std::string version;
     Readiness readiness = Readiness::NotReady;
-    std::string reason; // what is missing while not ready, else empty
+    std::string reason; // why the router is not ready; empty if it is
     base::Duration uptime{};
     base::Revision revision{}; // configuration in force
 };
@@ -40,10 +40,10 @@
     Live,
     Suspected,
     Leaving,
-    Gone,
+    Gone, // declared dead by the failure detector
 };
 
-// Another router as this one sees it.
+// Another router, as seen by this one.
 struct PeerStatus
 {
     base::RouterId id;
@@ -67,8 +67,8 @@
     std::uint64_t queuedTokens = 0; // as last reported
     std::uint64_t usedBlocks = 0;
     std::uint64_t capacityBlocks = 0;
-    std::uint32_t inFlight = 0; // this router's own requests there
-    double confidence = 0; // trust in what is known of its cache, 0 to 1
+    std::uint32_t inFlight = 0; // requests of this router on the upstream
+    double confidence = 0; // confidence in this router's view of its cache, 0 to 1
     base::Duration reportAge{}; // age of the last load report
 };
 
@@ -79,7 +79,7 @@
     base::ModelId model;
     base::WeightsVersion weightsVersion{};
     std::uint32_t members = 0;
-    std::uint32_t serving = 0; // members that take new work
+    std::uint32_t serving = 0; // members that accept new requests
 };
 
 struct RouteStatus
@@ -91,7 +91,7 @@
     config::Idempotency idempotency = config::Idempotency::Idempotent;
 };
 
-// A customer's use of its limits at this router; a limit of zero stands for none.
+// A customer's use of its limits at this router; a share of zero means no limit.
 struct CustomerStatus
 {
     base::CustomerId id;
@@ -117,7 +117,8 @@
 
 [[nodiscard]] std::string_view peerStateName(PeerState state);
 
-// Returns the share of prompt tokens that engines took from their caches, 0 to 1.
+// Returns the share of prompt tokens that engines read from their prefix caches,
+// 0 to 1; zero without prompt tokens.
 [[nodiscard]] double hitRate(const MetricsTotals &totals);
 
 // Returns the report as JSON; docs/API.md gives its fields and units.
--- a/carawaylatch/telemetry/svgchart.cpp
+++ b/carawaylatch/telemetry/svgchart.cpp
@@ -1,10 +1,10 @@
 // Line charts without a script.
 //
-// The SVG holds lines only and is stretched to the width of its column; all
-// text stands in HTML around it, so that it keeps its size on a phone. The axis
-// starts at zero and ends at a round number above the greatest value. A missing
-// value ends a line segment and the next one starts a new segment, so a pause
-// in traffic shows as a gap and not as a straight line.
+// The SVG contains only lines and is stretched to the width of its column; all
+// text is HTML around it, so that it keeps its size on a phone. The axis starts
+// at zero and ends at a round number not below the greatest value. A missing
+// value ends a line segment and the next value starts a new one, so that a pause
+// in traffic is drawn as a gap and not as a straight line.
 #include "carawaylatch/telemetry/svgchart.h"
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 constexpr double Width = 600;
 constexpr double Height = 120;
 
-// Returns the least of 1, 2, 5 times a power of ten that is not below the value.
+// Returns the smallest of 1, 2 or 5 times a power of ten that is not below the value.
 double roundUp(double value)
 {
     if (value <= 0) {
@@ -63,7 +63,8 @@
         const double y = Height - Height * std::clamp(*line.values[i] / top, 0.0, 1.0);
         std::snprintf(buf.data(), buf.size(), "%c%.1f %.1f", isDrawing ? 'L' : 'M', step * static_cast<double>(i), y);
         path += buf.data();
-        // A point alone in its segment gets a length, else it would not show.
+        // A segment of a single point has no length and would be invisible, so it is
+        // extended by a horizontal line.
         const bool isSinglePoint = !isDrawing && (i + 1 == line.values.size() || !line.values[i + 1]);
         path += isSinglePoint ? "h2" : "";
         isDrawing = true;
--- a/carawaylatch/telemetry/testing/dashboardtest.cpp
+++ b/carawaylatch/telemetry/testing/dashboardtest.cpp
@@ -1,4 +1,8 @@
-// Status JSON, the operators' page and its history.
+// Tests of the status and explain JSON, the operators' page and its history.
+//
+// Names come from operators and other processes, so a name must never insert
+// markup into the page or fail the JSON. The page must work without network
+// access to other hosts.
 #include "carawaylatch/telemetry/dashboard.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,7 +21,7 @@
 
 const std::string HostileName = R"(<script>alert("x")</script>&'")";
 
-// A report in which every name is hostile.
+// Returns a report in which every name contains HTML markup.
 StatusReport hostileReport()
 {
     StatusReport report;
--- a/carawaylatch/telemetry/testing/metricstest.cpp
+++ b/carawaylatch/telemetry/testing/metricstest.cpp
@@ -1,4 +1,8 @@
-// Metrics: bounded cardinality, escaping, totals, quantiles.
+// Tests of the metrics: bounded cardinality, label escaping, totals and quantiles.
+//
+// They guard against memory that grows with the number of names seen, counters
+// that lose records of parallel threads, and quantiles that are off by more than
+// one bucket.
 #include "carawaylatch/telemetry/metrics.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/standin/engine.cpp
+++ b/standin/engine.cpp
@@ -1,6 +1,6 @@
-// Handlers of the engine's interface (docs/design/wire.md). A stream is read
-// from the model by index, so that a first read, a resumed one and a repeated
-// one are the same code.
+// Handlers of the engine's HTTP interface (docs/design/wire.md). A stream is read
+// from the model by token index, so that a first read, a resumed read and a
+// repeated read share their code.
 #include "standin/engine.h"
 
 #include <httplib.h>
@@ -63,7 +63,9 @@
     return job;
 }
 
-// Writes the job's tokens from `from` on until it is done, cancelled or the reader is gone.
+// Writes the tokens of the job from index `from` on, until the job is done or
+// cancelled or the client has closed the connection. Returns whether the stream
+// is complete.
 bool writeStream(EngineModel &model, base::AttemptId attempt, std::uint64_t from, httplib::DataSink &sink)
 {
     std::uint64_t next = from;
--- a/standin/engine.h
+++ b/standin/engine.h
@@ -1,4 +1,5 @@
-// Stand-in of a model engine: the HTTP interface over an EngineModel.
+// Stand-in for a model engine in tests and benchmarks: serves an EngineModel over
+// the engine's HTTP interface.
 #pragma once
 
 #include "carawaylatch/http/httpserver.h"
@@ -12,6 +13,7 @@
 public:
     explicit Engine(const EngineOptions &options);
 
+    // Returns false if the address can't be bound.
     [[nodiscard]] bool start();
     void stop();
     [[nodiscard]] const base::Endpoint &endpoint() const;
--- a/standin/enginecache.cpp
+++ b/standin/enginecache.cpp
@@ -1,4 +1,4 @@
-// A list in order of use and a hash map over it.
+// An LRU cache: a list in order of use, and a hash map from keys to its entries.
 #include "standin/enginecache.h"
 
 #include <algorithm>
--- a/standin/enginecache.h
+++ b/standin/enginecache.h
@@ -1,8 +1,10 @@
-// The prefix cache of the engine stand-in: blocks by key, least recently used
-// out first, and the log of what was stored and evicted.
+// The prefix cache of the engine stand-in: an LRU cache of block keys and a
+// bounded log of the blocks that were stored and evicted.
 //
-// Each block remembers the namespace and weights it was computed under, so that
-// a hit across namespaces or weights, which must never happen, is counted.
+// Each block records the cache salt and the weights version that it was computed
+// with. A hit on a block of another salt or version must never happen; it would
+// return another customer's state or a result of old weights. Such hits are
+// counted, so that tests can assert that there are none.
 #pragma once
 
 #include <cstdint>
@@ -35,18 +37,20 @@
 class EngineCache
 {
 public:
-    // Holds at most `capacity` blocks and the last MaxEvents events.
+    // Keeps at most `capacity` blocks and the last MaxEvents events.
     explicit EngineCache(std::size_t capacity);
 
     static constexpr std::size_t MaxEvents = 20'000;
 
-    // Returns how many leading keys are held, counting foreign and stale hits.
+    // Returns the number of leading keys that are cached and marks them as used.
+    // Counts hits on blocks of another salt or weights version.
     [[nodiscard]] std::size_t match(std::span<const std::uint64_t> keys, base::CacheSalt salt, base::WeightsVersion weights);
     void store(std::span<const std::uint64_t> keys, base::CacheSalt salt, base::WeightsVersion weights);
     void clear();
 
     [[nodiscard]] std::size_t size() const;
     [[nodiscard]] std::size_t capacity() const;
+    // Returns the number of hits on blocks of another salt or weights version.
     [[nodiscard]] std::uint64_t wrongHits() const;
     [[nodiscard]] std::uint64_t lastSequence() const;
     // Returns the events after a sequence number, at most `limit`.
@@ -65,7 +69,7 @@
     const std::size_t m_capacity;
     std::list<Block> m_blocks; // most recently used first
     std::unordered_map<std::uint64_t, std::list<Block>::iterator> m_byKey; // same blocks as m_blocks
-    std::deque<CacheEvent> m_events; // sequence numbers without gaps
+    std::deque<CacheEvent> m_events; // consecutive sequence numbers
     std::uint64_t m_lastSequence = 0;
     std::uint64_t m_wrongHits = 0;
 };
--- a/standin/enginemodel.cpp
+++ b/standin/enginemodel.cpp
@@ -1,6 +1,6 @@
-// The scheduler of the engine stand-in. It steps by the clock, not by events:
-// some tens of jobs and a step each few milliseconds cost nothing, and all that
-// happens at one time is in one place.
+// The scheduler of the engine stand-in. It runs at fixed intervals and not on
+// events: for some tens of jobs, a step every few milliseconds has a negligible
+// cost, and all state changes are in one function.
 #include "standin/enginemodel.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 {
 
 constexpr std::size_t BytesPerToken = 4;
-constexpr base::Duration UnreadJobTimeout = base::seconds{3}; // a job without a reader is dropped after this
+constexpr base::Duration UnreadJobTimeout = base::seconds{3}; // a job that no client reads is dropped after this time
 constexpr base::Duration SnapshotInterval = base::milliseconds{50};
 constexpr base::Duration SnapshotRetention = base::seconds{10};
 constexpr std::size_t EventsPerCall = 2000;
@@ -28,7 +28,8 @@
     return base::SteadyClock().now();
 }
 
-// Whether an event is lost: by its number alone, so that it stays lost.
+// Returns whether an event is lost. The result depends only on the engine and the
+// sequence number, so that a repeated call loses the same events.
 bool isLost(std::uint64_t sequence, base::Incarnation incarnation, double loss)
 {
     return base::Random(base::combineHashes(incarnation.value, sequence)).unit() < loss;
@@ -257,7 +258,8 @@
     job.isDone = index + 1 >= job.request.maxTokens;
 }
 
-// New weights load once the running jobs are done; the cache of the old ones goes.
+// Loads new weights once the waiting and running jobs are done, and clears the
+// cache of the old ones.
 void EngineModel::advanceWeightLoad(base::TimePoint now)
 {
     if (!m_loading || runningCount() > 0 || !m_waiting.empty()) {
--- a/standin/kvstore.cpp
+++ b/standin/kvstore.cpp
@@ -1,4 +1,5 @@
-// Keeps what it is given; holds manifests only, the cached state itself is not modelled.
+// Stores the manifests in memory as opaque text. The cached state itself is not
+// modelled.
 #include "standin/kvstore.h"
 
 #include <httplib.h>
--- a/standin/kvstore.h
+++ b/standin/kvstore.h
@@ -1,4 +1,5 @@
-// Stand-in of the KV cache store: manifests by block key.
+// Stand-in for the KV cache store in tests: an HTTP server that stores manifests
+// by block key.
 #pragma once
 
 #include <map>
@@ -15,6 +16,7 @@
 public:
     explicit KvStore(const base::Endpoint &endpoint);
 
+    // Returns false if the address can't be bound.
     [[nodiscard]] bool start();
     void stop();
     [[nodiscard]] const base::Endpoint &endpoint() const;
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -1,9 +1,9 @@
-// carawaylatch-standin: runs one stand-in until it is told to stop.
+// carawaylatch-standin: runs one stand-in for tests and benchmarks until a signal.
 //
 //   carawaylatch-standin platform|engine|service|kvstore --listen=127.0.0.1:PORT [...]
 //
-// Prints "listening ADDRESS:PORT" when it serves. Exits with 0 after SIGTERM or
-// SIGINT, 2 for wrong usage, 4 if the address can't be bound.
+// Prints "listening ADDRESS:PORT" once it accepts connections. Exits with 0 after
+// SIGTERM or SIGINT, 2 for wrong usage, 4 if the address can't be bound.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -75,7 +75,8 @@
     return options;
 }
 
-// Serves until a signal; the signals were blocked before any thread started.
+// Serves until one of `signals`, which must have been blocked before any thread
+// was started.
 template <typename Server>
 int serve(Server &server, const sigset_t &signals)
 {
--- a/standin/platform.cpp
+++ b/standin/platform.cpp
@@ -1,10 +1,11 @@
 // Handlers of the object API.
 //
-// Faults are decided before and after the store is touched: "down" answers 503
-// without a call, "slow" waits first, "lose_answers" makes the call and then
-// closes the connection without an answer, which is how a write takes effect
-// although its answer never arrives. A fault may be limited to callers of one
-// failure domain, which is how a domain is cut off from the platform.
+// Faults are injected around the call of the store: "down" returns 503 without
+// the call, "slow" delays it, and "lose_answers" performs the call and then
+// closes the connection without a response, so that a write takes effect although
+// the caller gets no response. A fault may be limited to the callers of one
+// failure domain, which simulates a network partition between that domain and the
+// platform.
 #include "standin/platform.h"
 
 #include <httplib.h>
@@ -42,11 +43,11 @@
     FaultMode mode = FaultMode::Up;
     base::Duration delay{};
     std::uint64_t callsLeft = UINT64_MAX;
-    std::uint64_t skip = 0; // calls that pass unharmed first
-    std::string prefix; // of the objects that it concerns
+    std::uint64_t skip = 0; // calls that succeed before the first failure
+    std::string prefix; // name prefix of the affected objects
 };
 
-// The object that a call names, empty for lists and watches.
+// Returns the name of the requested object; empty for lists and watches.
 std::string objectName(const httplib::Request &request)
 {
     constexpr std::string_view Path = "/v1/objects/";
@@ -82,7 +83,8 @@
     return value;
 }
 
-// The expected version of a conditional call; a call without condition never holds.
+// Returns the expected version of a conditional write: zero for If-None-Match, and
+// a version that never matches for a write without a condition.
 store::Version expectedVersion(const httplib::Request &request)
 {
     if (request.has_header("If-None-Match")) {
@@ -177,7 +179,8 @@
         });
     }
 
-    // The fault that a call meets now; counts it down.
+    // Returns the fault to inject into this call and counts the call against the
+    // limits of the fault.
     Fault consumeFault(const httplib::Request &request)
     {
         const std::string domain = request.get_header_value("X-Failure-Domain");
@@ -216,7 +219,8 @@
         };
     }
 
-    // A body that ends before its announced length closes the connection.
+    // Makes the server close the connection without a usable response: the body ends
+    // before the announced length.
     static void truncateResponse(httplib::Response &response)
     {
         response.body.clear();
@@ -244,9 +248,9 @@
     std::atomic<std::uint64_t> m_writes = 0;
     std::atomic<std::uint64_t> m_watches = 0;
     std::mutex m_mutex;
-    std::map<std::string, Fault> m_faults; // by failure domain, "" for all; guarded by m_mutex
+    std::map<std::string, Fault> m_faults; // by failure domain, "" for all callers; guarded by m_mutex
     http::HttpServer m_httpServer;
-    std::vector<std::jthread> m_vmPublishers; // guarded by m_mutex; ends before the store
+    std::vector<std::jthread> m_vmPublishers; // guarded by m_mutex; declared after the store, which the threads use
 };
 
 Platform::Platform(const PlatformOptions &options)
--- a/standin/platform.h
+++ b/standin/platform.h
@@ -1,5 +1,6 @@
-// Stand-in of the platform: the object API over a MemoryStore, a VM list that
-// lags, and faults by an administrator's call (docs/design/wire.md).
+// Stand-in for the platform in tests and benchmarks: the object API over a
+// MemoryStore, a VM list with a delay, and fault injection through an
+// administration call (docs/design/wire.md).
 #pragma once
 
 #include <cstdint>
@@ -15,16 +16,16 @@
 struct PlatformOptions
 {
     base::Endpoint endpoint{"127.0.0.1", 0};
-    base::Duration listLag = base::seconds{2};
+    base::Duration listLag = base::seconds{2}; // delay until a new VM list is visible
 };
 
 struct PlatformFault
 {
     std::string mode; // up, down, slow or lose_answers
-    std::uint64_t count = 0; // calls that meet it; zero for all
-    std::string domain; // callers that meet it; empty for all
-    std::string prefix; // objects that it concerns; empty for every call
-    std::uint64_t skip = 0; // calls that pass unharmed first
+    std::uint64_t count = 0; // calls that fail; zero for all
+    std::string domain; // failure domain of the affected callers; empty for all
+    std::string prefix; // name prefix of the affected objects; empty for every call
+    std::uint64_t skip = 0; // calls that succeed before the first failure
 };
 
 class Platform
@@ -33,12 +34,13 @@
     explicit Platform(const PlatformOptions &options);
     ~Platform();
 
+    // Returns false if the address can't be bound.
     [[nodiscard]] bool start();
     void stop();
     [[nodiscard]] const base::Endpoint &endpoint() const;
-    // As POST /admin/faults.
+    // Has the same effect as POST /admin/faults.
     void injectFault(const PlatformFault &fault);
-    // The store behind the API, for tests that look at it directly.
+    // Returns the store behind the API, for tests that access it directly.
     [[nodiscard]] store::MemoryStore &store();
 
 private:
--- a/standin/service.cpp
+++ b/standin/service.cpp
@@ -1,6 +1,7 @@
-// Any method and path runs for a moment and answers with what ran. POST
-// /admin/faults {"mode":"up"|"refuse"|"lose_answers","count":N} makes the next
-// calls refuse, or run and then close the connection.
+// A call of any method and path takes the configured time and returns its path,
+// its order key and the size of its body. POST /admin/faults
+// {"mode":"up"|"refuse"|"lose_answers","count":N} makes the next N calls refuse,
+// or execute and then close the connection without a response.
 #include "standin/service.h"
 
 #include <httplib.h>
@@ -117,7 +118,8 @@
         response.set_content(result.dump(), JsonType);
     }
 
-    // Journals the call unless it is refused; returns the fault that it meets.
+    // Records the call in the journal unless it is refused. Returns the fault to
+    // inject; "up" for none.
     std::string startCall(const httplib::Request &request)
     {
         const std::lock_guard lock(m_mutex);
@@ -145,7 +147,7 @@
     const base::Duration m_runTime;
     const base::Incarnation m_incarnation;
     std::mutex m_mutex;
-    // All below are guarded by m_mutex.
+    // All members below are guarded by m_mutex.
     std::vector<JournalEntry> m_journal;
     std::string m_fault = "up";
     std::uint64_t m_faultCalls = 0;
--- a/standin/service.h
+++ b/standin/service.h
@@ -1,7 +1,7 @@
-// Stand-in of a plain service: runs what it is asked and journals it.
+// Stand-in for a plain service in tests: executes every call and records it.
 //
-// The journal is the judge of how often an order ran: every call that carries
-// X-Order-Key and isn't refused is an entry, also when its answer is lost.
+// The journal is the reference for how often an order was executed: each call
+// with X-Order-Key that isn't refused is recorded, even if its response is lost.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 struct ServiceOptions
 {
     base::Endpoint endpoint{"127.0.0.1", 0};
-    base::Duration runTime = base::milliseconds{5};
+    base::Duration runTime = base::milliseconds{5}; // duration of each call
 };
 
 class Service
@@ -24,6 +24,7 @@
     explicit Service(const ServiceOptions &options);
     ~Service();
 
+    // Returns false if the address can't be bound.
     [[nodiscard]] bool start();
     void stop();
     [[nodiscard]] const base::Endpoint &endpoint() const;
