--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -18,21 +18,21 @@
 #include "standin/platform.h"
 #include "standin/service.h"
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address and port to serve; port 0 takes a free one");
-ABSL_FLAG(std::string, model, "clause-1", "engine: the model served");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address and port to serve; port 0 selects a free port");
+ABSL_FLAG(std::string, model, "clause-1", "engine: name of the served model");
 ABSL_FLAG(std::uint64_t, weights, 1, "engine: weights version at the start");
-ABSL_FLAG(bool, fencing, true, "engine: refuse orders with old fencing numbers");
+ABSL_FLAG(bool, fencing, true, "engine: reject orders with an old fencing token");
 ABSL_FLAG(std::uint32_t, block_bytes, 4000, "engine: prompt bytes in a cached block");
-ABSL_FLAG(std::uint64_t, capacity_blocks, 4000, "engine: blocks that the prefix cache holds");
-ABSL_FLAG(std::uint32_t, max_running, 16, "engine: requests in the batch");
-ABSL_FLAG(double, prefill_rate, 20000, "engine: prompt tokens a second");
+ABSL_FLAG(std::uint64_t, capacity_blocks, 4000, "engine: capacity of the prefix cache in blocks");
+ABSL_FLAG(std::uint32_t, max_running, 16, "engine: maximum number of requests in the batch");
+ABSL_FLAG(double, prefill_rate, 20000, "engine: prefill rate in prompt tokens per second");
 ABSL_FLAG(std::uint32_t, decode_ms, 10, "engine: milliseconds between tokens");
-ABSL_FLAG(std::uint32_t, load_ms, 600, "engine: milliseconds that new weights take");
+ABSL_FLAG(std::uint32_t, load_ms, 600, "engine: time to load new weights in milliseconds");
 ABSL_FLAG(std::uint32_t, report_lag_ms, 300, "engine: age of load reports in milliseconds");
-ABSL_FLAG(std::uint32_t, event_lag_ms, 500, "engine: lateness of cache events in milliseconds");
-ABSL_FLAG(double, event_loss, 0.02, "engine: share of cache events lost");
-ABSL_FLAG(std::uint32_t, run_ms, 5, "service: milliseconds that a call runs");
-ABSL_FLAG(std::uint32_t, list_lag_ms, 2000, "platform: lag of the VM list in milliseconds");
+ABSL_FLAG(std::uint32_t, event_lag_ms, 500, "engine: delay of cache events in milliseconds");
+ABSL_FLAG(double, event_loss, 0.02, "engine: share of lost cache events, 0 to 1");
+ABSL_FLAG(std::uint32_t, run_ms, 5, "service: duration of a call in milliseconds");
+ABSL_FLAG(std::uint32_t, list_lag_ms, 2000, "platform: delay of the VM list in milliseconds");
 
 namespace carawaylatch::standin
 {
@@ -109,7 +109,7 @@
         KvStore server(listenEndpoint());
         return serve(server, signals);
     }
-    std::cerr << "unknown stand-in '" << kind << "'; write platform, engine, service or kvstore\n";
+    std::cerr << "unknown stand-in '" << kind << "'; expected platform, engine, service or kvstore\n";
     return ExitUsage;
 }
 
@@ -127,7 +127,7 @@
     absl::SetFlagsUsageConfig(usage);
     const auto arguments = absl::ParseCommandLine(argc, argv);
     if (arguments.size() != 2) {
-        std::cerr << "name one stand-in: platform, engine, service or kvstore\n";
+        std::cerr << "expected one stand-in: platform, engine, service or kvstore\n";
         return carawaylatch::standin::ExitUsage;
     }
     sigset_t signals;
