--- a/carawaylatch/telemetry/testing/dashboardtest.cpp
+++ b/carawaylatch/telemetry/testing/dashboardtest.cpp
@@ -131,15 +131,15 @@
         DashboardSeries series;
         const base::TimePoint start{base::seconds{10}};
         series.sample(start, totalsAfterRequests(0));
-        CPPUNIT_ASSERT_MESSAGE("one sample is no interval", series.points().empty());
+        CPPUNIT_ASSERT_MESSAGE("the first sample adds no point", series.points().empty());
         series.sample(start + base::seconds{2}, totalsAfterRequests(6));
         series.sample(start + base::seconds{2}, totalsAfterRequests(7));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("no time between", std::size_t{1}, series.points().size());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("a sample at the same time adds no point", std::size_t{1}, series.points().size());
         CPPUNIT_ASSERT_DOUBLES_EQUAL(3.0, series.points().front().requestsPerSecond, 1e-9);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.8, series.points().front().hitRate.value(), 1e-9);
         CPPUNIT_ASSERT(series.points().front().firstTokenP99.value() >= base::milliseconds{90});
         series.sample(start + base::seconds{4}, totalsAfterRequests(6));
-        CPPUNIT_ASSERT_MESSAGE("a quiet interval has no hit rate", !series.points().back().hitRate);
+        CPPUNIT_ASSERT_MESSAGE("an interval without prompts has no hit rate", !series.points().back().hitRate);
     }
 
     void testUnits()
--- a/carawaylatch/telemetry/testing/metricstest.cpp
+++ b/carawaylatch/telemetry/testing/metricstest.cpp
@@ -68,10 +68,11 @@
             metrics.setUpstreamState(base::UpstreamId(name), UpstreamState::Live);
         }
         const auto text = metrics.renderText();
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("three customers and other", std::size_t{4}, countOccurrences(text, "carawaylatch_queue_wait_seconds_count{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("three admitted customers and \"other\"", std::size_t{4},
+                                     countOccurrences(text, "carawaylatch_queue_wait_seconds_count{"));
         CPPUNIT_ASSERT(text.find("carawaylatch_queue_wait_seconds_count{class=\"batch\",customer=\"other\"} 3") != std::string::npos);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("no admitted route", std::size_t{1}, countOccurrences(text, "carawaylatch_requests_total{"));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("two upstreams", std::size_t{2}, countOccurrences(text, "carawaylatch_upstream_state{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("all routes share the series \"other\"", std::size_t{1}, countOccurrences(text, "carawaylatch_requests_total{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("two upstreams have a gauge", std::size_t{2}, countOccurrences(text, "carawaylatch_upstream_state{"));
     }
 
     void testAdmittedNamesStayAdmitted()
