--- a/carawaylatch/router/operatorrequesthandler.cpp
+++ b/carawaylatch/router/operatorrequesthandler.cpp
@@ -3,7 +3,7 @@
 #include "carawaylatch/router/operatorrequesthandler.h"
 
 #include "carawaylatch/telemetry/dashboard.h"
-#include "carawaylatch/telemetry/processcost.h"
+#include "carawaylatch/telemetry/processusage.h"
 
 namespace carawaylatch::router
 {
@@ -71,21 +71,21 @@
     using telemetry::ControlChannel;
     auto &metrics = m_dependencies.metrics;
     const auto peers = m_dependencies.transport.counters();
-    metrics.advanceControl(ControlChannel::Peer, peers.sentMessages + peers.receivedMessages, peers.sentBytes + peers.receivedBytes);
+    metrics.raiseControlTo(ControlChannel::Peer, peers.sentMessages + peers.receivedMessages, peers.sentBytes + peers.receivedBytes);
     // Both enumerations list the same reasons in the same order.
     static_assert(static_cast<std::size_t>(telemetry::PeerRefusal::Replayed) == static_cast<std::size_t>(peer::PeerRefusal::Replayed));
     for (std::size_t i = 0; i < peers.refused.size(); ++i) {
-        metrics.advancePeerRefusals(static_cast<telemetry::PeerRefusal>(i), peers.refused.at(i));
+        metrics.raisePeerRefusalsTo(static_cast<telemetry::PeerRefusal>(i), peers.refused.at(i));
     }
     const auto calls = m_dependencies.objects.calls();
-    metrics.advanceControl(ControlChannel::Platform, calls.reads + calls.writes, 0);
+    metrics.raiseControlTo(ControlChannel::Platform, calls.reads + calls.writes, 0);
 }
 
 void OperatorRequestHandler::sample(base::TimePoint now)
 {
     recordControlTraffic();
     const base::Duration used = m_dependencies.loop.cpuTime();
-    m_dependencies.metrics.setControlCost(used, telemetry::readProcessCost().residentBytes);
+    m_dependencies.metrics.setResourceUsage(used, telemetry::readProcessUsage().residentBytes);
     const std::lock_guard lock(m_mutex);
     m_series.sample(now, m_dependencies.metrics.totals());
     if (now > m_sampledAt) {
--- a/carawaylatch/router/trafficplane.cpp
+++ b/carawaylatch/router/trafficplane.cpp
@@ -264,7 +264,7 @@
         metrics.countHedge();
     }
     for (std::uint32_t i = 0; i < report.staleAnswers; ++i) {
-        metrics.countStaleAnswer();
+        metrics.countStaleResponse();
     }
 }
 
--- a/carawaylatch/telemetry/dashboardseries.cpp
+++ b/carawaylatch/telemetry/dashboardseries.cpp
@@ -1,8 +1,9 @@
-// Points from differences of totals.
+// Computes points from the differences of totals.
 //
-// Totals only grow, so a point needs nothing but two samples: rates are the
-// difference over the time between them, quantiles come from the counts of that
-// time alone. A sample that follows at once, without time between, is ignored.
+// Totals never decrease, so two samples are enough for a point: a rate is the
+// difference divided by the time between the samples, and quantiles come from
+// the histogram of that interval. A sample that is not later than the previous
+// one is ignored, because a rate needs an interval above zero.
 #include "carawaylatch/telemetry/dashboardseries.h"
 
 #include <algorithm>
@@ -38,14 +39,14 @@
         point.requestsPerSecond = rate(totals.requests, last.requests, elapsed);
         point.refusalsPerSecond = rate(totals.refused, last.refused, elapsed);
         point.tokensPerSecond = rate(totals.deliveredTokens, last.deliveredTokens, elapsed);
-        const double prompts = rate(totals.promptTokens, last.promptTokens, elapsed);
-        if (prompts > 0) {
-            point.hitRate = rate(totals.cachedTokens, last.cachedTokens, elapsed) / prompts;
+        const double promptTokens = rate(totals.promptTokens, last.promptTokens, elapsed);
+        if (promptTokens > 0) {
+            point.hitRate = rate(totals.cachedTokens, last.cachedTokens, elapsed) / promptTokens;
         }
-        const auto waits = totals.firstTokenInteractive.since(last.firstTokenInteractive);
-        if (waits.total() > 0) {
-            point.firstTokenP50 = waits.quantile(0.5);
-            point.firstTokenP99 = waits.quantile(0.99);
+        const auto firstTokenTimes = totals.firstTokenInteractive.since(last.firstTokenInteractive);
+        if (firstTokenTimes.total() > 0) {
+            point.firstTokenP50 = firstTokenTimes.quantile(0.5);
+            point.firstTokenP99 = firstTokenTimes.quantile(0.99);
         }
         m_points.push_back(point);
         if (m_points.size() > m_capacity) {
--- a/carawaylatch/telemetry/latencycounts.cpp
+++ b/carawaylatch/telemetry/latencyhistogram.cpp
@@ -1,11 +1,11 @@
 // Buckets with exponentially growing edges.
 //
 // A fixed growth factor gives the same relative error at one millisecond and at
-// ten seconds, so one small array serves token intervals and waits in a queue
-// alike. The edges are a table made once; finding a bucket is a binary search
-// over it. Counts only grow, so that the difference of two copies is the count
-// of the time between them and no window needs a lock or a reset.
-#include "carawaylatch/telemetry/latencycounts.h"
+// ten seconds, so one small array serves both token intervals and queue waits.
+// The edges are computed once, and a bucket is found by binary search. Counts
+// never decrease, so the difference of two snapshots is the histogram of the
+// interval between them, and no window needs a lock or a reset.
+#include "carawaylatch/telemetry/latencyhistogram.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,7 +21,7 @@
 
 using Edges = std::array<base::Duration, LatencyBucketCount>;
 
-Edges makeEdges()
+Edges computeEdges()
 {
     Edges edges{};
     double edge = base::toSeconds(FirstEdge);
@@ -34,7 +34,7 @@
 
 const Edges &edges()
 {
-    static const Edges Table = makeEdges();
+    static const Edges Table = computeEdges();
     return Table;
 }
 
@@ -52,7 +52,7 @@
     return edges().at(std::min(bucket, LatencyBucketCount - 1));
 }
 
-std::uint64_t LatencyCounts::total() const
+std::uint64_t LatencyHistogram::total() const
 {
     std::uint64_t sum = 0;
     for (const auto it : counts) {
@@ -61,40 +61,40 @@
     return sum;
 }
 
-base::Duration LatencyCounts::quantile(double share) const
+base::Duration LatencyHistogram::quantile(double share) const
 {
-    const auto all = total();
-    if (all == 0) {
+    const auto count = total();
+    if (count == 0) {
         return {};
     }
-    const auto rank = static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(all)));
-    std::uint64_t seen = 0;
+    const auto rank = static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(count)));
+    std::uint64_t cumulative = 0;
     for (std::size_t i = 0; i < counts.size(); ++i) {
-        seen += counts.at(i);
-        if (seen >= rank) {
+        cumulative += counts.at(i);
+        if (cumulative >= rank) {
             return latencyBucketEdge(i);
         }
     }
     return latencyBucketEdge(LatencyBucketCount - 1);
 }
 
-LatencyCounts LatencyCounts::since(const LatencyCounts &earlier) const
+LatencyHistogram LatencyHistogram::since(const LatencyHistogram &earlier) const
 {
-    LatencyCounts difference;
+    LatencyHistogram difference;
     for (std::size_t i = 0; i < counts.size(); ++i) {
         difference.counts.at(i) = counts.at(i) - std::min(counts.at(i), earlier.counts.at(i));
     }
     return difference;
 }
 
-void LatencyCounter::add(base::Duration duration)
+void LatencyRecorder::add(base::Duration duration)
 {
     m_counts.at(latencyBucket(duration)).fetch_add(1, std::memory_order_relaxed);
 }
 
-LatencyCounts LatencyCounter::counts() const
+LatencyHistogram LatencyRecorder::snapshot() const
 {
-    LatencyCounts copy;
+    LatencyHistogram copy;
     for (std::size_t i = 0; i < m_counts.size(); ++i) {
         copy.counts.at(i) = m_counts.at(i).load(std::memory_order_relaxed);
     }
--- a/carawaylatch/telemetry/metrics.cpp
+++ b/carawaylatch/telemetry/metrics.cpp
@@ -1,18 +1,18 @@
 // Metrics on prometheus-cpp.
 //
-// prometheus-cpp finds a series by a map of labels under a lock, which is too
-// slow for one record a token. So each admitted customer has a slot of its own
-// that holds one pointer for each class and histogram. Slots stand in an open
-// addressed table of fixed size; they are only ever added, by the thread that
-// learns a configuration, and published by a release store, so that a traffic
-// thread finds its slot with one hash and, as a rule, one string comparison and
-// takes no lock. The pointer to a histogram starts empty and is filled at the
-// first record, under the lock of prometheus-cpp's family. Names that were not
-// admitted share the slot named "other".
+// prometheus-cpp looks up a series in a map of labels under a lock, which is too
+// slow for one record per token. Therefore each admitted customer has a slot
+// with one histogram pointer for each traffic class and measure. Slots are kept
+// in an open-addressing hash table of fixed size. They are never removed; the
+// thread that applies a configuration adds them with a release store, so that a
+// traffic thread finds a slot without a lock, with one hash and usually one
+// string comparison. A histogram pointer is null until the first record, which
+// creates the histogram under the lock of its prometheus-cpp family. All names
+// that were not admitted share the slot "other".
 //
-// Counters by route work the same way. Counters of an enumeration are arrays of
-// pointers, made at the start, so that every kind shows as zero before its
-// first event and an alert on its rate works from the first one on.
+// Counters by route work in the same way. Counters by an enumeration are arrays
+// of pointers that are created at the start, so that each value is exported as
+// zero before its first event and an alert on its rate includes the first one.
 #include "carawaylatch/telemetry/metrics.h"
 
 #include <prometheus/counter.h>
@@ -72,7 +72,7 @@
     return Values;
 }
 
-// What is measured for each customer and class.
+// The histograms of each customer and traffic class.
 enum class Measure {
     FirstToken,
     TokenGap,
@@ -85,7 +85,7 @@
 struct CustomerSlot
 {
     std::string name;
-    // Empty until the first record; written once.
+    // Null until the first record; two threads that race store the same pointer.
     std::array<std::array<std::atomic<prometheus::Histogram *>, MeasureCount>, ClassCount> histograms{};
 };
 
@@ -95,7 +95,7 @@
     std::array<std::atomic<prometheus::Counter *>, OutcomeCount> counters{};
 };
 
-// Names with a slot each: readers take no lock, slots are never removed.
+// A hash table of slots by name. Readers take no lock; slots are never removed.
 template <typename Slot>
 class SlotTable
 {
@@ -107,7 +107,7 @@
         m_other.name = OtherName;
     }
 
-    // Returns the name's slot, or the shared one.
+    // Returns the slot of the name, or the shared slot "other" if it has none.
     [[nodiscard]] Slot &find(std::string_view name)
     {
         const std::size_t mask = m_cells.size() - 1;
@@ -122,7 +122,7 @@
         }
     }
 
-    // Gives the name a slot while the bound allows. One thread at a time.
+    // Adds a slot for the name unless the table is full. Calls must be serialized.
     void admit(std::string_view name)
     {
         if (m_slots.size() >= m_maxNames || name == OtherName || &find(name) != &m_other) {
@@ -140,7 +140,7 @@
 
 private:
     const std::size_t m_maxNames;
-    // At most half full, so that a search ends at an empty cell.
+    // At most half full, so that linear probing ends at an empty cell.
     std::vector<std::atomic<Slot *>> m_cells;
     std::vector<std::unique_ptr<Slot>> m_slots;
     Slot m_other;
@@ -171,7 +171,7 @@
     return counters;
 }
 
-void advance(prometheus::Counter &counter, std::uint64_t total)
+void raiseTo(prometheus::Counter &counter, std::uint64_t total)
 {
     const auto now = static_cast<double>(total);
     if (now > counter.Value()) {
@@ -241,7 +241,7 @@
     prometheus::Counter &retries;
     prometheus::Counter &hedges;
     prometheus::Counter &wastedTokens;
-    prometheus::Counter &staleAnswers;
+    prometheus::Counter &staleResponses;
     prometheus::Gauge &controlSeconds;
     prometheus::Gauge &residentBytes;
     prometheus::Gauge &revision;
@@ -250,14 +250,14 @@
 
     SlotTable<CustomerSlot> customers;
     SlotTable<RouteSlot> routes;
-    std::mutex admitMutex; // guards admission to both tables
+    std::mutex admitMutex; // serializes admission to both tables
 
     std::mutex upstreamMutex; // guards upstreamGauges
     std::map<std::string, prometheus::Gauge *, std::less<>> upstreamGauges;
 
-    LatencyCounter firstTokenInteractive;
-    LatencyCounter firstTokenBatch;
-    LatencyCounter tokenGap;
+    LatencyRecorder firstTokenInteractive;
+    LatencyRecorder firstTokenBatch;
+    LatencyRecorder tokenGap;
     std::array<std::atomic<std::uint64_t>, OutcomeCount> requestsByOutcome{};
     std::atomic<std::uint64_t> promptTokens{0};
     std::atomic<std::uint64_t> cachedTokens{0};
@@ -304,7 +304,7 @@
     , retries(counterFamily(registry, "carawaylatch_retries_total", "Attempts after a failed one.").Add({}))
     , hedges(counterFamily(registry, "carawaylatch_hedges_total", "Second attempts sent beside a slow one.").Add({}))
     , wastedTokens(counterFamily(registry, "carawaylatch_wasted_tokens_total", "Prompt tokens computed again although a live upstream held them.").Add({}))
-    , staleAnswers(counterFamily(registry, "carawaylatch_stale_answers_total", "Answers discarded since their echo did not match.").Add({}))
+    , staleResponses(counterFamily(registry, "carawaylatch_stale_answers_total", "Answers discarded since their echo did not match.").Add({}))
     , controlSeconds(gaugeFamily(registry, "carawaylatch_control_cpu_seconds", "Processor time of the control thread since the start.").Add({}))
     , residentBytes(gaugeFamily(registry, "carawaylatch_resident_bytes", "Memory that the process holds.").Add({}))
     , revision(gaugeFamily(registry, "carawaylatch_config_revision", "Configuration revision in force.").Add({}))
@@ -321,9 +321,9 @@
     auto &cell = slot.histograms.at(static_cast<std::size_t>(trafficClass)).at(static_cast<std::size_t>(measure));
     auto *histogram = cell.load(std::memory_order_acquire);
     if (histogram == nullptr) {
-        const auto &made = measures.at(static_cast<std::size_t>(measure));
-        // Add returns the same series to two threads that race here.
-        histogram = &made.family->Add({{"customer", slot.name}, {"class", std::string(trafficClassName(trafficClass))}}, *made.edges);
+        const auto &measureFamily = measures.at(static_cast<std::size_t>(measure));
+        // Add() returns the same series to threads that race here.
+        histogram = &measureFamily.family->Add({{"customer", slot.name}, {"class", std::string(trafficClassName(trafficClass))}}, *measureFamily.edges);
         cell.store(histogram, std::memory_order_release);
     }
     histogram->Observe(value);
@@ -336,7 +336,7 @@
 
 Metrics::~Metrics() = default;
 
-void Metrics::learnTables(const config::Tables &tables)
+void Metrics::registerTables(const config::Tables &tables)
 {
     const std::lock_guard lock(m_d->admitMutex);
     for (const auto &it : tables.customers) {
@@ -413,9 +413,9 @@
     m_d->wastedTokens.Increment(static_cast<double>(tokens));
 }
 
-void Metrics::countStaleAnswer()
+void Metrics::countStaleResponse()
 {
-    m_d->staleAnswers.Increment();
+    m_d->staleResponses.Increment();
 }
 
 void Metrics::countPeerRefusal(PeerRefusal reason, std::uint64_t bytes)
@@ -430,18 +430,18 @@
     m_d->controlBytes.at(static_cast<std::size_t>(channel))->Increment(static_cast<double>(bytes));
 }
 
-void Metrics::advancePeerRefusals(PeerRefusal reason, std::uint64_t messages)
+void Metrics::raisePeerRefusalsTo(PeerRefusal reason, std::uint64_t messages)
 {
-    advance(*m_d->peerRefusals.at(static_cast<std::size_t>(reason)), messages);
+    raiseTo(*m_d->peerRefusals.at(static_cast<std::size_t>(reason)), messages);
 }
 
-void Metrics::advanceControl(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes)
+void Metrics::raiseControlTo(ControlChannel channel, std::uint64_t messages, std::uint64_t bytes)
 {
-    advance(*m_d->controlMessages.at(static_cast<std::size_t>(channel)), messages);
-    advance(*m_d->controlBytes.at(static_cast<std::size_t>(channel)), bytes);
+    raiseTo(*m_d->controlMessages.at(static_cast<std::size_t>(channel)), messages);
+    raiseTo(*m_d->controlBytes.at(static_cast<std::size_t>(channel)), bytes);
 }
 
-void Metrics::setControlCost(base::Duration processorTime, std::uint64_t residentBytes)
+void Metrics::setResourceUsage(base::Duration processorTime, std::uint64_t residentBytes)
 {
     m_d->controlSeconds.Set(base::toSeconds(processorTime));
     m_d->residentBytes.Set(static_cast<double>(residentBytes));
@@ -492,14 +492,14 @@
 
 MetricsTotals Metrics::totals() const
 {
-    const auto whole = [](const auto &series) {
+    const auto toCount = [](const auto &series) {
         return static_cast<std::uint64_t>(series.Value());
     };
     const auto outcome = [this](RequestOutcome it) {
         return m_d->requestsByOutcome.at(static_cast<std::size_t>(it)).load(std::memory_order_relaxed);
     };
-    const auto order = [this, whole](OrderOutcome it) {
-        return whole(*m_d->orders.at(static_cast<std::size_t>(it)));
+    const auto order = [this, toCount](OrderOutcome it) {
+        return toCount(*m_d->orders.at(static_cast<std::size_t>(it)));
     };
     MetricsTotals totals;
     totals.completed = outcome(RequestOutcome::Completed);
@@ -510,21 +510,21 @@
     totals.promptTokens = m_d->promptTokens.load(std::memory_order_relaxed);
     totals.cachedTokens = m_d->cachedTokens.load(std::memory_order_relaxed);
     totals.deliveredTokens = m_d->deliveredTokens.load(std::memory_order_relaxed);
-    totals.wastedTokens = whole(m_d->wastedTokens);
-    totals.retries = whole(m_d->retries);
-    totals.hedges = whole(m_d->hedges);
-    totals.staleAnswers = whole(m_d->staleAnswers);
+    totals.wastedTokens = toCount(m_d->wastedTokens);
+    totals.retries = toCount(m_d->retries);
+    totals.hedges = toCount(m_d->hedges);
+    totals.staleResponses = toCount(m_d->staleResponses);
     totals.ordersDone = order(OrderOutcome::Done);
     totals.ordersNotRun = order(OrderOutcome::NotRun);
     totals.ordersUnknown = order(OrderOutcome::Unknown);
     for (std::size_t i = 0; i < ChannelCount; ++i) {
-        totals.controlMessages += whole(*m_d->controlMessages.at(i));
-        totals.controlBytes += whole(*m_d->controlBytes.at(i));
+        totals.controlMessages += toCount(*m_d->controlMessages.at(i));
+        totals.controlBytes += toCount(*m_d->controlBytes.at(i));
     }
     totals.openStreams = static_cast<std::int64_t>(m_d->openStreams.Value());
-    totals.firstTokenInteractive = m_d->firstTokenInteractive.counts();
-    totals.firstTokenBatch = m_d->firstTokenBatch.counts();
-    totals.tokenGap = m_d->tokenGap.counts();
+    totals.firstTokenInteractive = m_d->firstTokenInteractive.snapshot();
+    totals.firstTokenBatch = m_d->firstTokenBatch.snapshot();
+    totals.tokenGap = m_d->tokenGap.snapshot();
     return totals;
 }
 
--- a/carawaylatch/telemetry/processcost.cpp
+++ b/carawaylatch/telemetry/processusage.cpp
@@ -1,8 +1,9 @@
-// Process cost from getrusage, the thread clock and /proc/self/statm.
+// Resource usage from getrusage(2), the thread clock and /proc/self/statm.
 //
-// The control plane's share of a core is the control thread's processor time,
-// read on that thread. Resident memory is the second field of statm, in pages.
-#include "carawaylatch/telemetry/processcost.h"
+// The control plane's share of a core is computed from the processor time of the
+// control thread, which is read on that thread. Resident memory is the second
+// field of statm, in pages.
+#include "carawaylatch/telemetry/processusage.h"
 
 #include <ctime>
 #include <fstream>
@@ -22,9 +23,9 @@
 
 } // namespace
 
-ProcessCost readProcessCost()
+ProcessUsage readProcessUsage()
 {
-    ProcessCost cost;
+    ProcessUsage cost;
     rusage usage{};
     if (getrusage(RUSAGE_SELF, &usage) == 0) {
         cost.processorTime = fromTimeval(usage.ru_utime) + fromTimeval(usage.ru_stime);
--- a/carawaylatch/telemetry/statusreport.cpp
+++ b/carawaylatch/telemetry/statusreport.cpp
@@ -1,9 +1,10 @@
-// The status report as JSON.
+// Renders the status report as JSON.
 //
-// Field names carry their unit (`_ms`, `_bytes`, `_per_second`). Identities of
-// 64 bits are strings of 16 hex digits, since a JSON reader may keep numbers as
-// doubles and would round them. Names come from operators' tables and may hold
-// any byte; bytes that are not UTF-8 are replaced and never make the answer fail.
+// Field names carry their unit (`_ms`, `_bytes`, `_per_second`). 64-bit
+// identifiers are strings of 16 hex digits, because a JSON parser may store
+// numbers as doubles and round them. Names come from operators' tables and may
+// contain any byte; bytes that are not valid UTF-8 are replaced, so that they
+// never fail the response.
 #include "carawaylatch/telemetry/statusreport.h"
 
 #include <nlohmann/json.hpp>
@@ -95,7 +96,7 @@
             {"concurrency_share", customer.concurrencyShare}};
 }
 
-ordered_json latencyJson(const LatencyCounts &counts)
+ordered_json latencyJson(const LatencyHistogram &counts)
 {
     return {{"count", counts.total()},
             {"p50_ms", base::toMilliseconds(counts.quantile(0.5))},
@@ -117,7 +118,7 @@
             {"delivered_tokens", totals.deliveredTokens},
             {"retries", totals.retries},
             {"hedges", totals.hedges},
-            {"stale_answers", totals.staleAnswers},
+            {"stale_answers", totals.staleResponses},
             {"orders_done", totals.ordersDone},
             {"orders_not_run", totals.ordersNotRun},
             {"orders_unknown", totals.ordersUnknown},
--- a/carawaylatch/telemetry/testing/metricstest.cpp
+++ b/carawaylatch/telemetry/testing/metricstest.cpp
@@ -1,4 +1,8 @@
-// Metrics: bounded cardinality, escaping, totals, quantiles.
+// Tests of the metrics: bounded cardinality, label escaping, totals and quantiles.
+//
+// They guard against memory that grows with the number of names seen, counters
+// that lose records of parallel threads, and quantiles that are off by more than
+// one bucket.
 #include "carawaylatch/telemetry/metrics.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -22,7 +26,7 @@
 using base::CustomerId;
 using base::TrafficClass;
 
-config::Tables tablesOf(const std::vector<std::string> &customers)
+config::Tables tablesWithCustomers(const std::vector<std::string> &customers)
 {
     config::Tables tables;
     for (const auto &it : customers) {
@@ -31,7 +35,7 @@
     return tables;
 }
 
-std::size_t countOf(const std::string &text, const std::string &part)
+std::size_t countOccurrences(const std::string &text, const std::string &part)
 {
     std::size_t n = 0;
     for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + part.size())) {
@@ -57,24 +61,25 @@
     void testCardinalityIsBounded()
     {
         Metrics metrics({.maxCustomers = 3, .maxRoutes = 1, .maxUpstreams = 2});
-        metrics.learnTables(tablesOf({"a", "b", "c", "d", "e"}));
+        metrics.registerTables(tablesWithCustomers({"a", "b", "c", "d", "e"}));
         for (const auto *name : {"a", "b", "c", "d", "e", "never-configured"}) {
             metrics.recordQueueWait(CustomerId(name), TrafficClass::Batch, base::milliseconds{3});
             metrics.countRequest(base::RouteName(name), RequestOutcome::Completed);
             metrics.setUpstreamState(base::UpstreamId(name), UpstreamState::Live);
         }
         const auto text = metrics.renderText();
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("three customers and other", std::size_t{4}, countOf(text, "carawaylatch_queue_wait_seconds_count{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("three admitted customers and \"other\"", std::size_t{4},
+                                     countOccurrences(text, "carawaylatch_queue_wait_seconds_count{"));
         CPPUNIT_ASSERT(text.find("carawaylatch_queue_wait_seconds_count{class=\"batch\",customer=\"other\"} 3") != std::string::npos);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("no admitted route", std::size_t{1}, countOf(text, "carawaylatch_requests_total{"));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("two upstreams", std::size_t{2}, countOf(text, "carawaylatch_upstream_state{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("all routes share the series \"other\"", std::size_t{1}, countOccurrences(text, "carawaylatch_requests_total{"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("two upstreams have a gauge", std::size_t{2}, countOccurrences(text, "carawaylatch_upstream_state{"));
     }
 
     void testAdmittedNamesStayAdmitted()
     {
         Metrics metrics({.maxCustomers = 2});
-        metrics.learnTables(tablesOf({"a"}));
-        metrics.learnTables(tablesOf({"b", "c"}));
+        metrics.registerTables(tablesWithCustomers({"a"}));
+        metrics.registerTables(tablesWithCustomers({"b", "c"}));
         for (const auto *name : {"a", "b", "c"}) {
             metrics.recordPrompt(CustomerId(name), TrafficClass::Interactive, 100, 40);
         }
@@ -87,7 +92,7 @@
     void testLabelsAreEscaped()
     {
         Metrics metrics;
-        metrics.learnTables(tablesOf({"wood \"chips\"\\\nDakar"}));
+        metrics.registerTables(tablesWithCustomers({"wood \"chips\"\\\nDakar"}));
         metrics.recordFirstToken(CustomerId("wood \"chips\"\\\nDakar"), TrafficClass::Interactive, base::milliseconds{80});
         CPPUNIT_ASSERT(metrics.renderText().find(R"(customer="wood \"chips\"\\\nDakar")") != std::string::npos);
     }
@@ -103,9 +108,9 @@
         metrics.countWastedTokens(12);
         metrics.countControl(ControlChannel::Peer, 2, 300);
         metrics.countControl(ControlChannel::Platform, 1, 50);
-        metrics.advanceControl(ControlChannel::Peer, 2, 300);
-        metrics.advancePeerRefusals(PeerRefusal::Replayed, 5);
-        metrics.advancePeerRefusals(PeerRefusal::Replayed, 4);
+        metrics.raiseControlTo(ControlChannel::Peer, 2, 300);
+        metrics.raisePeerRefusalsTo(PeerRefusal::Replayed, 5);
+        metrics.raisePeerRefusalsTo(PeerRefusal::Replayed, 4);
         metrics.streamOpened();
         const auto totals = metrics.totals();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, totals.requests);
@@ -132,7 +137,7 @@
                 for (std::uint64_t n = 0; n < Records; ++n) {
                     metrics.recordTokenGap(CustomerId(std::to_string(n % 7)), TrafficClass::Batch, base::milliseconds{20});
                     if (n % 50 == 0) {
-                        metrics.learnTables(tablesOf({std::to_string(i), std::to_string(n % 7)}));
+                        metrics.registerTables(tablesWithCustomers({std::to_string(i), std::to_string(n % 7)}));
                     }
                 }
             });
@@ -147,7 +152,7 @@
     {
         base::Random random(carawaylatch::testing::seed());
         for (int round = 0; round < 50; ++round) {
-            LatencyCounter counter;
+            LatencyRecorder counter;
             std::vector<base::Duration> values;
             const auto n = 1 + random.below(200);
             for (std::uint64_t i = 0; i < n; ++i) {
@@ -157,7 +162,7 @@
             std::sort(values.begin(), values.end());
             for (const double share : {0.5, 0.95, 0.99, 1.0}) {
                 const auto exact = values.at(static_cast<std::size_t>(std::ceil(share * static_cast<double>(n))) - 1);
-                const auto found = counter.counts().quantile(share);
+                const auto found = counter.snapshot().quantile(share);
                 CPPUNIT_ASSERT(found >= exact);
                 CPPUNIT_ASSERT(base::toSeconds(found) <= base::toSeconds(exact) * 1.2 + 1e-6);
             }
--- a/standin/enginemodel.cpp
+++ b/standin/enginemodel.cpp
@@ -1,6 +1,6 @@
-// The scheduler of the engine stand-in. It steps by the clock, not by events:
-// some tens of jobs and a step each few milliseconds cost nothing, and all that
-// happens at one time is in one place.
+// The scheduler of the engine stand-in. It runs at fixed intervals and not on
+// events: for some tens of jobs, a step every few milliseconds has a negligible
+// cost, and all state changes are in one function.
 #include "standin/enginemodel.h"
 
 #include <algorithm>
@@ -17,9 +17,9 @@
 {
 
 constexpr std::size_t BytesPerToken = 4;
-constexpr base::Duration HoldUnread = base::seconds{3}; // a job without a reader is dropped after this
+constexpr base::Duration UnreadJobTimeout = base::seconds{3}; // a job that no client reads is dropped after this time
 constexpr base::Duration SnapshotInterval = base::milliseconds{50};
-constexpr base::Duration KeepSnapshots = base::seconds{10};
+constexpr base::Duration SnapshotRetention = base::seconds{10};
 constexpr std::size_t EventsPerCall = 2000;
 constexpr std::size_t TokenDigits = 8;
 
@@ -28,10 +28,11 @@
     return base::SteadyClock().now();
 }
 
-// Whether an event is lost: by its number alone, so that it stays lost.
+// Returns whether an event is lost. The result depends only on the engine and the
+// sequence number, so that a repeated call loses the same events.
 bool isLost(std::uint64_t sequence, base::Incarnation incarnation, double loss)
 {
-    return base::Random(base::combineHashes(incarnation.value, sequence)).uniformReal() < loss;
+    return base::Random(base::combineHashes(incarnation.value, sequence)).unit() < loss;
 }
 
 } // namespace
@@ -77,10 +78,10 @@
     job->lastRead = now();
     job->weights = m_weights;
     m_jobs[job->request.attempt] = job;
-    const auto place = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const JobPointer &it) {
+    const auto position = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const JobPointer &it) {
         return it->request.priority > job->request.priority;
     });
-    m_waiting.insert(place, job);
+    m_waiting.insert(position, job);
     ++m_counters.jobs;
     return m_weights;
 }
@@ -93,31 +94,31 @@
         return base::fail(base::ErrorKind::NotFound, "no such stream; start the request again");
     }
     const JobPointer job = it->second;
-    const std::uint64_t base = job->request.firstIndex;
-    const std::size_t skip = from > base ? from - base : 0;
+    const std::uint64_t firstIndex = job->request.firstIndex;
+    const std::size_t skip = from > firstIndex ? from - firstIndex : 0;
     m_progress.wait_for(lock, atMost, [&] {
         return job->tokens.size() > skip || job->isDone || job->isCancelled;
     });
     job->lastRead = now();
     JobProgress progress;
-    progress.firstIndex = base + skip;
+    progress.firstIndex = firstIndex + skip;
     progress.tokens.assign(job->tokens.begin() + static_cast<std::ptrdiff_t>(std::min(skip, job->tokens.size())), job->tokens.end());
     progress.isDone = job->isDone;
     progress.isCancelled = job->isCancelled;
     progress.promptTokens = job->promptTokens;
     progress.cachedTokens = job->cachedTokens;
-    progress.count = base + job->tokens.size();
+    progress.count = firstIndex + job->tokens.size();
     return progress;
 }
 
-base::Result<JobOrigin> EngineModel::origin(base::AttemptId attempt) const
+base::Result<JobContext> EngineModel::jobContext(base::AttemptId attempt) const
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_jobs.find(attempt);
     if (it == m_jobs.end()) {
         return base::fail(base::ErrorKind::NotFound, "no such stream; start the request again");
     }
-    return JobOrigin{it->second->weights, it->second->request.salt};
+    return JobContext{it->second->weights, it->second->request.salt};
 }
 
 void EngineModel::cancel(base::AttemptId attempt)
@@ -133,10 +134,10 @@
     m_progress.notify_all();
 }
 
-base::Result<void> EngineModel::loadWeights(base::FencingToken fence, base::WeightsVersion weights)
+base::Result<void> EngineModel::loadWeights(base::FenceToken fence, base::WeightsVersion weights)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_options.fencing == FenceCheck::On && fence < m_fence) {
+    if (m_options.fencing == FencingCheck::On && fence < m_fence) {
         ++m_counters.staleOrders;
         return base::fail(base::ErrorKind::Conflict, "fencing number " + std::to_string(fence.value) + " is older than " + std::to_string(m_fence.value));
     }
@@ -176,7 +177,7 @@
     const std::lock_guard lock(m_mutex);
     const base::TimePoint newest = now() - m_options.eventLag;
     std::uint64_t published = 0;
-    for (const auto &it : m_publishMarks) {
+    for (const auto &it : m_publishedSequences) {
         if (it.at <= newest) {
             published = it.sequence;
         }
@@ -210,14 +211,14 @@
 
 void EngineModel::step(base::TimePoint now)
 {
-    finishLoad(now);
+    advanceWeightLoad(now);
     admitWaiting(now);
     for (auto &[attempt, job] : m_jobs) {
         if (job->isRunning && !job->isDone && !job->isCancelled) {
-            advance(*job, now);
+            decodeToken(*job, now);
         }
     }
-    forgetUnread(now);
+    dropUnreadJobs(now);
     takeSnapshot(now);
 }
 
@@ -232,8 +233,8 @@
 
 void EngineModel::startPrefill(Job &job, base::TimePoint now)
 {
-    const std::size_t n = m_cache.match(job.keys, job.request.salt, job.weights);
-    job.cachedTokens = std::min<std::uint64_t>(job.promptTokens, n * m_options.blockBytes / BytesPerToken);
+    const std::size_t cachedBlocks = m_cache.match(job.keys, job.request.salt, job.weights);
+    job.cachedTokens = std::min<std::uint64_t>(job.promptTokens, cachedBlocks * m_options.blockBytes / BytesPerToken);
     const double missing = static_cast<double>(job.promptTokens - job.cachedTokens);
     m_prefillFreeAt = std::max(m_prefillFreeAt, now) + base::fromSeconds(missing / m_options.prefillTokensPerSecond);
     job.prefillDoneAt = m_prefillFreeAt;
@@ -242,7 +243,7 @@
     m_counters.cachedTokens += job.cachedTokens;
 }
 
-void EngineModel::advance(Job &job, base::TimePoint now)
+void EngineModel::decodeToken(Job &job, base::TimePoint now)
 {
     if (now < job.prefillDoneAt) {
         return;
@@ -257,8 +258,9 @@
     job.isDone = index + 1 >= job.request.maxTokens;
 }
 
-// New weights load once the running jobs are done; the cache of the old ones goes.
-void EngineModel::finishLoad(base::TimePoint now)
+// Loads new weights once the waiting and running jobs are done, and clears the
+// cache of the old ones.
+void EngineModel::advanceWeightLoad(base::TimePoint now)
 {
     if (!m_loading || runningCount() > 0 || !m_waiting.empty()) {
         return;
@@ -276,11 +278,11 @@
     m_state = m_state == EngineState::Loading ? EngineState::Live : m_state;
 }
 
-void EngineModel::forgetUnread(base::TimePoint now)
+void EngineModel::dropUnreadJobs(base::TimePoint now)
 {
     std::erase_if(m_jobs, [&](const auto &item) {
         const Job &job = *item.second;
-        const bool isUnread = now - job.lastRead > HoldUnread;
+        const bool isUnread = now - job.lastRead > UnreadJobTimeout;
         if (isUnread && !job.isDone && !job.isCancelled) {
             item.second->isCancelled = true;
             std::erase(m_waiting, item.second);
@@ -309,10 +311,10 @@
     snapshot.usedBlocks = m_cache.size();
     snapshot.at = now;
     m_snapshots.push_back(snapshot);
-    m_publishMarks.push_back({now, m_cache.lastSequence()});
-    while (now - m_snapshots.front().at > KeepSnapshots) {
+    m_publishedSequences.push_back({now, m_cache.lastSequence()});
+    while (now - m_snapshots.front().at > SnapshotRetention) {
         m_snapshots.pop_front();
-        m_publishMarks.pop_front();
+        m_publishedSequences.pop_front();
     }
 }
 
--- a/standin/main.cpp
+++ b/standin/main.cpp
@@ -1,9 +1,9 @@
-// carawaylatch-standin: runs one stand-in until it is told to stop.
+// carawaylatch-standin: runs one stand-in for tests and benchmarks until a signal.
 //
 //   carawaylatch-standin platform|engine|service|kvstore --listen=127.0.0.1:PORT [...]
 //
-// Prints "listening ADDRESS:PORT" when it serves. Exits with 0 after SIGTERM or
-// SIGINT, 2 for wrong usage, 4 if the address can't be bound.
+// Prints "listening ADDRESS:PORT" once it accepts connections. Exits with 0 after
+// SIGTERM or SIGINT, 2 for wrong usage, 4 if the address can't be bound.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -18,21 +18,21 @@
 #include "standin/platform.h"
 #include "standin/service.h"
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address and port to serve; port 0 takes a free one");
-ABSL_FLAG(std::string, model, "clause-1", "engine: the model served");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address and port to serve; port 0 selects a free port");
+ABSL_FLAG(std::string, model, "clause-1", "engine: name of the served model");
 ABSL_FLAG(std::uint64_t, weights, 1, "engine: weights version at the start");
-ABSL_FLAG(bool, fencing, true, "engine: refuse orders with old fencing numbers");
+ABSL_FLAG(bool, fencing, true, "engine: reject orders with an old fencing token");
 ABSL_FLAG(std::uint32_t, block_bytes, 4000, "engine: prompt bytes in a cached block");
-ABSL_FLAG(std::uint64_t, capacity_blocks, 4000, "engine: blocks that the prefix cache holds");
-ABSL_FLAG(std::uint32_t, max_running, 16, "engine: requests in the batch");
-ABSL_FLAG(double, prefill_rate, 20000, "engine: prompt tokens a second");
+ABSL_FLAG(std::uint64_t, capacity_blocks, 4000, "engine: capacity of the prefix cache in blocks");
+ABSL_FLAG(std::uint32_t, max_running, 16, "engine: maximum number of requests in the batch");
+ABSL_FLAG(double, prefill_rate, 20000, "engine: prefill rate in prompt tokens per second");
 ABSL_FLAG(std::uint32_t, decode_ms, 10, "engine: milliseconds between tokens");
-ABSL_FLAG(std::uint32_t, load_ms, 600, "engine: milliseconds that new weights take");
+ABSL_FLAG(std::uint32_t, load_ms, 600, "engine: time to load new weights in milliseconds");
 ABSL_FLAG(std::uint32_t, report_lag_ms, 300, "engine: age of load reports in milliseconds");
-ABSL_FLAG(std::uint32_t, event_lag_ms, 500, "engine: lateness of cache events in milliseconds");
-ABSL_FLAG(double, event_loss, 0.02, "engine: share of cache events lost");
-ABSL_FLAG(std::uint32_t, run_ms, 5, "service: milliseconds that a call runs");
-ABSL_FLAG(std::uint32_t, list_lag_ms, 2000, "platform: lag of the VM list in milliseconds");
+ABSL_FLAG(std::uint32_t, event_lag_ms, 500, "engine: delay of cache events in milliseconds");
+ABSL_FLAG(double, event_loss, 0.02, "engine: share of lost cache events, 0 to 1");
+ABSL_FLAG(std::uint32_t, run_ms, 5, "service: duration of a call in milliseconds");
+ABSL_FLAG(std::uint32_t, list_lag_ms, 2000, "platform: delay of the VM list in milliseconds");
 
 namespace carawaylatch::standin
 {
@@ -62,7 +62,7 @@
     options.endpoint = listenEndpoint();
     options.model = base::ModelId(absl::GetFlag(FLAGS_model));
     options.weights = {absl::GetFlag(FLAGS_weights)};
-    options.fencing = absl::GetFlag(FLAGS_fencing) ? FenceCheck::On : FenceCheck::Off;
+    options.fencing = absl::GetFlag(FLAGS_fencing) ? FencingCheck::On : FencingCheck::Off;
     options.blockBytes = absl::GetFlag(FLAGS_block_bytes);
     options.capacityBlocks = absl::GetFlag(FLAGS_capacity_blocks);
     options.maxRunning = absl::GetFlag(FLAGS_max_running);
@@ -75,40 +75,41 @@
     return options;
 }
 
-// Serves until a signal; the signals were blocked before any thread started.
-template <typename Program>
-int serve(Program &program, const sigset_t &signals)
+// Serves until one of `signals`, which must have been blocked before any thread
+// was started.
+template <typename Server>
+int serve(Server &server, const sigset_t &signals)
 {
-    if (!program.start()) {
+    if (!server.start()) {
         std::cerr << "can't listen on " << absl::GetFlag(FLAGS_listen) << "; choose a free --listen address of this machine\n";
         return ExitUnreachable;
     }
-    std::cout << "listening " << program.endpoint().address << ':' << program.endpoint().port << std::endl;
+    std::cout << "listening " << server.endpoint().address << ':' << server.endpoint().port << std::endl;
     int signal = 0;
     sigwait(&signals, &signal);
-    program.stop();
+    server.stop();
     return 0;
 }
 
 int run(std::string_view kind, const sigset_t &signals)
 {
     if (kind == "platform") {
-        Platform program({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_list_lag_ms)}});
-        return serve(program, signals);
+        Platform server({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_list_lag_ms)}});
+        return serve(server, signals);
     }
     if (kind == "engine") {
-        Engine program(engineOptions());
-        return serve(program, signals);
+        Engine server(engineOptions());
+        return serve(server, signals);
     }
     if (kind == "service") {
-        Service program({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_run_ms)}});
-        return serve(program, signals);
+        Service server({listenEndpoint(), base::milliseconds{absl::GetFlag(FLAGS_run_ms)}});
+        return serve(server, signals);
     }
     if (kind == "kvstore") {
-        KvStore program(listenEndpoint());
-        return serve(program, signals);
+        KvStore server(listenEndpoint());
+        return serve(server, signals);
     }
-    std::cerr << "unknown stand-in '" << kind << "'; write platform, engine, service or kvstore\n";
+    std::cerr << "unknown stand-in '" << kind << "'; expected platform, engine, service or kvstore\n";
     return ExitUsage;
 }
 
@@ -124,9 +125,9 @@
         return std::string("carawaylatch-standin 0.1.0\n");
     };
     absl::SetFlagsUsageConfig(usage);
-    const auto words = absl::ParseCommandLine(argc, argv);
-    if (words.size() != 2) {
-        std::cerr << "name one stand-in: platform, engine, service or kvstore\n";
+    const auto arguments = absl::ParseCommandLine(argc, argv);
+    if (arguments.size() != 2) {
+        std::cerr << "expected one stand-in: platform, engine, service or kvstore\n";
         return carawaylatch::standin::ExitUsage;
     }
     sigset_t signals;
@@ -134,5 +135,5 @@
     sigaddset(&signals, SIGTERM);
     sigaddset(&signals, SIGINT);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    return carawaylatch::standin::run(words[1], signals);
+    return carawaylatch::standin::run(arguments[1], signals);
 }
