--- a/carawaylatch/orders/testing/ordermodel.cpp
+++ b/carawaylatch/orders/testing/ordermodel.cpp
@@ -335,10 +335,10 @@
         const auto kind = fault == Fault::Unreachable ? ErrorKind::Unavailable : ErrorKind::Unclear;
         next.applyAction(index, next.m_requests[index].stateMachine->onWritten(Now, error(kind)));
         transitions.push_back({name
-                               + (fault == Fault::Unreachable  ? ": unreachable"
-                                  : fault == Fault::AnswerLost ? ": answer lost"
-                                                               : ": delayed"),
-                           std::move(next)});
+                                   + (fault == Fault::Unreachable  ? ": unreachable"
+                                      : fault == Fault::AnswerLost ? ": answer lost"
+                                                                   : ": delayed"),
+                               std::move(next)});
     }
 }
 
--- a/carawaylatch/peer/wirevalues.cpp
+++ b/carawaylatch/peer/wirevalues.cpp
@@ -59,10 +59,10 @@
     return value;
 }
 
-Result<handover::UpstreamLife> fromWire(const wire::UpstreamLife &in)
+Result<handover::UpstreamIncarnation> fromWire(const wire::UpstreamLife &in)
 {
     BOOST_OUTCOME_TRY(upstream, nameFromWire<base::UpstreamId>(in.upstream()));
-    return handover::UpstreamLife{upstream, {in.incarnation()}};
+    return handover::UpstreamIncarnation{upstream, {in.incarnation()}};
 }
 
 Result<handover::FencingFloor> fromWire(const wire::FencingFloor &in)
@@ -229,7 +229,7 @@
     for (const auto &it : value.members) {
         toWire(it, *out.add_members());
     }
-    for (const auto &it : value.lives) {
+    for (const auto &it : value.incarnations) {
         auto *life = out.add_lives();
         life->set_upstream(it.upstream.value());
         life->set_incarnation(it.incarnation.value);
@@ -254,13 +254,13 @@
         value.rows = std::move(rows);
     }
     BOOST_OUTCOME_TRY(members, listFromWire<membership::MemberRecord>(in.members()));
-    BOOST_OUTCOME_TRY(lives, listFromWire<handover::UpstreamLife>(in.lives()));
+    BOOST_OUTCOME_TRY(lives, listFromWire<handover::UpstreamIncarnation>(in.lives()));
     BOOST_OUTCOME_TRY(marks, listFromWire<upstreams::LeavingMark>(in.marks()));
     BOOST_OUTCOME_TRY(floors, listFromWire<handover::FencingFloor>(in.floors()));
     BOOST_OUTCOME_TRY(placements, fromWire(in.placements()));
     BOOST_OUTCOME_TRY(levels, fromWire(in.levels()));
     value.members = std::move(members);
-    value.lives = std::move(lives);
+    value.incarnations = std::move(lives);
     value.marks = std::move(marks);
     value.floors = std::move(floors);
     value.placements = std::move(placements);
--- a/carawaylatch/peer/wirevalues.h
+++ b/carawaylatch/peer/wirevalues.h
@@ -29,7 +29,7 @@
 [[nodiscard]] base::Result<admission::DemandEntry> fromWire(const wire::DemandEntry &in);
 [[nodiscard]] base::Result<admission::ShareEntry> fromWire(const wire::ShareEntry &in);
 [[nodiscard]] base::Result<prefix::HotUpstream> fromWire(const wire::HotUpstream &in);
-[[nodiscard]] base::Result<handover::UpstreamLife> fromWire(const wire::UpstreamLife &in);
+[[nodiscard]] base::Result<handover::UpstreamIncarnation> fromWire(const wire::UpstreamLife &in);
 [[nodiscard]] base::Result<handover::FencingFloor> fromWire(const wire::FencingFloor &in);
 [[nodiscard]] base::Result<admission::DemandReport> fromWire(const wire::DemandReport &in);
 [[nodiscard]] base::Result<admission::ShareTable> fromWire(const wire::ShareTable &in);
--- a/carawaylatch/router/configcontroller.h
+++ b/carawaylatch/router/configcontroller.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <thread>
 
-#include "carawaylatch/config/distributor.h"
 #include "carawaylatch/config/configstore.h"
+#include "carawaylatch/config/distributor.h"
 #include "carawaylatch/router/controlstate.h"
 #include "carawaylatch/router/peerbus.h"
 
--- a/daemon/main.cpp
+++ b/daemon/main.cpp
@@ -75,7 +75,7 @@
     const std::jthread signalThread([&router, signals](const std::stop_token &stop) {
         forwardSignals(router, signals, stop);
     });
-    if (router.waitUntilStopped() == carawaylatch::router::StopKind::Cut) {
+    if (router.waitUntilStopped() == carawaylatch::router::StopKind::Forced) {
         google::FlushLogFiles(google::INFO);
         std::_Exit(0);
     }
--- a/standin/enginemodel.cpp
+++ b/standin/enginemodel.cpp
@@ -32,7 +32,7 @@
 // sequence number, so that a repeated call loses the same events.
 bool isLost(std::uint64_t sequence, base::Incarnation incarnation, double loss)
 {
-    return base::Random(base::combineHashes(incarnation.value, sequence)).unit() < loss;
+    return base::Random(base::combineHashes(incarnation.value, sequence)).uniformReal() < loss;
 }
 
 } // namespace
@@ -134,7 +134,7 @@
     m_progress.notify_all();
 }
 
-base::Result<void> EngineModel::loadWeights(base::FenceToken fence, base::WeightsVersion weights)
+base::Result<void> EngineModel::loadWeights(base::FencingToken fence, base::WeightsVersion weights)
 {
     const std::lock_guard lock(m_mutex);
     if (m_options.fencing == FencingCheck::On && fence < m_fence) {
--- a/standin/enginemodel.h
+++ b/standin/enginemodel.h
@@ -129,7 +129,7 @@
 
     // Starts to load weights once the queued and running jobs are done. Fails with
     // Conflict for an old fencing token if the check is on.
-    [[nodiscard]] base::Result<void> loadWeights(base::FenceToken fence, base::WeightsVersion weights);
+    [[nodiscard]] base::Result<void> loadWeights(base::FencingToken fence, base::WeightsVersion weights);
     // Stops the admission of jobs for good; accepted jobs continue.
     void leave();
     // Returns the newest snapshot that is at least the report lag old.
@@ -177,7 +177,7 @@
     base::TimePoint m_prefillFreeAt;
     EngineState m_state = EngineState::Live;
     base::WeightsVersion m_weights;
-    base::FenceToken m_fence;
+    base::FencingToken m_fence;
     std::optional<base::WeightsVersion> m_loading;
     std::optional<base::TimePoint> m_loadDoneAt;
     std::deque<LoadSnapshot> m_snapshots;
