--- a/carawaylatch/relay/openrequest.cpp
+++ b/carawaylatch/relay/openrequest.cpp
@@ -244,6 +244,12 @@
             m_work.push_back(it);
             break;
         case ActionKind::Place:
+            if (it.purpose == AttemptPurpose::Hedge) {
+                ++m_hedgesRunning; // in the step that decides it, so that run() can't miss it
+                break;
+            }
+            m_work.push_back(it);
+            break;
         case ActionKind::Start:
             if (it.purpose != AttemptPurpose::Hedge) {
                 m_work.push_back(it);
@@ -384,12 +390,9 @@
 }
 
 // Reserves a thread before the placement: a hedge that can't run at once is not placed.
+// recordActions() has counted it.
 void OpenRequest::startHedge()
 {
-    {
-        const std::lock_guard lock(m_mutex);
-        ++m_hedgesRunning;
-    }
     const auto end = [self = shared_from_this()] {
         const std::lock_guard lock(self->m_mutex);
         --self->m_hedgesRunning;
--- a/carawaylatch/relay/openrequest.h
+++ b/carawaylatch/relay/openrequest.h
@@ -88,7 +88,7 @@
     std::vector<base::AttemptId> m_running; // currently in EngineConnection::run()
     std::vector<base::AttemptId> m_cancelled; // the watcher repeats these while they run
     Writing m_writing = Writing::No; // whether a thread is writing to the sink
-    std::uint32_t m_hedgesRunning = 0;
+    std::uint32_t m_hedgesRunning = 0; // decided and not yet ended
     std::optional<base::TimePoint> m_hedgeAt;
     std::optional<DoneEvent> m_done; // from the attempt that finished the answer
     RelayReport m_report;
