--- a/carawaylatch/router/testing/routerfaulttest.cpp
+++ b/carawaylatch/router/testing/routerfaulttest.cpp
@@ -109,7 +109,8 @@
         fleet.awaitStatus(1, "\"state\":\"leaving\"");
         const auto before = fleet.engine(0).model().counters().jobs;
         for (int i = 0; i < 10; ++i) {
-            CPPUNIT_ASSERT(fleet.complete(static_cast<std::size_t>(i) % 2, "after the drain " + std::to_string(i), 1).isCompleteStream());
+            const auto response = fleet.complete(static_cast<std::size_t>(i) % 2, "after the drain " + std::to_string(i), 1);
+            CPPUNIT_ASSERT_MESSAGE("status " + std::to_string(response.status) + ": " + response.body, response.isCompleteStream());
         }
         CPPUNIT_ASSERT_EQUAL(before, fleet.engine(0).model().counters().jobs);
     }
