--- a/carawaylatch/relay/openrequest.cpp
+++ b/carawaylatch/relay/openrequest.cpp
@@ -244,15 +244,11 @@
             m_work.push_back(it);
             break;
         case ActionKind::Place:
-            if (it.purpose == AttemptPurpose::Hedge) {
-                ++m_hedgesRunning; // in the step that decides it, so that run() can't miss it
-                break;
-            }
-            m_work.push_back(it);
-            break;
         case ActionKind::Start:
             if (it.purpose != AttemptPurpose::Hedge) {
                 m_work.push_back(it);
+            } else if (it.kind == ActionKind::Place) {
+                ++m_hedgesRunning; // in the step that decides it, so that run() can't miss it
             }
             break;
         case ActionKind::FirstToken:
