--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -35,20 +35,6 @@
 tests() {
     ctest --test-dir "$1" --output-on-failure -j "$(nproc)" "${@:2}"
 }
-# Tests that KNOWN-RED.txt marks as "apart" can end their process, so each runs in one
-# of its own; the result is printed and not counted.
-known_red_apart() {
-    local name program
-    grep -E '^[^# ]+ apart ' KNOWN-RED.txt | while read -r name _ program _; do
-        if "$1/$program" --only "$name" >known-red.log 2>&1; then
-            echo "known red, passes this time: $1/$program $name"
-        else
-            echo "known red, fails: $1/$program $name"
-            tail -3 known-red.log
-        fi
-    done
-    rm -f known-red.log
-}
 step "format" scripts/format.sh --check
 step "build" build build
 step "lint" scripts/lint.sh
@@ -61,9 +47,6 @@
 for suite in OrderExecutorTest OrderRecordStoreTest; do
     step "orders with thread sanitizer: $suite" build-tsan/test-orders --known-red KNOWN-RED.txt --only "$suite"
 done
-for dir in build build-asan build-tsan; do
-    known_red_apart "$dir"
-done
 for script in scripts/check.d/*.sh; do
     [ -e "$script" ] && step "$(basename "$script" .sh)" bash "$script"
 done
